--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -52,8 +52,8 @@
 inline constexpr double kDrift = 0.001;      // clock drift allowed for: twice the protocol's 0.05%
 inline constexpr double kWatchWait_s = 3.0;  // one watch; bounds how old "no news" can be
 inline constexpr double kLeadWatch_s = 2.0;  // one watch of the leadership key; also shows that we are served
-inline constexpr double kAlone_s = 5.0;      // unserved this long while a sibling is served: not ready
-inline constexpr double kCutOff_s = 10.0;    // without state service and siblings this long: not ready
+inline constexpr double kAlone_s = 5.0;      // unserved this long while a peer is served: not ready
+inline constexpr double kCutOff_s = 10.0;    // without state service and peers this long: not ready
 inline constexpr double kAway_s = 4.0;       // no answer this long, though watches end every 2 s: it is away
 inline constexpr double kRetryPause_s = 0.25;      // pause after a failed call, doubled up to
 inline constexpr double kRetryPauseMax_s = 2.0;    //   this: a service that comes back is not stampeded
@@ -62,23 +62,24 @@
 inline constexpr double kLeaderShare = 0.75;       // share of write_rps that the leader uses itself
 inline constexpr size_t kRecordLeast = 1024;  // bytes of value_kb: below, a common job's record does not fit
 inline constexpr size_t kRecordSpare =
-    200;                                  // bytes left free for one more placement on a machine of any name,
-                                          //   so that a job whose record is full goes on one by one
-inline constexpr size_t kHostDigits = 9;  // digits of a machine's number; more count as part of its name
+    200;  // bytes left free for one more placement on a machine of any name,
+          //   so that a job whose record is full goes on one by one
+inline constexpr size_t kMachineDigits = 9;   // digits of a machine's number; more count as part of its name
 inline constexpr size_t kPlacementLeast = 3;  // JSON bytes that a placement takes in a record at least
 inline constexpr size_t kDoneGrowth = 5;      // JSON bytes by which a task's end may lengthen the done ranges
 inline constexpr size_t kSmallJob = 1024;     // up to so many tasks that is no more than kPlacementLeast
 inline constexpr size_t kPlacementFixed = 40;  // JSON bytes of a placement at most, its names apart
-inline constexpr double kFormEvery_s = 2.0;    // the form of the records is asked for, until it is the newest
+inline constexpr double kRecordFormatEvery_s =
+    2.0;  // the format of the records is asked for, until it is the newest
 inline constexpr size_t kTxnBytes = 48 * 1024;  // bytes of records in one transaction (limit 64 KiB)
 
-// --- siblings ---------------------------------------------------------------------------------------
-inline constexpr double kBeat_s = 1.0;        // interval of the heartbeat between controllers
-inline constexpr double kBeatFresh_s = 3.5;   // a sibling heard of within this counts as present
-inline constexpr size_t kBackRoutines = 512;  // on the back channel, or one for each socket if those are
-                                              // more: a zone's workers may all be relayed
-inline constexpr size_t kToldKept =
-    1024;  // withdrawals told to users that a new connection to a sibling begins
+// --- peers ---------------------------------------------------------------------------------------
+inline constexpr double kHeartbeat_s = 1.0;       // interval of the heartbeat between controllers
+inline constexpr double kHeartbeatFresh_s = 3.5;  // a peer heard of within this counts as present
+inline constexpr size_t kPeerRoutines = 512;      // on the back channel, or one for each socket if those are
+                                                  // more: a zone's workers may all be relayed
+inline constexpr size_t kAnnouncementsKept =
+    1024;  // cancellations told to users that a new connection to a peer begins
            // with; more than are told within cancel_s, and they fit into a frame
 inline constexpr size_t kOutbox = 2 * 1024 * 1024;  // bytes waiting on a link: reports of a zone in a second
 inline constexpr size_t kCutWitnesses = 2;          // workers that come back before their zone counts as cut
@@ -88,43 +89,45 @@
 inline constexpr double kRelayAfter_s = 25.0;       // a worker back this soon after a redirection is relayed
 inline constexpr double kResignQuiet_s =
     7.0;  // a leader that no worker reached for this long resigns if others hear them
-inline constexpr size_t kResignMachines = 3;   // with fewer machines their silence says little
-inline constexpr double kResignOut_s = 30.0;   // and does not stand again for this long
-inline constexpr double kHelloWindow_s = 5.0;  // reports of workers are counted over this for the heartbeat
-inline constexpr double kRelayFor_s = 45.0;    // then redirected again, to learn whether the cut is over
+inline constexpr size_t kResignMachines = 3;    // with fewer machines their silence says little
+inline constexpr double kResignOut_s = 30.0;    // and does not stand again for this long
+inline constexpr double kReportWindow_s = 5.0;  // reports of workers are counted over this for the heartbeat
+inline constexpr double kRelayFor_s = 45.0;     // then redirected again, to learn whether the cut is over
 
 // --- workers ----------------------------------------------------------------------------------------
 inline constexpr double kHoldReport_s =
     3.2;  // an idle worker's report is held; a worker gives up at 4 s (protocol)
-inline constexpr double kHoldRelayed_s = 2.0;  // a relayed one for less: kRelay_s holds for the whole way
-inline constexpr double kRound_s = 0.1;        // between rounds of matching; reports in between share one
-inline constexpr double kRoundRest = 4.0;    // a round's time, times this, is left to answers before the next
-inline constexpr double kRoundWait_s = 0.8;  // a report is answered without its round if that takes longer
+inline constexpr double kHoldRelayed_s = 2.0;   // a relayed one for less: kRelay_s holds for the whole way
+inline constexpr double kPassInterval_s = 0.1;  // between scheduling passes; reports in between share one
+inline constexpr double kPassRest =
+    4.0;  // a scheduling pass's time, times this, is left to answers before the next
+inline constexpr double kPassWait_s =
+    0.8;  // a report is answered without its scheduling pass if that takes longer
 inline constexpr double kCommitLast_s = 0.4;   // a commit is waited for this much past a hold
 inline constexpr double kCommitWait_s = 1.2;   // an answer waits for its placements' commit
 inline constexpr double kRenewMargin_s = 2.0;  // taken off the renewal right for latency and drift
 inline constexpr size_t kReportPieces = 512;   // tasks in a report that are looked at
-inline constexpr double kOrdersCall_s = 2.0;   // a direct command to a worker
+inline constexpr double kCommandCall_s = 2.0;  // a direct command to a worker
 inline constexpr double kFreshReports = 2.0;   // a report older than this many report_s shows no room
 
 // --- fleet ------------------------------------------------------------------------------------------
-inline constexpr double kCloudShare = 0.7;       // share of the cloud's rate that one controller uses
-inline constexpr double kLeaderSettle_s = 6.0;   // a new leader hears its workers before it rents
-inline constexpr double kFleetTick_s = 1.0;      // interval of the rental decision
-inline constexpr double kStoodStill_s = 1.5;     // a tick later than this: this process stood still
-inline constexpr double kCutPatience = 5.0;      // times lease_s: a zone that is cut off is given so long
-inline constexpr double kLeaseSpare_s = 2.0;     // past its time a lease has surely ended: latency, drift
-inline constexpr double kListEvery_s = 4.0;      // interval of reading the machine list
-inline constexpr double kFlavorsEvery_s = 30.0;  // interval of reading the prices
-inline constexpr double kCloudCall_s = 6.0;      // a cloud call; answers take some 250 ms
-inline constexpr size_t kGone = 20'000;          // deleted machines that are remembered, against late reports
-inline constexpr double kNoCapacity_s = 12.0;    // a refused kind is not asked for again before this
-inline constexpr double kQuietReports = 2.2;     // after this many missed report_s a machine counts as quiet
+inline constexpr double kCloudShare = 0.7;      // share of the cloud's rate that one controller uses
+inline constexpr double kLeaderSettle_s = 6.0;  // a new leader hears its workers before it rents
+inline constexpr double kFleetTick_s = 1.0;     // interval of the rental decision
+inline constexpr double kStoodStill_s = 1.5;    // a tick later than this: this process stood still
+inline constexpr double kCutPatience = 5.0;     // times lease_s: a zone that is cut off is given so long
+inline constexpr double kLeaseSpare_s = 2.0;    // past its time a lease has surely ended: latency, drift
+inline constexpr double kListEvery_s = 4.0;     // interval of reading the machine list
+inline constexpr double kMachineTypesEvery_s = 30.0;  // interval of reading the prices
+inline constexpr double kCloudCall_s = 6.0;           // a cloud call; answers take some 250 ms
+inline constexpr size_t kGone = 20'000;        // deleted machines that are remembered, against late reports
+inline constexpr double kNoCapacity_s = 12.0;  // a refused kind is not asked for again before this
+inline constexpr double kQuietReports = 2.2;   // after this many missed report_s a machine counts as quiet
 inline constexpr double kDetour_s = 5.0;  // a worker gives a node up after 4 s and asks the next 1 s later
 inline constexpr double kBootPatience = 3.0;  // times boot_s before a booting machine is given up
 inline constexpr double kBootExtra_s = 20.0;  // added to it: lists lag
 inline constexpr double kSaveSpare_s = 3.0;   // added to the time a task needs to save
-inline constexpr double kHasteShare =
+inline constexpr double kSkipSavingShare =
     4.0;  // stopped without saving if checkpoints come within this many saves
 inline constexpr double kOverdueShare =
     0.25;  // an overdue task is expected to take this share of its time again
@@ -141,14 +144,15 @@
 inline constexpr int kUnheardLaunches = 3;    // launches without effect that show a machine hears nothing
 inline constexpr double kMoveAfter_s = 35.0;  // a task is not moved before it ran this long
 inline constexpr double kMoveWorth_s = 40.0;  // nor when it is expected to end within this
-inline constexpr int kHostErrors = 2;         // failed tasks of different jobs that condemn a machine
-inline constexpr double kCrawlFactor =
-    2.5;  // a task that runs this many times as long as its siblings crawls
-inline constexpr double kCrawlLeast_s = 20.0;     // but not before it ran this long
-inline constexpr uint32_t kCrawlSiblings = 3;     // finished siblings that are needed to tell
-inline constexpr size_t kCrawlTasks = 2;          // crawling tasks that condemn a machine
+inline constexpr int kMachineErrors = 2;      // failed tasks of different jobs that condemn a machine
+inline constexpr double kStragglerFactor =
+    2.5;  // a task that runs this many times as long as others of its job straggles
+inline constexpr double kStragglerLeast_s = 20.0;  // but not before it ran this long
+inline constexpr uint32_t kStragglerComparisons =
+    3;                                            // finished tasks of the same job that are needed to tell
+inline constexpr size_t kStragglerTasks = 2;      // straggling tasks that condemn a machine
 inline constexpr size_t kRoomJobs = 32;           // waiting jobs for which room is sought in one step
-inline constexpr int kJobHosts = 3;               // machines a job fails on before the job is blamed
+inline constexpr int kJobMachines = 3;            // machines a job fails on before the job is blamed
 inline constexpr double kJobBackoff_s = 10.0;     // first pause of a blamed job, doubled up to
 inline constexpr double kJobBackoffMax_s = 60.0;  //   this: a job must not wait 90 s beside room
 
--- a/src/base/ranges.h
+++ b/src/base/ranges.h
@@ -11,7 +11,7 @@
 class Ranges {
   public:
     static Ranges whole(uint32_t count);
-    // Reads what text() wrote; nothing if the text is not in that form or exceeds `limit` numbers.
+    // Reads what text() wrote; nothing if the text is not in that format or exceeds `limit` numbers.
     static std::optional<Ranges> parse(std::string_view text, uint32_t limit);
 
     bool add(uint32_t n);     // true if n was not in the set
--- a/src/cloud/cloud.cc
+++ b/src/cloud/cloud.cc
@@ -18,10 +18,10 @@
     co_return a;
 }
 
-std::string Cloud::pack_flavors(const std::vector<Flavor>& flavors) {
+std::string Cloud::pack_machine_types(const std::vector<MachineType>& machine_types) {
     Packer p;
-    p.map(1).key("flavors").list(flavors.size());
-    for (const auto& f : flavors) {
+    p.map(1).key("flavors").list(machine_types.size());
+    for (const auto& f : machine_types) {
         p.map(10).key("name").text(f.name).key("vcpus").number(f.cpus).key("cards").number(f.gpus);
         p.key("memory_gb").number(f.memory_gb).key("cache_gb").number(f.cache_gb);
         p.key("fetch_gb_per_s").number(f.fetch_gb_per_s).key("price").number(f.price);
@@ -36,14 +36,14 @@
     return p.take();
 }
 
-std::optional<std::vector<Flavor>> Cloud::unpack_flavors(const std::string& packed) {
+std::optional<std::vector<MachineType>> Cloud::unpack_machine_types(const std::string& packed) {
     auto m = Message::parse(packed);
     if (!m || !m->root()["flavors"].is_list()) return std::nullopt;
     Node list = m->root()["flavors"];
-    std::vector<Flavor> flavors;
+    std::vector<MachineType> machine_types;
     for (size_t i = 0; i < list.size(); ++i) {
         Node n = list.at(i);
-        Flavor f;
+        MachineType f;
         f.name = n["name"].text_or("");
         f.cpus = n["vcpus"].number_or(0);
         f.gpus = n["cards"].number_or(0);
@@ -55,20 +55,20 @@
         f.boot_s = n["boot_s"].number_or(60);
         for (size_t z = 0; z < n["coves"].size(); ++z) f.zones.push_back(n["coves"].at(z).text_or(""));
         if (f.name.empty()) return std::nullopt;
-        flavors.push_back(std::move(f));
+        machine_types.push_back(std::move(f));
     }
-    if (flavors.empty()) return std::nullopt;
-    return flavors;
+    if (machine_types.empty()) return std::nullopt;
+    return machine_types;
 }
 
-Task<std::optional<std::vector<Flavor>>> Cloud::flavors() {
+Task<std::optional<std::vector<MachineType>>> Cloud::machine_types() {
     Answer a = co_await call("GET", "/flavors", "");
     if (!a.ok()) co_return std::nullopt;
-    co_return unpack_flavors(a.body);
+    co_return unpack_machine_types(a.body);
 }
 
-Task<std::optional<std::vector<Machine>>> Cloud::list() {
-    std::vector<Machine> machines;
+Task<std::optional<std::vector<ListedMachine>>> Cloud::list() {
+    std::vector<ListedMachine> machines;
     std::string from;
     while (true) {
         std::string path = "/hosts?page=" + std::to_string(constants::kListPage);
@@ -81,10 +81,10 @@
         std::string before = from;
         for (size_t i = 0; i < rows.size(); ++i) {
             Node n = rows.at(i);
-            Machine x;
+            ListedMachine x;
             x.name = n["ref"].text_or("");
             x.addr = n["addr"].text_or("");
-            x.flavor = n["flavor"].text_or("");
+            x.machine_type = n["flavor"].text_or("");
             x.zone = n["cove"].text_or("");
             x.spot = n["driftwood"].flag_or(false);
             std::string phase = n["phase"].text_or("");
@@ -102,17 +102,18 @@
     co_return machines;
 }
 
-Task<RentResult> Cloud::rent(std::string claim, std::string flavor, std::string zone, bool spot, int number) {
+Task<RentResult> Cloud::rent(std::string claim, std::string machine_type, std::string zone, bool spot,
+                             int number) {
     Packer p;
-    p.map(5).key("claim").text(claim).key("flavor").text(flavor).key("cove").text(zone);
+    p.map(5).key("claim").text(claim).key("flavor").text(machine_type).key("cove").text(zone);
     p.key("driftwood").flag(spot).key("number").count(static_cast<uint64_t>(number));
     Answer a = co_await call("POST", "/hosts", p.take());
     RentResult r;
     auto m = Message::parse(a.body);
     if (a.ok() && m && m->root()["hosts"].is_list()) {
         r.result = Rent::kRented;
-        Node hosts = m->root()["hosts"];
-        for (size_t i = 0; i < hosts.size(); ++i) r.machines.push_back(hosts.at(i).text_or(""));
+        Node machines = m->root()["hosts"];
+        for (size_t i = 0; i < machines.size(); ++i) r.machines.push_back(machines.at(i).text_or(""));
     } else if (a.status == 503 && m && m->root()["error"].text_or("") == "no capacity") {
         r.result = Rent::kNoCapacity;
     } else if (a.status == 0 && a.sent) {
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -7,7 +7,7 @@
 
 namespace hareshore {
 
-struct Flavor {
+struct MachineType {
     std::string name;
     double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;
     double price = 0, spot_price = 0;  // an hour
@@ -19,8 +19,8 @@
 
 enum class MachinePhase { kBooting, kRunning, kFailed };
 
-struct Machine {
-    std::string name, addr, flavor, zone;
+struct ListedMachine {
+    std::string name, addr, machine_type, zone;
     bool spot = false;
     MachinePhase phase = MachinePhase::kBooting;
     Seconds age_s = 0;
@@ -37,13 +37,14 @@
 class Cloud {
   public:
     Cloud(Loop& loop, Address at, double rps, size_t nodes);
-    Task<std::optional<std::vector<Flavor>>> flavors();
-    Task<std::optional<std::vector<Machine>>> list();  // all pages
-    Task<RentResult> rent(std::string claim, std::string flavor, std::string zone, bool spot, int number);
+    Task<std::optional<std::vector<MachineType>>> machine_types();
+    Task<std::optional<std::vector<ListedMachine>>> list();  // all pages
+    Task<RentResult> rent(std::string claim, std::string machine_type, std::string zone, bool spot,
+                          int number);
     Task<Removal> remove(std::vector<std::string> names);  // true: they are gone
 
-    static std::string pack_flavors(const std::vector<Flavor>& flavors);
-    static std::optional<std::vector<Flavor>> unpack_flavors(const std::string& packed);
+    static std::string pack_machine_types(const std::vector<MachineType>& machine_types);
+    static std::optional<std::vector<MachineType>> unpack_machine_types(const std::string& packed);
 
   private:
     Task<Answer> call(std::string method, std::string path, std::string body);
--- a/src/config/config.cc
+++ b/src/config/config.cc
@@ -57,15 +57,15 @@
     c.label = need_text(at("label"), "label");
     c.zone = need_text(at("site"), "site");
     c.listen = address(at("client_listen"), "client_listen");
-    c.back = address(at("back"), "back");
+    c.peer_listen = address(at("back"), "back");
     c.cloud = address(at("endpoints.cloud"), "endpoints.cloud");
     c.state = address(at("endpoints.state"), "endpoints.state");
     if (auto* list = at("siblings").as_array()) {
         for (size_t i = 0; i < list->size(); ++i) {
             View s(list->get(i));
             std::string f = "siblings[" + std::to_string(i) + "].";
-            c.siblings.push_back({need_text(s["label"], f + "label"), need_text(s["site"], f + "site"),
-                                  address(s["addr"], f + "addr")});
+            c.peers.push_back({need_text(s["label"], f + "label"), need_text(s["site"], f + "site"),
+                               address(s["addr"], f + "addr")});
         }
     }
     auto* zones = at("facts.zones").as_array();
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -16,7 +16,7 @@
     using std::runtime_error::runtime_error;
 };
 
-struct Sibling {
+struct PeerAddress {
     std::string label, zone;
     Address addr;
 };
@@ -28,8 +28,8 @@
 
 struct Config {
     std::string label, zone;
-    Address listen, back, cloud, state;
-    std::vector<Sibling> siblings;
+    Address listen, peer_listen, cloud, state;
+    std::vector<PeerAddress> peers;
     std::vector<std::string> zones;
     std::vector<Team> teams;
     Seconds skew_s = 0;
@@ -38,10 +38,10 @@
     size_t value_bytes = 0, txn_ops = 0;
     // The state service will lower its limits at some moment after an upgrade, without notice
     // (facts.state.next). txn_ops and write_rps are the smaller of both from the start; a value may be as
-    // large as today until records of form 2 are written, and from then on as large as both allow.
+    // large as today until records of format 2 are written, and from then on as large as both allow.
     size_t next_value_bytes = SIZE_MAX;
-    size_t value_limit(uint64_t form) const {
-        return form < 2 ? value_bytes : std::min(value_bytes, next_value_bytes);
+    size_t value_limit(uint64_t record_format) const {
+        return record_format < 2 ? value_bytes : std::min(value_bytes, next_value_bytes);
     }
     double cloud_rps = 0;
     Seconds list_lag_s = 0;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -67,7 +67,7 @@
     return parse(slurp(path));
 }
 
-// One form a setting, "(hold-s 10)"; a semicolon begins a comment. Forms are cut out here, so that an
+// One format a setting, "(hold-s 10)"; a semicolon begins a comment. Formats are cut out here, so that an
 // error can name its line, and each is read by sfsexp.
 Settings Settings::parse(const std::string& text) {
     Settings s;
@@ -86,10 +86,11 @@
         std::string where = "line " + std::to_string(line) + ": ";
         size_t close = text.find(')', i);
         if (c != '(' || close == std::string::npos) throw ConfigError(where + "expected (name value)");
-        std::string form = text.substr(i, close - i + 1);
-        if (form.find_first_of(";\"'`,[]{}|") != std::string::npos || form.find('(', 1) != std::string::npos)
+        std::string record_format = text.substr(i, close - i + 1);
+        if (record_format.find_first_of(";\"'`,[]{}|") != std::string::npos ||
+            record_format.find('(', 1) != std::string::npos)
             throw ConfigError(where + "expected (name value)");
-        sexp_t* e = parse_sexp(form.data(), form.size());
+        sexp_t* e = parse_sexp(record_format.data(), record_format.size());
         bool pair = e && e->ty == SEXP_LIST && e->list && e->list->ty == SEXP_VALUE && e->list->next &&
                     e->list->next->ty == SEXP_VALUE && !e->list->next->next;
         std::string name = pair ? e->list->val : "", value = pair ? e->list->next->val : "";
--- a/src/fleet/cluster.cc
+++ b/src/fleet/cluster.cc
@@ -44,7 +44,7 @@
     return n <= 0 ? 0 : static_cast<uint32_t>(n);
 }
 
-void Host::judge_hearing(const Report& r, bool direct, Seconds lease_s, Seconds now) {
+void Machine::judge_hearing(const Report& r, bool direct, Seconds lease_s, Seconds now) {
     auto doubt = [&] {
         if (unheard_since < 0) unheard_since = now;
     };
@@ -62,27 +62,27 @@
     answered_direct = false;
 }
 
-void Host::answered(bool direct, Seconds now) {
+void Machine::answered(bool direct, Seconds now) {
     answered_at = now;
     answered_seq = seq;
     answered_direct = direct;
 }
 
-const Flavor* Cluster::flavor(const std::string& name) const {
-    for (const auto& f : flavors)
+const MachineType* Cluster::machine_type(const std::string& name) const {
+    for (const auto& f : machine_types)
         if (f.name == name) return &f;
     return nullptr;
 }
 
-Host* Cluster::host(const std::string& name) {
-    auto it = hosts.find(name);
-    return it == hosts.end() ? nullptr : it->second.get();
+Machine* Cluster::machine(const std::string& name) {
+    auto it = machines.find(name);
+    return it == machines.end() ? nullptr : it->second.get();
 }
 
-Host& Cluster::ensure(const std::string& name, Seconds now) {
-    auto& h = hosts[name];
+Machine& Cluster::ensure(const std::string& name, Seconds now) {
+    auto& h = machines[name];
     if (!h) {
-        h = std::make_unique<Host>();
+        h = std::make_unique<Machine>();
         h->name = name;
         h->last_report = now;
         h->born = now;
@@ -92,8 +92,8 @@
 
 void Cluster::recount(JobTable& jobs, Seconds now, Seconds silent_after) {
     teams.clear();
-    for (auto& [name, h] : hosts) {
-        const Flavor* f = flavor(h->flavor);
+    for (auto& [name, h] : machines) {
+        const MachineType* f = machine_type(h->machine_type);
         h->free = f ? Amount{f->cpus, f->gpus, f->memory_gb} : Amount{};
         if (f) h->cache.set_capacity(f->cache_gb);
         h->kept = {};
@@ -103,14 +103,14 @@
                     h->unheard_since < 0 && (h->holding || now - h->last_report <= silent_after);
     }
     for (const auto& [id, job] : jobs.all()) {
-        job->stray = false;
+        job->orphan = false;
         if (job->live.empty()) continue;
         auto n = static_cast<double>(job->live.size());
         teams[job->spec.team].cpus += n * job->spec.cpus;
         teams[job->spec.team].gpus += n * job->spec.gpus;
     }
-    for (auto& [name, h] : hosts) {
-        for (const auto& r : jobs.on_host(name)) {
+    for (auto& [name, h] : machines) {
+        for (const auto& r : jobs.on_machine(name)) {
             h->free -= Amount::of(r.job->spec);
             ++h->placed;
         }
@@ -119,8 +119,8 @@
             Job* job = jobs.find(t.name.job);
             if (job) {
                 auto it = job->live.find(t.name.task);
-                if (it != job->live.end() && it->second.host == name) continue;  // counted above
-                job->stray = true;
+                if (it != job->live.end() && it->second.machine == name) continue;  // counted above
+                job->orphan = true;
             }
             h->free -= t.amount;
             ++h->placed;
--- a/src/fleet/cluster.h
+++ b/src/fleet/cluster.h
@@ -48,7 +48,7 @@
 };
 
 // A task as the machine last reported it.
-struct HostTask {
+struct MachineTask {
     TaskName name;
     uint64_t attempt = 0;
     TaskPhase phase = TaskPhase::kFetching;
@@ -60,8 +60,8 @@
     std::string team;
 };
 
-struct Host {
-    std::string name, addr, flavor, zone;
+struct Machine {
+    std::string name, addr, machine_type, zone;
     bool spot = false;
 
     // From its reports.
@@ -70,7 +70,7 @@
     bool current = false;     // it has seen this leader's epoch: older launches can no longer arrive
     Seconds last_report = 0;  // when it last reported, or when this leader first knew of it
     Seconds leaves_at = -1;   // spot notice
-    std::vector<HostTask> tasks;
+    std::vector<MachineTask> tasks;
     ImageCache cache;
 
     // Whether it hears what it is told. One whose reports arrive while answers and commands are lost looks
@@ -104,7 +104,7 @@
     Seconds kept_until = 0;  // work that ends before may use it
     uint32_t placed = 0;     // live placements and reported tasks
     bool usable = false;
-    uint64_t changes = 0;  // of what it can give, in the round of matching under way
+    uint64_t changes = 0;  // of what it can give, in the scheduling pass under way
 
     bool idle() const { return placed == 0; }
 };
@@ -116,13 +116,13 @@
 };
 
 struct Cluster {
-    std::map<std::string, std::unique_ptr<Host>> hosts;
-    std::vector<Flavor> flavors;
+    std::map<std::string, std::unique_ptr<Machine>> machines;
+    std::vector<MachineType> machine_types;
     std::unordered_map<std::string, TeamUse> teams;
 
-    const Flavor* flavor(const std::string& name) const;
-    Host* host(const std::string& name);
-    Host& ensure(const std::string& name, Seconds now);
+    const MachineType* machine_type(const std::string& name) const;
+    Machine* machine(const std::string& name);
+    Machine& ensure(const std::string& name, Seconds now);
     // Computes room and team use anew: placements and reported tasks both count, each task once.
     void recount(JobTable& jobs, Seconds now, Seconds silent_after);
     // Whether the team's limit allows so many more tasks beside what it uses and what is kept.
--- a/src/fleet/plan.cc
+++ b/src/fleet/plan.cc
@@ -12,7 +12,7 @@
 
 // A machine as the plan sees it: there, on its way, or to be rented.
 struct Slot {
-    const Host* host = nullptr;  // null: not rented yet, or only ordered
+    const Machine* machine = nullptr;  // null: not rented yet, or only ordered
     Kind kind;
     Amount free;
     Amount whole;
@@ -28,7 +28,7 @@
     FleetPlan run() {
         judge();
         collect();
-        MatchInput m{in_.config, in_.settings, in_.now, {}};
+        SchedulerInput m{in_.config, in_.settings, in_.now, {}};
         auto queue = queue_order(jobs_, m);
         least_ = least_of(queue);
         for (size_t i = 0; i < slots_.size(); ++i) open_.push_back(i);
@@ -44,7 +44,7 @@
     }
 
   private:
-    void give_back(const Host& h, std::string why, bool silent = false) {
+    void give_back(const Machine& h, std::string why, bool silent = false) {
         plan_.give_back.push_back(h.name);
         if (silent) plan_.silent.insert(h.name);
         plan_.reasons[h.name] = std::move(why);
@@ -54,9 +54,9 @@
     // there any more: the deletion is also what proves that its tasks are gone.
     void judge() {
         find_cut_zones();
-        for (const auto& [name, h] : cluster_.hosts) {
+        for (const auto& [name, h] : cluster_.machines) {
             if (h->deleting) continue;
-            const Flavor* f = cluster_.flavor(h->flavor);
+            const MachineType* f = cluster_.machine_type(h->machine_type);
             bool cut = plan_.cut.count(h->zone) > 0;
             Seconds patience = cut ? constants::kCutPatience * in_.config.lease_s : silent_after();
             if (h->phase == MachinePhase::kFailed) {
@@ -87,13 +87,13 @@
 
     // Counted anew from the end of a cut: when half of a zone is heard again, the rest is still on its way,
     // and was returned at once for a silence that was the cut's.
-    Seconds quiet(const Host& h) const {
+    Seconds quiet(const Machine& h) const {
         auto cut = in_.cut_at.find(h.zone);
         Seconds since = cut == in_.cut_at.end() || plan_.cut.count(h.zone) ? -1e9 : cut->second;
         return in_.now - std::max({h.last_report, in_.leading_since, since});
     }
 
-    bool late(const Host& h) const {
+    bool late(const Machine& h) const {
         return !h.holding && quiet(h) > constants::kQuietReports * in_.config.report_s;
     }
 
@@ -104,7 +104,7 @@
     // it. Counted early, lest the first to be judged are taken one by one.
     void find_cut_zones() {
         std::map<std::string, std::pair<size_t, size_t>> zones;  // quiet, known
-        for (const auto& [name, h] : cluster_.hosts) {
+        for (const auto& [name, h] : cluster_.machines) {
             bool up = h->reported || (h->listed && h->phase == MachinePhase::kRunning);
             if (!up || h->phase == MachinePhase::kFailed) continue;
             auto& [quiet, known] = zones[h->zone];
@@ -123,13 +123,13 @@
     // What runs on such a machine ends with its lease; then nothing is lost by returning it.
     Seconds unheard_patience(bool cut) const { return (cut ? 2 : 1) * in_.config.lease_s; }
 
-    bool leaving(const Host& h) const {
+    bool leaving(const Machine& h) const {
         return h.deleting || h.condemned || h.emptying || h.leaves_at >= 0 || plan_.reasons.count(h.name) > 0;
     }
 
     void collect() {
-        for (const auto& [name, h] : cluster_.hosts) {
-            const Flavor* f = cluster_.flavor(h->flavor);
+        for (const auto& [name, h] : cluster_.machines) {
+            const MachineType* f = cluster_.machine_type(h->machine_type);
             if (!f || leaving(*h) || h->phase == MachinePhase::kFailed) continue;
             // A report from before this epoch may be a late copy, even of a machine long deleted: until the
             // machine takes up the epoch or the cloud lists it, it is no room to count on.
@@ -137,11 +137,11 @@
             if (h->unheard_since >= 0) continue;
             if (plan_.cut.count(h->zone) && late(*h)) continue;
             Slot s;
-            s.host = h.get();
-            s.kind = {h->flavor, h->zone, h->spot};
+            s.machine = h.get();
+            s.kind = {h->machine_type, h->zone, h->spot};
             s.whole = {f->cpus, f->gpus, f->memory_gb};
             s.free = h->free;
-            for (const auto& [j, task, placement] : jobs_.on_host(name)) {
+            for (const auto& [j, task, placement] : jobs_.on_machine(name)) {
                 const Placement& p = *placement;
                 if (!j->spec.service() && p.running_since >= 0 &&
                     p.running_since + j->spec.estimate_s < in_.now + f->boot_s &&
@@ -156,7 +156,7 @@
     }
 
     bool add(const Kind& kind, bool fresh) {
-        const Flavor* f = cluster_.flavor(kind.flavor);
+        const MachineType* f = cluster_.machine_type(kind.machine_type);
         if (!f) return false;
         int most = in_.settings.max_machines;
         if (fresh && most > 0 && in_zone_[kind.zone] >= most) return false;
@@ -187,7 +187,7 @@
     // Kinds that the job may run on, cheapest for its tasks first.
     std::vector<Kind> kinds(const JobSpec& s) const {
         std::vector<std::tuple<double, int, Kind>> out;
-        for (const auto& f : cluster_.flavors) {
+        for (const auto& f : cluster_.machine_types) {
             Amount whole{f.cpus, f.gpus, f.memory_gb};
             uint32_t k = whole.fits(s, constants::kMaxTasks);
             if (k == 0) continue;
@@ -237,14 +237,14 @@
                 n -= k;
             };
             for (size_t i : open_)
-                if (Slot& x = slots_[i]; n > 0 && s.allows(x.kind.flavor, x.kind.zone, x.kind.spot))
+                if (Slot& x = slots_[i]; n > 0 && s.allows(x.kind.machine_type, x.kind.zone, x.kind.spot))
                     put_apart(x);
             // Tasks that need not start together can as well wait for room that comes free before a new
             // machine is up; not those with a deadline, since estimates are often wrong.
             if (!s.gang() && !s.service() && !s.due_s)
                 for (size_t i : open_)
                     if (Slot& x = slots_[i];
-                        n > 0 && x.host && s.allows(x.kind.flavor, x.kind.zone, x.kind.spot))
+                        n > 0 && x.machine && s.allows(x.kind.machine_type, x.kind.zone, x.kind.spot))
                         n -= put(x, s, n, &Slot::soon);
             for (const Kind& kind : kinds(s)) {
                 while (n > 0 && rule.room(kind.zone) > 0 && add(kind, true)) put_apart(slots_.back());
@@ -266,7 +266,7 @@
             uint32_t have = 0;
             for (size_t i : open_)
                 if (const Slot& x = slots_[i];
-                    x.kind.zone == zone && s.allows(x.kind.flavor, zone, x.kind.spot))
+                    x.kind.zone == zone && s.allows(x.kind.machine_type, zone, x.kind.spot))
                     have += x.free.fits(s, n);
             uint32_t lack = have >= n ? 0 : n - have;
             bool rentable =
@@ -280,7 +280,7 @@
         if (best.empty()) return;
         for (size_t i : open_)
             if (Slot& x = slots_[i];
-                n > 0 && x.kind.zone == best && s.allows(x.kind.flavor, best, x.kind.spot))
+                n > 0 && x.kind.zone == best && s.allows(x.kind.machine_type, best, x.kind.spot))
                 n -= put(x, s, n);
         for (const Kind& kind : options) {
             if (kind.zone != best) continue;
@@ -288,7 +288,7 @@
         }
     }
 
-    bool is_idle(const Slot& s) const { return !s.used && (!s.host || s.host->idle()); }
+    bool is_idle(const Slot& s) const { return !s.used && (!s.machine || s.machine->idle()); }
 
     // The paper's thresholds: at least so many machines, and so many idle ones, in each zone.
     void reserve() {
@@ -298,7 +298,7 @@
                 if (s.kind.zone == zone && is_idle(s)) ++idle;
             int lack =
                 std::max(in_.settings.min_idle_machines - idle, in_.settings.min_machines - in_zone_[zone]);
-            for (const Flavor& f : cluster_.flavors) {
+            for (const MachineType& f : cluster_.machine_types) {
                 if (std::find(f.zones.begin(), f.zones.end(), zone) == f.zones.end()) continue;
                 for (bool spot : {true, false}) {
                     Kind kind{f.name, zone, spot};
@@ -313,19 +313,19 @@
         for (const auto& zone : in_.config.zones) {
             std::vector<const Slot*> idle;
             for (const Slot& s : slots_)
-                if (s.kind.zone == zone && s.host && s.host->reported && is_idle(s)) idle.push_back(&s);
+                if (s.kind.zone == zone && s.machine && s.machine->reported && is_idle(s)) idle.push_back(&s);
             // The dearest go first, then those idle longest.
             std::sort(idle.begin(), idle.end(), [](const Slot* a, const Slot* b) {
-                return std::tuple(a->kind.spot, a->host->idle_since, a->host->name) <
-                       std::tuple(b->kind.spot, b->host->idle_since, b->host->name);
+                return std::tuple(a->kind.spot, a->machine->idle_since, a->machine->name) <
+                       std::tuple(b->kind.spot, b->machine->idle_since, b->machine->name);
             });
             int spare = static_cast<int>(idle.size()) - in_.settings.min_idle_machines;
             spare = std::min(spare, in_zone_[zone] - in_.settings.min_machines);
             Seconds patience = calm() ? constants::kCalmIdle_s : in_.settings.idle_return_s;
             for (const Slot* s : idle) {
                 if (spare <= 0) break;
-                if (in_.now - std::max(s->host->idle_since, in_.leading_since) < patience) continue;
-                give_back(*s->host, "it was idle");
+                if (in_.now - std::max(s->machine->idle_since, in_.leading_since) < patience) continue;
+                give_back(*s->machine, "it was idle");
                 --spare;
             }
         }
@@ -333,10 +333,10 @@
 
     // Whether a machine's work can be moved at little cost: everything on it can save, has run for a while
     // and is expected to go on for longer than the move takes.
-    bool movable(const Host& h) const {
+    bool movable(const Machine& h) const {
         if (h.placed == 0 || !h.usable) return false;
         size_t tasks = 0;
-        for (const auto& [j, task, placement] : jobs_.on_host(h.name)) {
+        for (const auto& [j, task, placement] : jobs_.on_machine(h.name)) {
             const Placement& p = *placement;
             if (j->spec.gang() && j->spec.tasks > 1) return false;
             if (j->spec.checkpoint_s <= 0 || p.stopping || p.running_since < 0) return false;
@@ -357,33 +357,33 @@
         if (!calm()) return;
         for (const auto& [id, j] : jobs_.all())
             if (j->waiting()) return;
-        for (const auto& [name, h] : cluster_.hosts)
+        for (const auto& [name, h] : cluster_.machines)
             if (h->emptying) return;  // one at a time
         std::vector<const Slot*> from;
         for (const Slot& s : slots_)
-            if (s.host && movable(*s.host)) from.push_back(&s);
+            if (s.machine && movable(*s.machine)) from.push_back(&s);
         std::sort(from.begin(), from.end(), [](const Slot* a, const Slot* b) {
-            return std::tuple(a->kind.spot, -a->free.gpus, -a->free.cpus, a->host->name) <
-                   std::tuple(b->kind.spot, -b->free.gpus, -b->free.cpus, b->host->name);
+            return std::tuple(a->kind.spot, -a->free.gpus, -a->free.cpus, a->machine->name) <
+                   std::tuple(b->kind.spot, -b->free.gpus, -b->free.cpus, b->machine->name);
         });
         for (const Slot* s : from) {
             std::vector<Slot> others;
             for (const Slot& o : slots_)
-                if (&o != s && o.host && o.host->usable &&
-                    (o.host->placed > 0 || (o.kind.spot && !s->kind.spot)))
+                if (&o != s && o.machine && o.machine->usable &&
+                    (o.machine->placed > 0 || (o.kind.spot && !s->kind.spot)))
                     others.push_back(o);
             bool all = true;
-            for (const auto& r : jobs_.on_host(s->host->name)) {
+            for (const auto& r : jobs_.on_machine(s->machine->name)) {
                 const JobSpec& spec = r.job->spec;
                 bool put_it = false;
                 for (Slot& o : others)
-                    if (!put_it && spec.allows(o.kind.flavor, o.kind.zone, o.kind.spot) &&
+                    if (!put_it && spec.allows(o.kind.machine_type, o.kind.zone, o.kind.spot) &&
                         (!spec.one_zone || spec.tasks == 1) && !spec.apart)
                         put_it = put(o, spec, 1) > 0;
                 all = all && put_it;
             }
             if (!all) continue;
-            plan_.empty_out.push_back(s->host->name);
+            plan_.empty_out.push_back(s->machine->name);
             return;
         }
     }
@@ -401,23 +401,24 @@
 
 }  // namespace
 
-std::vector<std::string> hold_withdrawn(const Cluster& cluster, const JobTable& jobs, const Config& config,
-                                        Seconds now, Seconds leading_since) {
+std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
+                                                    const Config& config, Seconds now,
+                                                    Seconds leading_since) {
     std::vector<std::string> out;
     Seconds lease = config.lease_s * (1 + constants::kDrift) + constants::kLeaseSpare_s;
     Seconds quiet = constants::kQuietReports * config.report_s;
     // A new leader, and one that stood still, hears its workers first.
     if (now - leading_since <= quiet) return out;
     for (const auto& [id, job] : jobs.all()) {
-        if (!job->withdrawn) continue;
+        if (!job->cancelled) continue;
         for (const auto& [task, p] : job->live) {
-            auto it = cluster.hosts.find(p.host);
-            if (it == cluster.hosts.end() || it->second->deleting) continue;
-            const Host& h = *it->second;
+            auto it = cluster.machines.find(p.machine);
+            if (it == cluster.machines.end() || it->second->deleting) continue;
+            const Machine& h = *it->second;
             // Its user may have been told long before a leader that inherits it, or one that learns of it
             // late: then the machine's silence counts.
-            bool unheard = job->withdrawn_before && !h.reported;
-            if (unheard || now - h.last_report > lease || now - job->withdrawn_at > lease)
+            bool unheard = job->cancelled_before && !h.reported;
+            if (unheard || now - h.last_report > lease || now - job->cancelled_at > lease)
                 out.push_back(h.name);
         }
     }
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -1,12 +1,12 @@
 // Rentals: the paper's PilotMonitor per zone, with min, max and min-idle machines. No I/O.
 #pragma once
-#include "match/match.h"
+#include "scheduler/scheduler.h"
 
 namespace hareshore {
 
 // A kind of machine that can be rented.
 struct Kind {
-    std::string flavor, zone;
+    std::string machine_type, zone;
     bool spot = false;
     auto operator<=>(const Kind&) const = default;
 };
@@ -38,12 +38,12 @@
     uint64_t* steps = nullptr;  // counts the machines looked at for jobs; for tests of its growth
 };
 
-// Machines that hold a task of a withdrawn job longer than any lease can last that it was given since. A task
-// that could be halted is gone by then, one whose machine hears nobody ended with its lease: what is still
+// Machines that hold a task of a cancelled job longer than any lease can last that it was given since. A task
+// that could be stopped is gone by then, one whose machine hears nobody ended with its lease: what is still
 // there is on a machine that hangs and may go on, and only the machine's deletion ends it. Also of a zone
 // that is cut off, and early enough for the cloud to be slow or away for a while within cancel_s.
-std::vector<std::string> hold_withdrawn(const Cluster& cluster, const JobTable& jobs, const Config& config,
-                                        Seconds now, Seconds leading_since);
+std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
+                                                    const Config& config, Seconds now, Seconds leading_since);
 
 FleetPlan plan_fleet(const Cluster& cluster, const JobTable& jobs, const FleetInput& in);
 
--- a/src/http/pack.h
+++ b/src/http/pack.h
@@ -49,8 +49,9 @@
     msgpack::object_handle handle_;
 };
 
-// How long the JSON text of a packed value is at most: the protocol counts the limits of values in that form.
-// Whoever counts may put a space behind each separator and escape all that is not ASCII, so both are counted.
+// How long the JSON text of a packed value is at most: the protocol counts the limits of values in that
+// format. Whoever counts may put a space behind each separator and escape all that is not ASCII, so both are
+// counted.
 size_t json_size(std::string_view packed);
 // The same for a text and for a decimal number by themselves.
 size_t json_text_size(std::string_view text);
--- a/src/jobs/compact.cc
+++ b/src/jobs/compact.cc
@@ -33,7 +33,7 @@
 // "vm-000231" is {"6vm-", 231}; a name without a number at its end is {"0name", 0}.
 std::pair<std::string, uint64_t> split(std::string_view name) {
     size_t digits = 0;
-    while (digits < name.size() && digits < constants::kHostDigits) {
+    while (digits < name.size() && digits < constants::kMachineDigits) {
         char c = name[name.size() - 1 - digits];
         if (c < '0' || c > '9') break;
         ++digits;
@@ -119,7 +119,7 @@
     rows.reserve(live.size());
     CompactLive out;
     for (const auto& l : live) {
-        auto [entry, number] = split(l.host);
+        auto [entry, number] = split(l.machine);
         rows.push_back({std::move(entry), number, l.task, &l});
         if (std::find(out.zones.begin(), out.zones.end(), l.zone) == out.zones.end())
             out.zones.emplace_back(l.zone);
--- a/src/jobs/compact.h
+++ b/src/jobs/compact.h
@@ -1,4 +1,4 @@
-// What a job's record of form 2 holds in place of form 1's lists: done ranges and placements as text of
+// What a job's record of format 2 holds in place of format 1's lists: done ranges and placements as text of
 // base-64 digits, since MessagePack carries no binary here and the limit of a value counts its JSON text.
 #pragma once
 #include <cstdint>
@@ -19,7 +19,7 @@
 // Takes one from the front; nothing if the text does not begin with one that put_quantity writes.
 std::optional<uint64_t> take_quantity(std::string_view& text);
 
-// Done ranges as gap, run, gap, run. The mark in front is none that form 1 knows: a reader of form 1 only
+// Done ranges as gap, run, gap, run. The mark in front is none that format 1 knows: a reader of format 1 only
 // refuses the record instead of taking its tasks for free.
 std::string compact_ranges(const Ranges& ranges);
 std::optional<Ranges> parse_compact_ranges(std::string_view text, uint32_t limit);
@@ -36,7 +36,7 @@
 struct LiveTask {
     uint32_t task = 0;
     uint64_t attempt = 0;
-    std::string_view host, zone;
+    std::string_view machine, zone;
 };
 CompactLive compact_live(const std::vector<LiveTask>& live);
 std::optional<std::map<uint32_t, Bound>> parse_compact_live(const CompactLive& from, uint32_t tasks);
--- a/src/jobs/record.cc
+++ b/src/jobs/record.cc
@@ -8,13 +8,13 @@
 namespace hareshore {
 
 JobPhase JobRecord::phase() const {
-    if (withdrawn) return JobPhase::kWithdrawn;
+    if (cancelled) return JobPhase::kCancelled;
     return live.empty() ? JobPhase::kPending : JobPhase::kRunning;
 }
 
-std::string JobRecord::pack(uint64_t form) const {
+std::string JobRecord::pack(uint64_t record_format) const {
     Packer p;
-    p.map(form < 2 ? 26 : 28);
+    p.map(record_format < 2 ? 26 : 28);
     p.key("id").text(spec.id).key("class").text(spec.job_class).key("team").text(spec.team);
     p.key("shape")
         .count(static_cast<uint64_t>(spec.shape))
@@ -22,23 +22,26 @@
         .count(static_cast<uint64_t>(spec.rank));
     p.key("tasks").count(spec.tasks).key("cpus").number(spec.cpus).key("gpus").number(spec.gpus);
     p.key("mem").number(spec.memory_gb).key("image").text(spec.image).key("image_gb").number(spec.image_gb);
-    p.key("flavors").list(spec.flavors.size());
-    for (const auto& f : spec.flavors) p.text(f);
+    p.key("flavors").list(spec.machine_types.size());
+    for (const auto& f : spec.machine_types) p.text(f);
     p.key("zone").text(spec.zone).key("one_zone").flag(spec.one_zone).key("apart").flag(spec.apart);
     p.key("spot").flag(spec.spot).key("estimate_s").number(spec.estimate_s);
     p.key("checkpoint_s").number(spec.checkpoint_s).key("save_s").number(spec.save_s);
     p.key("due_s").number(spec.due_s.value_or(-1)).key("at").number(accepted_wall);
-    p.key("withdrawn").flag(withdrawn);
-    p.key("done").text(form < 2 ? done.text() : compact_ranges(done)).key("next").count(next_attempt);
-    if (form < 2) {
-        // A placement a line, "task attempt host zone"; names of machines have no spaces.
+    p.key("withdrawn").flag(cancelled);
+    p.key("done")
+        .text(record_format < 2 ? done.text() : compact_ranges(done))
+        .key("next")
+        .count(next_attempt);
+    if (record_format < 2) {
+        // A placement a line, "task attempt machine zone"; names of machines have no spaces.
         p.key("live").list(live.size());
         for (const auto& [task, b] : live)
-            p.text(std::to_string(task) + ' ' + std::to_string(b.attempt) + ' ' + b.host + ' ' + b.zone);
+            p.text(std::to_string(task) + ' ' + std::to_string(b.attempt) + ' ' + b.machine + ' ' + b.zone);
     } else {
         std::vector<LiveTask> tasks;
         tasks.reserve(live.size());
-        for (const auto& [task, b] : live) tasks.push_back({task, b.attempt, b.host, b.zone});
+        for (const auto& [task, b] : live) tasks.push_back({task, b.attempt, b.machine, b.zone});
         CompactLive c = compact_live(tasks);
         p.key("zones").list(c.zones.size());
         for (const auto& z : c.zones) p.text(z);
@@ -46,13 +49,13 @@
         for (const auto& h : c.names) p.text(h);
         p.key("live").text(c.text);
     }
-    p.key("v").count(form);
+    p.key("v").count(record_format);
     return p.take();
 }
 
-bool newer_form(const std::string& packed) {
+bool newer_record_format(const std::string& packed) {
     auto m = Message::parse(packed);
-    return m && m->root().is_map() && m->root()["v"].count_or(1) > kNewestForm;
+    return m && m->root().is_map() && m->root()["v"].count_or(1) > kNewestRecordFormat;
 }
 
 namespace {
@@ -68,9 +71,9 @@
     std::string rest(c.ptr + 1, end);
     auto space = rest.find(' ');
     if (space == std::string::npos) return std::nullopt;
-    b.host = rest.substr(0, space);
+    b.machine = rest.substr(0, space);
     b.zone = rest.substr(space + 1);
-    if (b.host.empty()) return std::nullopt;
+    if (b.machine.empty()) return std::nullopt;
     return std::pair{task, b};
 }
 
@@ -80,8 +83,8 @@
     auto m = Message::parse(packed);
     if (!m || !m->root().is_map()) return std::nullopt;
     Node n = m->root();
-    uint64_t form = n["v"].count_or(1);
-    if (form > kNewestForm) return std::nullopt;
+    uint64_t record_format = n["v"].count_or(1);
+    if (record_format > kNewestRecordFormat) return std::nullopt;
     JobRecord r;
     r.spec.id = n["id"].text_or("");
     r.spec.job_class = n["class"].text_or("");
@@ -96,7 +99,8 @@
     r.spec.memory_gb = n["mem"].number_or(0);
     r.spec.image = n["image"].text_or("");
     r.spec.image_gb = n["image_gb"].number_or(0);
-    for (size_t i = 0; i < n["flavors"].size(); ++i) r.spec.flavors.push_back(n["flavors"].at(i).text_or(""));
+    for (size_t i = 0; i < n["flavors"].size(); ++i)
+        r.spec.machine_types.push_back(n["flavors"].at(i).text_or(""));
     r.spec.zone = n["zone"].text_or("");
     r.spec.one_zone = n["one_zone"].flag_or(false);
     r.spec.apart = n["apart"].flag_or(false);
@@ -106,14 +110,14 @@
     r.spec.save_s = n["save_s"].number_or(0);
     if (double due = n["due_s"].number_or(-1); due >= 0) r.spec.due_s = due;
     r.accepted_wall = n["at"].number_or(0);
-    r.withdrawn = n["withdrawn"].flag_or(false);
+    r.cancelled = n["withdrawn"].flag_or(false);
     std::string done_text = n["done"].text_or("");
-    auto done =
-        form < 2 ? Ranges::parse(done_text, r.spec.tasks) : parse_compact_ranges(done_text, r.spec.tasks);
+    auto done = record_format < 2 ? Ranges::parse(done_text, r.spec.tasks)
+                                  : parse_compact_ranges(done_text, r.spec.tasks);
     if (!done) return std::nullopt;
     r.done = *done;
     r.next_attempt = std::max<uint64_t>(1, n["next"].count_or(1));
-    if (form >= 2) {
+    if (record_format >= 2) {
         CompactLive c;
         for (size_t i = 0; i < n["zones"].size(); ++i) c.zones.push_back(n["zones"].at(i).text_or(""));
         for (size_t i = 0; i < n["hosts"].size(); ++i) c.names.push_back(n["hosts"].at(i).text_or(""));
@@ -139,7 +143,7 @@
         .key("id")
         .text(id)
         .key("withdrawn")
-        .flag(withdrawn)
+        .flag(cancelled)
         .key("tasks")
         .count(tasks)
         .key("done")
@@ -151,11 +155,11 @@
     auto m = Message::parse(packed);
     if (!m || !m->root().is_map()) return std::nullopt;
     FinalRecord r;
-    if (m->root()["v"].count_or(1) > kNewestForm) return std::nullopt;
-    auto withdrawn = m->root()["withdrawn"].flag();
+    if (m->root()["v"].count_or(1) > kNewestRecordFormat) return std::nullopt;
+    auto cancelled = m->root()["withdrawn"].flag();
     r.id = m->root()["id"].text_or("");
-    if (!withdrawn || r.id.empty()) return std::nullopt;
-    r.withdrawn = *withdrawn;
+    if (!cancelled || r.id.empty()) return std::nullopt;
+    r.cancelled = *cancelled;
     r.tasks = static_cast<uint32_t>(m->root()["tasks"].count_or(0));
     r.done = static_cast<uint32_t>(m->root()["done"].count_or(0));
     return r;
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -12,33 +12,33 @@
 // A task bound to a machine. It counts as live from its commit until it is disproved.
 struct Bound {
     uint64_t attempt = 0;
-    std::string host, zone;
+    std::string machine, zone;
 };
 
 struct JobRecord {
     JobSpec spec;
     double accepted_wall = 0;
-    bool withdrawn = false;
+    bool cancelled = false;
     Ranges done;
     uint64_t next_attempt = 1;
     std::map<uint32_t, Bound> live;  // by task
 
     JobPhase phase() const;
-    // Form 1 is what the production version reads; see jobs/compact.h for form 2.
-    std::string pack(uint64_t form) const;
-    // Nothing if the record is not readable, or of a form that is newer than known.
+    // Format 1 is what the production version reads; see jobs/compact.h for format 2.
+    std::string pack(uint64_t record_format) const;
+    // Nothing if the record is not readable, or of a format that is newer than known.
     static std::optional<JobRecord> unpack(const std::string& packed);
 };
 
-// The newest form of records that this version reads and writes.
-inline constexpr uint64_t kNewestForm = 2;
-// Whether a packed record says that its form is newer than that.
-bool newer_form(const std::string& packed);
+// The newest format of records that this version reads and writes.
+inline constexpr uint64_t kNewestRecordFormat = 2;
+// Whether a packed record says that its format is newer than that.
+bool newer_record_format(const std::string& packed);
 
 // What is kept of a finished job.
 struct FinalRecord {
     std::string id;
-    bool withdrawn = false;  // else done
+    bool cancelled = false;  // else done
     uint32_t tasks = 0;
     uint32_t done = 0;
 
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -9,7 +9,7 @@
 
 namespace hareshore {
 
-// A service's tasks (replicas) run until the job is withdrawn: none of them is ever done.
+// A service's tasks (replicas) run until the job is cancelled: none of them is ever done.
 enum class Shape : uint8_t { kArray, kGang, kService };
 enum class Rank : uint8_t { kIdle, kStandard, kHigh, kProduction };
 
@@ -21,25 +21,25 @@
     double cpus = 0, gpus = 0, memory_gb = 0;  // each task
     std::string image;
     double image_gb = 0;
-    std::vector<std::string> flavors;  // empty: any
-    std::string zone;                  // empty: any
+    std::vector<std::string> machine_types;  // empty: any
+    std::string zone;                        // empty: any
     bool one_zone = false, apart = false, spot = false;
     Seconds estimate_s = 0, checkpoint_s = 0, save_s = 0;
     std::optional<Seconds> due_s;
 
     bool gang() const { return shape == Shape::kGang; }
     bool service() const { return shape == Shape::kService; }
-    bool allows(const std::string& flavor, const std::string& in_zone, bool is_spot) const {
+    bool allows(const std::string& machine_type, const std::string& in_zone, bool is_spot) const {
         if (is_spot && !spot) return false;
         if (!zone.empty() && zone != in_zone) return false;
-        if (flavors.empty()) return true;
-        for (const auto& f : flavors)
-            if (f == flavor) return true;
+        if (machine_types.empty()) return true;
+        for (const auto& f : machine_types)
+            if (f == machine_type) return true;
         return false;
     }
     bool operator==(const JobSpec&) const = default;
 };
 
-enum class JobPhase : uint8_t { kPending, kRunning, kDone, kWithdrawn };
+enum class JobPhase : uint8_t { kPending, kRunning, kDone, kCancelled };
 
 }  // namespace hareshore
--- a/src/jobs/table.cc
+++ b/src/jobs/table.cc
@@ -34,8 +34,8 @@
     return "";
 }
 
-bool Job::hasty() const {
-    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kHasteShare * spec.save_s;
+bool Job::skips_saving() const {
+    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kSkipSavingShare * spec.save_s;
 }
 
 uint32_t Job::up() const {
@@ -69,12 +69,12 @@
 
 namespace {
 
-size_t form1_placement(uint32_t task, uint64_t attempt, std::string_view host, std::string_view zone) {
-    return std::to_string(task).size() + std::to_string(attempt).size() + json_text_size(host) +
+size_t format1_placement(uint32_t task, uint64_t attempt, std::string_view machine, std::string_view zone) {
+    return std::to_string(task).size() + std::to_string(attempt).size() + json_text_size(machine) +
            json_text_size(zone) + 3;  // two spaces in the line and two behind it, of four quotes two go
 }
 
-size_t form2_live(const std::vector<LiveTask>& live) {
+size_t format2_live(const std::vector<LiveTask>& live) {
     CompactLive c = compact_live(live);
     size_t n = c.text.size();
     for (const auto& z : c.zones) n += json_text_size(z) + 2;
@@ -85,38 +85,38 @@
 std::vector<LiveTask> live_tasks(const Job& job) {
     std::vector<LiveTask> out;
     out.reserve(job.live.size());
-    for (const auto& [task, p] : job.live) out.push_back({task, p.attempt, p.host, p.zone});
+    for (const auto& [task, p] : job.live) out.push_back({task, p.attempt, p.machine, p.zone});
     return out;
 }
 
 }  // namespace
 
-Job::RecordSize& Job::measured(uint64_t form, bool exact) const {
-    RecordSize& s = sizes[form - 1];
+Job::RecordSize& Job::measured(uint64_t record_format, bool exact) const {
+    RecordSize& s = sizes[record_format - 1];
     if (s.version == version && (s.exact || !exact)) return s;
     if (fixed_bytes == 0) {
         JobRecord bare;
         bare.spec = spec;
         bare.accepted_wall = accepted_wall;
         bare.next_attempt = constants::kMaxCount;
-        fixed_bytes = json_size(bare.pack(2));  // form 1 has fewer fields
+        fixed_bytes = json_size(bare.pack(2));  // format 1 has fewer fields
     }
     size_t n = fixed_bytes;
-    if (form < 2) {
+    if (record_format < 2) {
         n += done.text().size();
-        for (const auto& [task, p] : live) n += form1_placement(task, p.attempt, p.host, p.zone);
+        for (const auto& [task, p] : live) n += format1_placement(task, p.attempt, p.machine, p.zone);
     } else {
-        n += compact_ranges(done).size() + form2_live(live_tasks(*this));
+        n += compact_ranges(done).size() + format2_live(live_tasks(*this));
     }
     return s = {version, n, true};
 }
 
-size_t Job::record_bytes(uint64_t form) const {
-    return measured(form, true).bytes;
+size_t Job::record_bytes(uint64_t record_format) const {
+    return measured(record_format, true).bytes;
 }
 
-size_t Job::placement_bytes(uint64_t form, const Host& on) const {
-    if (form < 2) return form1_placement(spec.tasks, next_attempt, on.name, on.zone);
+size_t Job::placement_bytes(uint64_t record_format, const Machine& on) const {
+    if (record_format < 2) return format1_placement(spec.tasks, next_attempt, on.name, on.zone);
     size_t n = constants::kPlacementFixed + json_text_size(on.name) + 3;
     bool known_zone =
         std::any_of(live.begin(), live.end(), [&](const auto& l) { return l.second.zone == on.zone; });
@@ -125,16 +125,17 @@
     return n;
 }
 
-bool Job::room_in_record(const Config& config, uint64_t form, std::span<const Host* const> on) const {
-    // Of what is written today and of what form 2 would be, each has its limit.
-    for (uint64_t f = form; f <= kNewestForm; ++f) {
+bool Job::room_in_record(const Config& config, uint64_t record_format,
+                         std::span<const Machine* const> on) const {
+    // Of what is written today and of what format 2 would be, each has its limit.
+    for (uint64_t f = record_format; f <= kNewestRecordFormat; ++f) {
         size_t limit = config.value_limit(f);
         // The ends of what is live may lengthen the done ranges by more than they take away.
         size_t growth =
             spec.tasks > constants::kSmallJob ? constants::kDoneGrowth - constants::kPlacementLeast : 0;
         growth *= live.size() + on.size();
         size_t more = 0;
-        for (const Host* h : on) more += placement_bytes(f, *h);
+        for (const Machine* h : on) more += placement_bytes(f, *h);
         // Room for one stays free, unless this is the one: a job whose record is full goes on one by one.
         size_t least = live.empty() && on.size() == 1 ? 0 : constants::kRecordSpare;
         auto fits = [&](size_t bytes) { return bytes + std::max(more, least) + growth <= limit; };
@@ -148,11 +149,11 @@
             auto tasks = live_tasks(*this);
             auto range = pending.all().begin();
             uint32_t task = range->first;
-            for (const Host* h : on) {
+            for (const Machine* h : on) {
                 tasks.push_back({task, live.empty() ? next_attempt : attempt, h->name, h->zone});
                 if (task++ == range->second && ++range != pending.all().end()) task = range->first;
             }
-            bytes += compact_ranges(done).size() + form2_live(tasks);
+            bytes += compact_ranges(done).size() + format2_live(tasks);
         }
         if (bytes + growth > limit) return false;
     }
@@ -163,10 +164,10 @@
     JobRecord r;
     r.spec = spec;
     r.accepted_wall = accepted_wall;
-    r.withdrawn = withdrawn;
+    r.cancelled = cancelled;
     r.done = done;
     r.next_attempt = next_attempt;
-    for (const auto& [task, p] : live) r.live[task] = {p.attempt, p.host, p.zone};
+    for (const auto& [task, p] : live) r.live[task] = {p.attempt, p.machine, p.zone};
     return r;
 }
 
@@ -179,13 +180,13 @@
     return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-Job& JobTable::load(const JobRecord& r, uint64_t stamp, Seconds now, double wall) {
-    kept_off_.erase(r.spec.id);
+Job& JobTable::load(const JobRecord& r, uint64_t mod_revision, Seconds now, double wall) {
+    quarantined_.erase(r.spec.id);
     auto& slot = jobs_[r.spec.id];
     if (slot) {
-        // Only users change a record besides this leader, and only to withdraw the job.
-        if (stamp > slot->stamp) slot->stamp = stamp;
-        if (r.withdrawn && !slot->withdrawn) withdraw(*slot, now);
+        // Only users change a record besides this leader, and only to cancel the job.
+        if (mod_revision > slot->mod_revision) slot->mod_revision = mod_revision;
+        if (r.cancelled && !slot->cancelled) cancel(*slot, now);
         return *slot;
     }
     slot = std::make_unique<Job>();
@@ -198,8 +199,8 @@
     j.waiting_since = r.live.empty() && r.done.empty() && r.next_attempt <= 1 ? j.accepted : now;
     if (!j.spec.service()) j.done = r.done;  // earlier versions took a replica's exit for its end
     j.next_attempt = r.next_attempt;
-    j.whole_story = r.next_attempt <= 1;
-    j.stamp = stamp;
+    j.saw_all_starts = r.next_attempt <= 1;
+    j.mod_revision = mod_revision;
     j.pending = Ranges::whole(r.spec.tasks);
     for (uint32_t n = 0; n < r.spec.tasks && !j.done.empty(); ++n)
         if (j.done.has(n)) j.pending.remove(n);
@@ -207,11 +208,11 @@
         if (j.done.has(task)) continue;
         Placement p;
         p.attempt = b.attempt;
-        p.host = b.host;
+        p.machine = b.machine;
         p.zone = b.zone;
         p.inherited = true;
         p.bound_at = now;
-        by_host_[b.host].push_back({&j, task, &(j.live[task] = p)});
+        by_machine_[b.machine].push_back({&j, task, &(j.live[task] = p)});
         j.pending.remove(task);
         // A gang's tasks share an attempt. Whether it has started is not kept: it counts as started, so
         // that no replacement joins an attempt that has already run.
@@ -222,9 +223,9 @@
         j.broken = true;
         stop_gang(j, 0);
     }
-    if (r.withdrawn) {
-        withdraw(j, now);
-        j.withdrawn_before = true;
+    if (r.cancelled) {
+        cancel(j, now);
+        j.cancelled_before = true;
     }
     return j;
 }
@@ -232,7 +233,7 @@
 void JobTable::erase(const std::string& id) {
     Job* j = find(id);
     if (!j) return;
-    for (const auto& [task, p] : j->live) leave(p.host, *j, task);
+    for (const auto& [task, p] : j->live) leave(p.machine, *j, task);
     jobs_.erase(id);
 }
 
@@ -240,8 +241,8 @@
     jobs_.clear();
     dirty_.clear();
     queued_.clear();
-    by_host_.clear();
-    kept_off_.clear();
+    by_machine_.clear();
+    quarantined_.clear();
 }
 
 void JobTable::touch(Job& job) {
@@ -258,12 +259,12 @@
         if (job->dirty()) requeue(*job);
 }
 
-void JobTable::keep_off(const std::string& id) {
+void JobTable::quarantine(const std::string& id) {
     erase(id);
-    kept_off_.insert(id);
+    quarantined_.insert(id);
 }
 
-std::vector<Job*> JobTable::take_dirty(size_t most_ops, size_t most_bytes, uint64_t form) {
+std::vector<Job*> JobTable::take_dirty(size_t most_ops, size_t most_bytes, uint64_t record_format) {
     std::vector<Job*> out;
     std::vector<std::string> rest;
     size_t ops = 0, bytes = 0;
@@ -274,8 +275,8 @@
             queued_.erase(id);
             continue;
         }
-        size_t cost = j->over() || j->withdrawn ? 2 : 1;
-        size_t size = j->record_bytes(form);
+        size_t cost = j->over() || j->cancelled ? 2 : 1;
+        size_t size = j->record_bytes(record_format);
         full = full || ops + cost > most_ops || (bytes > 0 && bytes + size > most_bytes);
         if (full) {
             rest.push_back(std::move(id));
@@ -290,36 +291,37 @@
     return out;
 }
 
-Placement& JobTable::bind(Job& job, uint32_t task, const Host& host, uint64_t attempt, Seconds now) {
-    for (uint64_t form = 1; form <= kNewestForm; ++form) {
-        auto& s = job.sizes[form - 1];
-        if (s.version == job.version) s = {job.version + 1, s.bytes + job.placement_bytes(form, host), false};
+Placement& JobTable::bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now) {
+    for (uint64_t record_format = 1; record_format <= kNewestRecordFormat; ++record_format) {
+        auto& s = job.sizes[record_format - 1];
+        if (s.version == job.version)
+            s = {job.version + 1, s.bytes + job.placement_bytes(record_format, machine), false};
     }
     touch(job);
     Placement p;
     p.attempt = attempt;
-    p.host = host.name;
-    p.zone = host.zone;
+    p.machine = machine.name;
+    p.zone = machine.zone;
     p.version = job.version;
     p.bound_at = now;
     job.pending.remove(task);
     Placement& kept = job.live[task] = p;
-    by_host_[host.name].push_back({&job, task, &kept});
+    by_machine_[machine.name].push_back({&job, task, &kept});
     return kept;
 }
 
-void JobTable::leave(const std::string& host, const Job& job, uint32_t task) {
-    auto it = by_host_.find(host);
-    if (it == by_host_.end()) return;
+void JobTable::leave(const std::string& machine, const Job& job, uint32_t task) {
+    auto it = by_machine_.find(machine);
+    if (it == by_machine_.end()) return;
     std::erase_if(it->second, [&](const Resident& r) { return r.job == &job && r.task == task; });
-    if (it->second.empty()) by_host_.erase(it);
+    if (it->second.empty()) by_machine_.erase(it);
 }
 
 // The task is on no machine any more: it waits again, unless it is done.
 void JobTable::release(Job& job, uint32_t task, Seconds now) {
     auto it = job.live.find(task);
     if (it == job.live.end()) return;
-    leave(it->second.host, job, task);
+    leave(it->second.machine, job, task);
     job.live.erase(it);
     if (!job.done.has(task)) {
         job.interrupted.add(task);
@@ -351,13 +353,13 @@
     while (!job.live.empty()) release(job, job.live.begin()->first, now);
 }
 
-void JobTable::withdraw(Job& job, Seconds now) {
-    if (!job.withdrawn) job.withdrawn_at = now;
-    job.withdrawn = true;
+void JobTable::cancel(Job& job, Seconds now) {
+    if (!job.cancelled) job.cancelled_at = now;
+    job.cancelled = true;
     for (auto& [task, p] : job.live) {
         p.stopping = true;
         p.grace_s = 0;
-        urgent_.insert(p.host);
+        urgent_.insert(p.machine);
     }
     // What this leader bound and never sent cannot be on a machine.
     for (auto it = job.live.begin(); it != job.live.end();) {
@@ -369,10 +371,10 @@
     touch(job);
 }
 
-void JobTable::urge_withdrawn(Seconds before) {
+void JobTable::repeat_stops(Seconds before) {
     for (const auto& [id, job] : jobs_)
-        if (job->withdrawn && job->withdrawn_at <= before)
-            for (const auto& [task, p] : job->live) urgent_.insert(p.host);
+        if (job->cancelled && job->cancelled_at <= before)
+            for (const auto& [task, p] : job->live) urgent_.insert(p.machine);
 }
 
 void JobTable::stop_gang(Job& job, Seconds grace) {
@@ -380,16 +382,16 @@
         if (p.stopping && p.grace_s <= grace) continue;
         p.stopping = true;
         p.grace_s = grace;
-        urgent_.insert(p.host);
+        urgent_.insert(p.machine);
     }
 }
 
-void JobTable::stop(Job& job, uint32_t task, Seconds, bool haste) {
+void JobTable::stop(Job& job, uint32_t task, Seconds, bool skip_saving) {
     Seconds grace = job.spec.save_s + constants::kSaveSpare_s;
     // A replica has nothing to save: its successor is waited for.
     if (job.spec.service()) grace = 0;
     // On average half a checkpoint interval is lost, against a save during which the room is not free.
-    if (haste && job.hasty()) grace = 0;
+    if (skip_saving && job.skips_saving()) grace = 0;
     if (job.spec.gang()) {
         stop_gang(job, grace);
         job.broken = true;
@@ -399,11 +401,11 @@
     if (it == job.live.end() || it->second.stopping) return;
     it->second.stopping = true;
     it->second.grace_s = grace;
-    urgent_.insert(it->second.host);
+    urgent_.insert(it->second.machine);
 }
 
-void JobTable::host_gone(const std::string& host, Seconds now) {
-    auto tasks = on_host(host);
+void JobTable::machine_gone(const std::string& machine, Seconds now) {
+    auto tasks = on_machine(machine);
     for (const auto& r : tasks) {
         if (r.job->spec.gang() && r.job->started) r.job->broken = true;
         release(*r.job, r.task, now);
@@ -412,50 +414,50 @@
 
 // One failed task says little. A machine that fails different jobs is condemned; a job that fails on
 // several machines is blamed itself, waits longer each time, and no longer counts against machines.
-void JobTable::failed(Cluster& cluster, Host& host, Job& job, Seconds now) {
-    job.failed_on.insert(host.name);
-    if (job.failed_on.size() >= static_cast<size_t>(constants::kJobHosts)) {
+void JobTable::failed(Cluster& cluster, Machine& machine, Job& job, Seconds now) {
+    job.failed_on.insert(machine.name);
+    if (job.failed_on.size() >= static_cast<size_t>(constants::kJobMachines)) {
         if (!job.blamed) {
             job.blamed = true;
             log::info("job {}: failed on {} machines, taken for a faulty job", job.spec.id,
                       job.failed_on.size());
-            for (auto& [name, h] : cluster.hosts) h->failed_jobs.erase(job.spec.id);
+            for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
         }
     }
     if (job.failed_on.size() >= 2) {
         job.backoff_s = std::clamp(job.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
         job.not_before = now + job.backoff_s;
     }
-    if (!job.blamed) blame_host(host, job);
+    if (!job.blamed) blame_machine(machine, job);
 }
 
-void JobTable::blame_host(Host& host, const Job& job) {
-    host.failed_jobs.insert(job.spec.id);
-    if (host.failed_jobs.size() >= static_cast<size_t>(constants::kHostErrors) && !host.condemned) {
-        host.condemned = true;
-        host.why_condemned = "tasks of different jobs fail on it";
-        log::info("machine {}: condemned: {}", host.name, host.why_condemned);
+void JobTable::blame_machine(Machine& machine, const Job& job) {
+    machine.failed_jobs.insert(job.spec.id);
+    if (machine.failed_jobs.size() >= static_cast<size_t>(constants::kMachineErrors) && !machine.condemned) {
+        machine.condemned = true;
+        machine.why_condemned = "tasks of different jobs fail on it";
+        log::info("machine {}: condemned: {}", machine.name, machine.why_condemned);
     }
 }
 
 // A replica's end is never the end of its task, whatever its cause: it is started again, at once if it ran
 // for a while. One that keeps ending at once is started less and less often. That is held against the
 // machine, which the next start avoids, only as long as it has not happened on several.
-void JobTable::replica_ended(Cluster& cluster, Host& host, Job& job, uint32_t task, ExitCause cause,
+void JobTable::replica_ended(Cluster& cluster, Machine& machine, Job& job, uint32_t task, ExitCause cause,
                              Seconds now) {
-    if (cause == ExitCause::kStopped || job.withdrawn) return;
+    if (cause == ExitCause::kStopped || job.cancelled) return;
     const Placement& p = job.live.at(task);
     Seconds ran = p.running_since < 0 ? 0 : now - p.running_since;
-    log::info("service {}: replica {} ended on {} after {:.0f} s, cause {}", job.spec.id, task, host.name,
+    log::info("service {}: replica {} ended on {} after {:.0f} s, cause {}", job.spec.id, task, machine.name,
               ran, static_cast<int>(cause));
     if (ran >= constants::kReplicaSteady_s) return;
     job.ended_soon_at = now;
-    job.failed_on.insert(host.name);
-    if (!job.blamed && job.failed_on.size() >= static_cast<size_t>(constants::kJobHosts)) {
+    job.failed_on.insert(machine.name);
+    if (!job.blamed && job.failed_on.size() >= static_cast<size_t>(constants::kJobMachines)) {
         job.blamed = true;
         log::info("service {}: its replicas end at once on {} machines, taken for a faulty job", job.spec.id,
                   job.failed_on.size());
-        for (auto& [name, h] : cluster.hosts) h->failed_jobs.erase(job.spec.id);
+        for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
     }
     if (++job.ended_soon > constants::kReplicaTries) {
         // Replicas that end together count as one: a pause runs already.
@@ -464,35 +466,36 @@
                 std::clamp(job.backoff_s * 2, constants::kReplicaBackoff_s, constants::kReplicaBackoffMax_s);
         job.not_before = now + job.backoff_s;
     }
-    if (!job.blamed && cause == ExitCause::kError) blame_host(host, job);
+    if (!job.blamed && cause == ExitCause::kError) blame_machine(machine, job);
 }
 
-void JobTable::exited(Cluster& cluster, Host& host, Job& job, uint32_t task, const ReportedTask& t,
+void JobTable::exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const ReportedTask& t,
                       Seconds now) {
-    log::debug("task {} attempt {} on {} exited, cause {}", t.name.text(), t.attempt, host.name,
+    log::debug("task {} attempt {} on {} exited, cause {}", t.name.text(), t.attempt, machine.name,
                static_cast<int>(t.cause));
     if (job.spec.service()) {
-        replica_ended(cluster, host, job, task, t.cause, now);
+        replica_ended(cluster, machine, job, task, t.cause, now);
         release(job, task, now);
         return;
     }
     switch (t.cause) {
         case ExitCause::kDone:
-            host.failed_jobs.clear();
-            if (const Placement& p = job.live.at(task);
-                !job.spec.gang() && p.running_since >= 0 && job.whole_story && !job.interrupted.has(task)) {
+            machine.failed_jobs.clear();
+            if (const Placement& p = job.live.at(task); !job.spec.gang() && p.running_since >= 0 &&
+                                                        job.saw_all_starts && !job.interrupted.has(task)) {
                 ++job.runs;
                 job.runs_sum_s += now - p.running_since;
             }
             complete(job, task, now);
             return;
         case ExitCause::kError:
-            failed(cluster, host, job, now);
+            failed(cluster, machine, job, now);
             break;
         case ExitCause::kNoRoom:
         case ExitCause::kBusy:
         case ExitCause::kUnknownJob:
-            log::info("task {} refused by {}, cause {}", t.name.text(), host.name, static_cast<int>(t.cause));
+            log::info("task {} refused by {}, cause {}", t.name.text(), machine.name,
+                      static_cast<int>(t.cause));
             break;
         default:
             break;
@@ -505,67 +508,68 @@
         if (t.cause == ExitCause::kError) job.broken = true;
     }
     release(job, task, now);
-    if (job.spec.gang() && job.broken && !job.withdrawn) {
+    if (job.spec.gang() && job.broken && !job.cancelled) {
         // The rest of a stopping gang may still be saving; the rest of a failed one has nothing to save.
         bool orderly = t.cause == ExitCause::kStopped;
         if (!orderly) stop_gang(job, 0);
     }
 }
 
-void JobTable::find_crawlers(Cluster& cluster, Seconds now) {
-    for (auto& [name, h] : cluster.hosts) {
+void JobTable::find_stragglers(Cluster& cluster, Seconds now) {
+    for (auto& [name, h] : cluster.machines) {
         // Of one that is silent nothing is known; its tasks only seem to go on for long.
         if (h->condemned || !h->usable) continue;
-        size_t crawling = 0;
-        for (const auto& r : on_host(name)) {
+        size_t straggling = 0;
+        for (const auto& r : on_machine(name)) {
             const Job& j = *r.job;
-            if (j.spec.gang() || j.runs < constants::kCrawlSiblings) continue;
+            if (j.spec.gang() || j.runs < constants::kStragglerComparisons) continue;
             const Placement& p = *r.placement;
             Seconds ran = p.running_since < 0 ? 0 : now - p.running_since;
-            if (ran > constants::kCrawlLeast_s && ran > constants::kCrawlFactor * j.runs_sum_s / j.runs)
-                ++crawling;
+            if (ran > constants::kStragglerLeast_s &&
+                ran > constants::kStragglerFactor * j.runs_sum_s / j.runs)
+                ++straggling;
         }
-        if (crawling < constants::kCrawlTasks) continue;
+        if (straggling < constants::kStragglerTasks) continue;
         h->condemned = true;
-        h->why_condemned = "tasks take several times as long as their siblings elsewhere";
+        h->why_condemned = "tasks take several times as long as others of their job elsewhere";
         log::info("machine {}: condemned: {}", name, h->why_condemned);
-        auto tasks = on_host(name);
+        auto tasks = on_machine(name);
         for (const auto& r : tasks)
             if (r.job->spec.checkpoint_s > 0 && !r.job->spec.service()) stop(*r.job, r.task, now);
     }
 }
 
 void JobTable::move_replicas(Cluster& cluster, Seconds now) {
-    for (auto& [name, h] : cluster.hosts) {
+    for (auto& [name, h] : cluster.machines) {
         if (!h->condemned && !h->emptying) continue;
-        auto tasks = on_host(name);
+        auto tasks = on_machine(name);
         for (const auto& [job, task, p] : tasks) {
-            if (!job->spec.service() || job->withdrawn || p->stopping) continue;
+            if (!job->spec.service() || job->cancelled || p->stopping) continue;
             uint32_t self = p->phase == TaskPhase::kRunning ? 1 : 0;
             if (job->up() - self + 1 == job->spec.tasks) stop(*job, task, now);
         }
     }
 }
 
-bool JobTable::apply(Cluster& cluster, Host& host, const Report& r, bool absence, Seconds now) {
+bool JobTable::apply(Cluster& cluster, Machine& machine, const Report& r, bool absence, Seconds now) {
     bool news = false;
-    std::map<std::pair<TaskName, uint64_t>, HostTask> before;
-    for (auto& t : host.tasks) before[{t.name, t.attempt}] = t;
-    host.tasks.clear();
-    host.session = r.session;
-    host.seq = r.seq;
-    host.addr = r.addr;
-    host.flavor = r.flavor;
-    host.zone = r.zone;
-    host.spot = r.spot;
-    host.phase = MachinePhase::kRunning;
-    if (r.notice_s && host.leaves_at < 0) {
-        host.leaves_at = now + *r.notice_s;
-        log::info("machine {}: spot notice, {:.0f} s left", host.name, *r.notice_s);
+    std::map<std::pair<TaskName, uint64_t>, MachineTask> before;
+    for (auto& t : machine.tasks) before[{t.name, t.attempt}] = t;
+    machine.tasks.clear();
+    machine.session = r.session;
+    machine.seq = r.seq;
+    machine.addr = r.addr;
+    machine.machine_type = r.machine_type;
+    machine.zone = r.zone;
+    machine.spot = r.spot;
+    machine.phase = MachinePhase::kRunning;
+    if (r.notice_s && machine.leaves_at < 0) {
+        machine.leaves_at = now + *r.notice_s;
+        log::info("machine {}: spot notice, {:.0f} s left", machine.name, *r.notice_s);
     }
     std::set<TaskName> present;
     for (const auto& t : r.tasks) {
-        HostTask x;
+        MachineTask x;
         auto was = before.find({t.name, t.attempt});
         if (was != before.end()) x = was->second;
         TaskPhase old = was != before.end() ? was->second.phase : TaskPhase::kFetching;
@@ -582,17 +586,17 @@
             x.team = job->spec.team;
             if (t.phase != TaskPhase::kFetching && t.cause != ExitCause::kNoRoom &&
                 t.cause != ExitCause::kBusy && t.cause != ExitCause::kUnknownJob && !known_exit)
-                host.cache.use(job->spec.image, job->spec.image_gb);
+                machine.cache.use(job->spec.image, job->spec.image_gb);
             auto it = job->live.find(t.name.task);
-            bool mine =
-                it != job->live.end() && it->second.host == host.name && it->second.attempt == t.attempt;
+            bool mine = it != job->live.end() && it->second.machine == machine.name &&
+                        it->second.attempt == t.attempt;
             // A gang's replacement may come to a machine that still lists an exit of the same attempt.
             if (mine && known_exit && !it->second.seen) mine = false;
             if (mine) {
                 present.insert(t.name);
                 Placement& p = it->second;
                 if (p.phase != t.phase || !p.seen)
-                    log::debug("task {} attempt {} on {}: phase {}", t.name.text(), t.attempt, host.name,
+                    log::debug("task {} attempt {} on {}: phase {}", t.name.text(), t.attempt, machine.name,
                                static_cast<int>(t.phase));
                 if (t.phase == TaskPhase::kRunning) {
                     if (p.running_since < 0) p.running_since = now;
@@ -606,11 +610,11 @@
                     }
                     job->started = true;
                 }
-                if (!p.seen && p.sent > 0) host.unheard_since = -1;  // it was launched: an answer arrived
+                if (!p.seen && p.sent > 0) machine.unheard_since = -1;  // it was launched: an answer arrived
                 p.seen = true;
                 p.phase = t.phase;
                 if (t.phase == TaskPhase::kExited) {
-                    exited(cluster, host, *job, t.name.task, t, now);
+                    exited(cluster, machine, *job, t.name.task, t, now);
                     x.exit_version = job->version;
                 }
             } else if (t.phase == TaskPhase::kExited && t.cause == ExitCause::kDone && !job->spec.service() &&
@@ -623,10 +627,10 @@
                 x.exit_version = job->version;
             }
         }
-        host.tasks.push_back(std::move(x));
+        machine.tasks.push_back(std::move(x));
     }
     if (absence) {
-        auto tasks = on_host(host.name);
+        auto tasks = on_machine(machine.name);
         for (const auto& [job, task, placement] : tasks) {
             if (present.count({job->spec.id, task})) continue;
             auto it = job->live.find(task);
@@ -639,79 +643,80 @@
             if (p.sent_seq != 0 && !r.newer_than(p.sent_session, p.sent_seq)) continue;
             // Answer after answer carried the launch and nothing came of it: bound to a machine that does
             // not hear us, the task would wait for ever.
-            if (p.sent >= constants::kUnheardLaunches && host.unheard_since < 0) {
-                host.unheard_since = now;
-                log::info("machine {}: does not hear its answers: launches come to nothing", host.name);
+            if (p.sent >= constants::kUnheardLaunches && machine.unheard_since < 0) {
+                machine.unheard_since = now;
+                log::info("machine {}: does not hear its answers: launches come to nothing", machine.name);
             }
-            bool lost = p.seen || (p.inherited && job->spec.gang()) || host.unheard_since >= 0;
-            if (job->withdrawn || p.stopping || lost) {
+            bool lost = p.seen || (p.inherited && job->spec.gang()) || machine.unheard_since >= 0;
+            if (job->cancelled || p.stopping || lost) {
                 news = true;
                 if (job->spec.gang() && job->started) job->broken = true;
                 release(*job, task, now);
-                if (job->spec.gang() && job->broken && !job->withdrawn) stop_gang(*job, 0);
+                if (job->spec.gang() && job->broken && !job->cancelled) stop_gang(*job, 0);
             }
         }
     }
     return news;
 }
 
-const std::vector<Resident>& JobTable::on_host(const std::string& host) const {
+const std::vector<Resident>& JobTable::on_machine(const std::string& machine) const {
     static const std::vector<Resident> none;
-    auto it = by_host_.find(host);
-    return it == by_host_.end() ? none : it->second;
+    auto it = by_machine_.find(machine);
+    return it == by_machine_.end() ? none : it->second;
 }
 
-bool JobTable::awaits_commit(const Host& host) const {
-    for (const auto& r : on_host(host.name)) {
+bool JobTable::awaits_commit(const Machine& machine) const {
+    for (const auto& r : on_machine(machine.name)) {
         const Placement& p = *r.placement;
-        if (!p.inherited && r.job->committed < p.version && !r.job->withdrawn) return true;
+        if (!p.inherited && r.job->committed < p.version && !r.job->cancelled) return true;
     }
     return false;
 }
 
-bool JobTable::settled_on(const Host& host) const {
-    auto running = [](const HostTask& t) { return t.phase == TaskPhase::kRunning; };
+bool JobTable::settled_on(const Machine& machine) const {
+    auto running = [](const MachineTask& t) { return t.phase == TaskPhase::kRunning; };
     auto meant = [](const Resident& r) { return r.placement->seen && !r.placement->stopping; };
-    const auto& here = on_host(host.name);
-    return here.size() == host.tasks.size() && std::all_of(host.tasks.begin(), host.tasks.end(), running) &&
+    const auto& here = on_machine(machine.name);
+    return here.size() == machine.tasks.size() &&
+           std::all_of(machine.tasks.begin(), machine.tasks.end(), running) &&
            std::all_of(here.begin(), here.end(), meant);
 }
 
-std::vector<Order> JobTable::orders(Host& host, bool launches) {
-    std::vector<Order> out;
+std::vector<Command> JobTable::commands(Machine& machine, bool launches) {
+    std::vector<Command> out;
     std::set<std::pair<TaskName, uint64_t>> present;
-    for (const auto& t : host.tasks) {
+    for (const auto& t : machine.tasks) {
         present.insert({t.name, t.attempt});
-        if (kept_off(t.name.job)) continue;
+        if (quarantined(t.name.job)) continue;
         Job* job = find(t.name.job);
         if (t.phase == TaskPhase::kExited) {
             // Forgotten only when the state service has what came of it.
             if (!job || job->committed >= t.exit_version)
-                out.push_back({Verb::kForget, t.name, t.attempt, 0});
+                out.push_back({CommandKind::kForget, t.name, t.attempt, 0});
             continue;
         }
         auto it = job ? job->live.find(t.name.task) : decltype(job->live.find(0)){};
-        bool mine =
-            job && it != job->live.end() && it->second.host == host.name && it->second.attempt == t.attempt;
+        bool mine = job && it != job->live.end() && it->second.machine == machine.name &&
+                    it->second.attempt == t.attempt;
         if (!mine) {
-            // Nothing vouches for it: its job is over, or its attempt was given up.
-            out.push_back({Verb::kHalt, t.name, t.attempt, 0});
+            // Nothing accounts for it: its job is over, or its attempt was given up.
+            out.push_back({CommandKind::kStop, t.name, t.attempt, 0});
         } else if (it->second.stopping && !(t.phase == TaskPhase::kSaving && it->second.grace_s > 0)) {
-            out.push_back({Verb::kHalt, t.name, t.attempt, it->second.grace_s});
+            out.push_back({CommandKind::kStop, t.name, t.attempt, it->second.grace_s});
         }
     }
     if (!launches) return out;
-    for (const auto& [job, task, placement] : on_host(host.name)) {
-        if (job->withdrawn) continue;
+    for (const auto& [job, task, placement] : on_machine(machine.name)) {
+        if (job->cancelled) continue;
         const std::string& id = job->spec.id;
         Placement& p = job->live.at(task);
         if (p.stopping || p.seen || present.count({{id, task}, p.attempt})) continue;
         if (!p.inherited && job->committed < p.version) continue;
         if (job->spec.gang() && job->broken) continue;
-        out.push_back({Verb::kLaunch, {id, task}, p.attempt, 0});
-        if (p.sent_session != host.session || p.sent_seq != host.seq) ++p.sent;
-        p.sent_session = host.session;
-        p.sent_seq = host.seq;
+        out.push_back({CommandKind::kLaunch, {id, task}, p.attempt, 0});
+        if (p.sent_session != machine.session || p.sent_seq != machine.seq) ++p.sent;
+        p.sent_session = machine.session;
+        p.sent_seq = machine.seq;
     }
     return out;
 }
--- a/src/lead/election.cc
+++ b/src/leader/election.cc
@@ -1,8 +1,8 @@
-#include "lead/election.h"
+#include "leader/election.h"
 
 #include "base/constants.h"
 #include "base/log.h"
-#include "state/form.h"
+#include "state/record_format.h"
 
 namespace hareshore {
 
@@ -35,7 +35,7 @@
     bool names = epoch == known_epoch_ && !leading_ && leader_.empty() && !label.empty();
     if (epoch <= known_epoch_ && !names) return;
     known_epoch_ = epoch;
-    if (leading_) deposed("a sibling knows of a later epoch");
+    if (leading_) deposed("a peer knows of a later epoch");
     leader_ = label;
     changed_.notify();
 }
@@ -51,7 +51,7 @@
     barred_ = true;
     if (!leading_) return;
     resigning_ = true;
-    deposed("the records are of a form that this version does not know");
+    deposed("the records are of a format that this version does not know");
 }
 
 Task<void> Election::run() {
@@ -70,8 +70,8 @@
         resigning_ = false;
         co_await state_.revoke(lease_, constants::kStateCall_s);
     }
-    // A list, since only that tells the revision from which to watch: the key's own stamp may be so old that
-    // the service has forgotten the changes since.
+    // A list, since only that tells the revision from which to watch: the key's own mod revision may be so
+    // old that the service has forgotten the changes since.
     ListResult got = co_await state_.list(kLeaderKey, "", constants::kStatePage, constants::kStateCall_s);
     const Entry* held = nullptr;
     for (const auto& e : got.entries)
@@ -104,7 +104,7 @@
         // Left by this node's last process, which is gone: no need to wait for its lease.
         log::info("ending the leadership left by an earlier process");
         GetResult own = co_await state_.get(kLeaderKey, constants::kStateCall_s);
-        if (own.reply == Reply::kOk && own.entry.stamp == held->stamp)
+        if (own.reply == Reply::kOk && own.entry.mod_revision == held->mod_revision)
             co_await state_.revoke(own.entry.lease, constants::kStateCall_s);
         co_return;
     }
@@ -113,7 +113,7 @@
         leader_ = node;
         changed_.notify();
     }
-    ChangesResult c = co_await state_.changes(kLeaderKey, got.tide, constants::kLeadWatch_s);
+    ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeadWatch_s);
     if (c.reply != Reply::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
@@ -127,14 +127,15 @@
         co_await loop_.sleep(pause_);
         co_return;
     }
-    GetResult form = co_await state_.get(kFormKey, constants::kStateCall_s);
-    if (form.reply != Reply::kOk && form.reply != Reply::kAbsent) {
+    GetResult record_format = co_await state_.get(kRecordFormatKey, constants::kStateCall_s);
+    if (record_format.reply != Reply::kOk && record_format.reply != Reply::kAbsent) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
     }
-    if (form.reply == Reply::kOk && unpack_form(form.entry.data) > kNewestForm) {
-        log::error("not standing for election: the records are of a form that this version does not know");
+    if (record_format.reply == Reply::kOk &&
+        unpack_record_format(record_format.entry.data) > kNewestRecordFormat) {
+        log::error("not standing for election: the records are of a format that this version does not know");
         bar();
         co_return;
     }
@@ -157,8 +158,8 @@
     }
     uint64_t epoch = std::max(last, known_epoch_) + 1;
     Txn txn;
-    txn.expect(kLeaderKey, 0).expect(kTermKey, term.reply == Reply::kOk ? term.entry.stamp : 0);
-    txn.expect(kFormKey, form.reply == Reply::kOk ? form.entry.stamp : 0);
+    txn.expect(kLeaderKey, 0).expect(kTermKey, term.reply == Reply::kOk ? term.entry.mod_revision : 0);
+    txn.expect(kRecordFormatKey, record_format.reply == Reply::kOk ? record_format.entry.mod_revision : 0);
     std::string mine = pack_leader(label_, epoch);
     txn.put(kLeaderKey, mine, lease.lease).put(kTermKey, mine);
     TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
@@ -168,7 +169,7 @@
         GetResult now = co_await state_.get(kLeaderKey, constants::kStateCall_s);
         if (now.reply == Reply::kOk && now.entry.lease == lease.lease) {
             r.reply = Reply::kOk;
-            r.tide = now.entry.stamp;
+            r.revision = now.entry.mod_revision;
         }
     }
     if (r.reply != Reply::kOk) {
@@ -177,7 +178,7 @@
     }
     lease_ = lease.lease;
     epoch_ = epoch;
-    stamp_ = r.tide;
+    mod_revision_ = r.revision;
     known_epoch_ = epoch;
     leading_ = true;
     confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
--- a/src/lead/election.h
+++ b/src/leader/election.h
@@ -17,14 +17,16 @@
     // been followed by another without knowing.
     bool confirmed() const { return leading_ && loop_.now() < confirmed_until_; }
     uint64_t epoch() const { return epoch_; }  // our term, while leading
-    uint64_t stamp() const { return stamp_; }  // of the leadership key: the condition of every write
+    uint64_t mod_revision() const {
+        return mod_revision_;
+    }  // of the leadership key: the condition of every write
     const std::string& leader() const { return leader_; }  // who is thought to lead; may be empty
     uint64_t known_epoch() const { return known_epoch_; }  // highest term heard of
     Signal& changed() { return changed_; }
 
     // Proof that another leads in a later term.
     void deposed(const char* why);
-    // A sibling says that it leads, or, with an empty label, that it knows of this term.
+    // A peer says that it leads, or, with an empty label, that it knows of this term.
     void heard(const std::string& label, uint64_t epoch);
     // Gives leadership up and stays out of the next elections for a while.
     void resign(Seconds stay_out);
@@ -44,7 +46,7 @@
     bool leading_ = false;
     bool resigning_ = false;
     bool barred_ = false;
-    uint64_t epoch_ = 0, stamp_ = 0, lease_ = 0, known_epoch_ = 0;
+    uint64_t epoch_ = 0, mod_revision_ = 0, lease_ = 0, known_epoch_ = 0;
     std::string leader_;
     Seconds confirmed_until_ = -1;
     Seconds out_until_ = -1;
--- a/src/lead/leader.cc
+++ b/src/leader/leader.cc
@@ -1,4 +1,4 @@
-#include "lead/leader.h"
+#include "leader/leader.h"
 
 #include <algorithm>
 
@@ -15,33 +15,34 @@
     co_await task;
 }
 
-const std::string kFlavorsKey = "flavors";
+const std::string kMachineTypesKey = "flavors";
 
 }  // namespace
 
 Leader::Leader(Loop& loop, const Config& config, const Settings& settings, StateService& state, Cloud& cloud,
-               Term term, std::vector<Flavor> flavors, Vouch vouch, Confirmed confirmed,
-               Uncontested uncontested, Deposed deposed, Form& form, AllUpgraded all_upgraded)
+               Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound,
+               Confirmed confirmed, NoOtherLeader no_other_leader, Deposed deposed,
+               RecordFormat& record_format, AllUpgraded all_upgraded)
     : loop_(loop),
       config_(config),
       settings_(settings),
       state_(state),
       cloud_(cloud),
       term_(std::move(term)),
-      vouch_(std::move(vouch)),
+      renewal_bound_(std::move(renewal_bound)),
       confirmed_(std::move(confirmed)),
-      uncontested_(std::move(uncontested)),
+      no_other_leader_(std::move(no_other_leader)),
       deposed_(std::move(deposed)),
-      form_(form),
+      record_format_(record_format),
       all_upgraded_(std::move(all_upgraded)),
       writes_(config.write_rps * constants::kLeaderShare,
               std::max(2.0, config.write_rps * constants::kLeaderShare)),
       ready_(loop),
       dirty_(loop),
       ask_(loop),
-      round_done_(loop),
+      pass_done_(loop),
       scope_(loop) {
-    cluster_.flavors = std::move(flavors);
+    cluster_.machine_types = std::move(machine_types);
 }
 
 void Leader::spawn(Task<void> task, const char* name) {
@@ -56,35 +57,36 @@
     stopped_ = true;
     scope_.cancel();
     ready_.notify();
-    round_done_.notify();
-    for (auto& [name, l] : lines_) l->wake.notify();
+    pass_done_.notify();
+    for (auto& [name, l] : worker_sessions_) l->wake.notify();
 }
 
-Leader::Line& Leader::line(const std::string& host) {
-    auto& l = lines_[host];
-    if (!l) l = std::make_unique<Line>(loop_);
+Leader::WorkerSession& Leader::worker_session(const std::string& machine) {
+    auto& l = worker_sessions_[machine];
+    if (!l) l = std::make_unique<WorkerSession>(loop_);
     return *l;
 }
 
-void Leader::wake(const std::string& host) {
-    auto it = lines_.find(host);
-    if (it != lines_.end()) it->second->wake.notify();
+void Leader::wake(const std::string& machine) {
+    auto it = worker_sessions_.find(machine);
+    if (it != worker_sessions_.end()) it->second->wake.notify();
 }
 
 // --- records ------------------------------------------------------------------------------------------
 
 Task<void> Leader::load() {
     Seconds began = loop_.now();
-    while (!co_await learn_form(state_, form_)) co_await loop_.sleep(constants::kRetryPause_s * 2);
+    while (!co_await learn_record_format(state_, record_format_))
+        co_await loop_.sleep(constants::kRetryPause_s * 2);
     while (!co_await read_records()) co_await loop_.sleep(constants::kRetryPause_s * 2);
     loaded_ = true;
     loaded_at_ = loop_.now();
     log::info("view rebuilt from {} records in {:.0f} ms", jobs_.size(), (loaded_at_ - began) * 1000);
     ready_.notify();
-    spawn(rounds(), "rounds");
+    spawn(run_passes(), "scheduling passes");
     spawn(watch(), "watch");
     spawn(commit(), "commit");
-    spawn(raise_form(), "form of records");
+    spawn(raise_record_format(), "record format");
     spawn(read_prices(), "prices");
     spawn(read_machines(), "machine list");
     spawn(run_fleet(), "fleet");
@@ -92,22 +94,22 @@
 
 Task<bool> Leader::read_records() {
     std::string from;
-    uint64_t tide = 0;
+    uint64_t revision = 0;
     Seconds began = loop_.now();
     while (true) {
         ListResult page =
             co_await state_.list(kLivePrefix, from, constants::kStatePage, constants::kStateCall_s * 2);
         if (page.reply != Reply::kOk) co_return false;
-        if (tide == 0) tide = page.tide;  // changes since the first page are watched
+        if (revision == 0) revision = page.revision;  // changes since the first page are watched
         for (auto& e : page.entries) {
             from = e.key;
-            Change c{e.key, false, e.stamp, std::move(e.data)};
+            Change c{e.key, false, e.mod_revision, std::move(e.data)};
             take_change(c);
         }
         if (!page.more) break;
     }
-    tide_ = tide;
-    fresh_ = began;
+    revision_ = revision;
+    watched_until_ = began;
     co_return true;
 }
 
@@ -116,19 +118,20 @@
     auto record = JobRecord::unpack(c.data);
     if (!record || live_key(record->spec.id) != c.key) {
         std::string id = c.key.substr(kLivePrefix.size());
-        if (!jobs_.kept_off(id))
-            log::error("record {} is {}: nothing is decided about this job", c.key,
-                       newer_form(c.data) ? "of a form newer than this version knows" : "not readable");
-        jobs_.keep_off(id);
+        if (!jobs_.quarantined(id))
+            log::error(
+                "record {} is {}: nothing is decided about this job", c.key,
+                newer_record_format(c.data) ? "of a format newer than this version knows" : "not readable");
+        jobs_.quarantine(id);
         return;
     }
     auto it = finished_.find(record->spec.id);
-    if (it != finished_.end() && c.stamp <= it->second) return;  // an echo from before its end
-    Job& job = jobs_.load(*record, c.stamp, loop_.now(), loop_.wall());
-    // Read before it was withdrawn, and told of since.
-    if (!job.withdrawn && told_.count(job.spec.id)) jobs_.withdraw(job, loop_.now());
+    if (it != finished_.end() && c.mod_revision <= it->second) return;  // an echo from before its end
+    Job& job = jobs_.load(*record, c.mod_revision, loop_.now(), loop_.wall());
+    // Read before it was cancelled, and told of since.
+    if (!job.cancelled && cancellation_notices_.count(job.spec.id)) jobs_.cancel(job, loop_.now());
     for (const auto& [task, p] : job.live) {
-        Host& h = cluster_.ensure(p.host, loop_.now());
+        Machine& h = cluster_.ensure(p.machine, loop_.now());
         if (h.zone.empty()) h.zone = p.zone;
     }
 }
@@ -137,19 +140,19 @@
     Seconds pause = 0;
     while (true) {
         Seconds sent = loop_.now();
-        ChangesResult r = co_await state_.changes(kLivePrefix, tide_, constants::kWatchWait_s);
+        ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kWatchWait_s);
         if (r.reply == Reply::kOk) {
             pause = 0;
             for (const auto& c : r.changes) take_change(c);
-            tide_ = std::max(tide_, r.tide);
-            fresh_ = std::max(fresh_, sent);
-            std::erase_if(told_, [&](const auto& t) { return t.second < fresh_; });
-            if (!r.changes.empty()) ask_round();
+            revision_ = std::max(revision_, r.revision);
+            watched_until_ = std::max(watched_until_, sent);
+            std::erase_if(cancellation_notices_, [&](const auto& t) { return t.second < watched_until_; });
+            if (!r.changes.empty()) request_pass();
             continue;
         }
         if (r.reply == Reply::kAbsent && co_await read_records()) {
             // Never at once again: a service that keeps saying so must not be stampeded.
-            ask_round();
+            request_pass();
             co_await loop_.sleep(constants::kRetryPause_s);
             continue;
         }
@@ -158,15 +161,15 @@
     }
 }
 
-// One transaction at a time, each conditioned on the leadership key and on the records' stamps, so that
-// a late copy of it can change nothing.
+// One transaction at a time, each conditioned on the leadership key and on the records' mod revisions, so
+// that a late copy of it can change nothing.
 Task<void> Leader::commit() {
     Seconds pause = 0;
-    uint64_t form = form_.in_force();
+    uint64_t record_format = record_format_.in_force();
     size_t alone = 0;  // so many records are sent one by one, to learn which of them is refused
     while (true) {
-        if (form != form_.in_force()) {
-            form = form_.in_force();
+        if (record_format != record_format_.in_force()) {
+            record_format = record_format_.in_force();
             jobs_.requeue_all();
         }
         if (!jobs_.any_dirty()) {
@@ -179,36 +182,37 @@
             continue;
         }
         size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.left(loop_.now())));
-        std::vector<Job*> batch = jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTxnBytes, form);
+        std::vector<Job*> batch =
+            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTxnBytes, record_format);
         if (alone > 0 && !batch.empty()) {
             --alone;
             for (size_t i = 1; i < batch.size(); ++i) jobs_.requeue(*batch[i]);
             batch.resize(1);
         }
         Txn txn;
-        txn.expect(term_.key, term_.stamp);
+        txn.expect(term_.key, term_.mod_revision);
         std::vector<std::string> ids;
         std::set<std::string> final_ids;
         for (Job* j : batch) {
             const std::string& id = j->spec.id;
-            bool final = j->withdrawn ? j->live.empty() : j->over();
+            bool final = j->cancelled ? j->live.empty() : j->over();
             std::string data;
             if (!final) {
-                if (j->aside(form)) continue;
-                data = j->record().pack(form);
+                if (j->write_deferred(record_format)) continue;
+                data = j->record().pack(record_format);
                 // What the service would refuse is not sent. Until the job's next change the record says
-                // that tasks are live which are not, never the other way round: starts are bounded by its
-                // room.
-                if (json_size(data) > config_.value_limit(form)) {
-                    set_aside(*j, j->version, form, "too large for the state service");
+                // that tasks are live which are not, never the other way round: starts are bounded
+                // by its room.
+                if (json_size(data) > config_.value_limit(record_format)) {
+                    defer_write(*j, j->version, record_format, "too large for the state service");
                     continue;
                 }
             }
             ids.push_back(id);
             j->inflight = j->version;
-            txn.expect(live_key(id), j->stamp);
+            txn.expect(live_key(id), j->mod_revision);
             if (final) {
-                FinalRecord f{id, j->withdrawn, j->spec.tasks, j->done.size()};
+                FinalRecord f{id, j->cancelled, j->spec.tasks, j->done.size()};
                 txn.put(final_key(id), f.pack()).drop(live_key(id));
                 final_ids.insert(id);
             } else {
@@ -220,22 +224,22 @@
         TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
         if (r.reply == Reply::kOk) {
             pause = 0;
-            std::set<std::string> hosts;
+            std::set<std::string> machines;
             for (const auto& id : ids) {
                 Job* j = jobs_.find(id);
                 if (!j) continue;
-                j->stamp = r.tide;
+                j->mod_revision = r.revision;
                 j->committed = j->inflight;
-                for (const auto& [task, p] : j->live) hosts.insert(p.host);
-                if (final_ids.count(id)) finished(id, r.tide);
+                for (const auto& [task, p] : j->live) machines.insert(p.machine);
+                if (final_ids.count(id)) finished(id, r.revision);
             }
-            for (const auto& h : hosts) wake(h);
+            for (const auto& h : machines) wake(h);
             continue;
         }
         if (r.reply == Reply::kInvalid && ids.size() == 1) {
             if (Job* j = jobs_.find(ids[0])) {
-                set_aside(*j, j->inflight, form, "refused by the state service");
-                if (!j->aside(form)) jobs_.requeue(*j);  // it has changed since
+                defer_write(*j, j->inflight, record_format, "refused by the state service");
+                if (!j->write_deferred(record_format)) jobs_.requeue(*j);  // it has changed since
             }
             continue;
         }
@@ -250,7 +254,7 @@
             for (const auto& id : ids)
                 if (std::find(r.failed.begin(), r.failed.end(), live_key(id)) != r.failed.end())
                     co_await reread(id);
-            ask_round();
+            request_pass();
             continue;
         }
         if (r.reply == Reply::kRefused || r.reply == Reply::kLimited) writes_.drain(loop_.now());
@@ -259,48 +263,50 @@
     }
 }
 
-void Leader::set_aside(Job& job, uint64_t version, uint64_t form, const char* why) {
-    if (job.aside_form == 0)
+void Leader::defer_write(Job& job, uint64_t version, uint64_t record_format, const char* why) {
+    if (job.deferred_format == 0)
         log::error("job {}: its record of {} bytes is {}; it is kept here and written when it is smaller",
-                   job.spec.id, job.record_bytes(form), why);
-    job.aside_version = version;
-    job.aside_form = form;
+                   job.spec.id, job.record_bytes(record_format), why);
+    job.deferred_version = version;
+    job.deferred_format = record_format;
 }
 
-// Form 2 is written from when every controller reads it, so that whoever leads next does. The key is put once
-// and stays.
-Task<void> Leader::raise_form() {
-    while (form_.kept < kNewestForm) {
+// Format 2 is written from when every controller reads it, so that whoever leads next does. The key is put
+// once and stays.
+Task<void> Leader::raise_record_format() {
+    while (record_format_.kept < kNewestRecordFormat) {
         if (all_upgraded_()) {
             Txn txn;
-            txn.expect(term_.key, term_.stamp).expect(kFormKey, 0).put(kFormKey, pack_form(kNewestForm));
+            txn.expect(term_.key, term_.mod_revision)
+                .expect(kRecordFormatKey, 0)
+                .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, loop_.now());
             co_await state_.commit(std::move(txn), constants::kStateCall_s);
             // Whatever became of it, the key tells.
-            co_await learn_form(state_, form_);
+            co_await learn_record_format(state_, record_format_);
         }
-        if (form_.kept < kNewestForm) co_await loop_.sleep(constants::kFormEvery_s);
+        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
     dirty_.notify();
 }
 
-// A record has another stamp than expected: its user withdrew the job, or an answer of ours was lost.
+// A record has another mod revision than expected: its user withdrew the job, or an answer of ours was lost.
 Task<bool> Leader::reread(std::string id) {
     GetResult got = co_await state_.get(live_key(id), constants::kStateCall_s);
     if (got.reply == Reply::kOk) {
-        take_change({live_key(id), false, got.entry.stamp, got.entry.data});
+        take_change({live_key(id), false, got.entry.mod_revision, got.entry.data});
         co_return true;
     }
     if (got.reply != Reply::kAbsent) co_return false;
     GetResult end = co_await state_.get(final_key(id), constants::kStateCall_s);
-    if (end.reply == Reply::kOk) finished(id, end.entry.stamp);
+    if (end.reply == Reply::kOk) finished(id, end.entry.mod_revision);
     if (end.reply == Reply::kAbsent) log::error("job {}: its record is gone", id);
     co_return end.reply == Reply::kOk;
 }
 
-void Leader::finished(const std::string& id, uint64_t tide) {
+void Leader::finished(const std::string& id, uint64_t revision) {
     jobs_.erase(id);
-    finished_[id] = tide;
+    finished_[id] = revision;
     finished_order_.push_back(id);
     if (finished_order_.size() > constants::kFinalCache) {
         finished_.erase(finished_order_.front());
@@ -311,29 +317,30 @@
 // --- workers ------------------------------------------------------------------------------------------
 
 // The right to renew: what this answer keeps alive ends at the latest lease_s after the report was sent,
-// and no task may outlive cancel_s after its user was told of the withdrawal. So an answer is allowed
-// while no withdrawal older than the difference can be missing here.
+// and no task may outlive cancel_s after its user was told of the cancellation. So an answer is allowed
+// while no cancellation older than the difference can be missing here.
 bool Leader::may_renew() {
     Seconds span = (config_.cancel_s - config_.lease_s) * (1 - constants::kDrift) - constants::kRenewMargin_s;
     Seconds now = loop_.now();
-    // What was known once stays known, also when a sibling begins anew and can no longer speak for it.
-    known_ = std::max(known_, fresh_);
-    known_ = std::max(known_, vouch_(known_));
-    return now < known_ + span;
+    // What was known once stays known, also when a peer begins anew and can no longer speak for it.
+    cancellations_known_until_ = std::max(cancellations_known_until_, watched_until_);
+    cancellations_known_until_ =
+        std::max(cancellations_known_until_, renewal_bound_(cancellations_known_until_));
+    return now < cancellations_known_until_ + span;
 }
 
-// Known here before the state service can say so, the withdrawal is none that the renewal right must wait
+// Known here before the state service can say so, the cancellation is none that the renewal right must wait
 // for: letting all leases run out because of a single job cost the work of the whole fleet.
-void Leader::told_withdrawn(const std::string& id) {
-    told_[id] = loop_.now();
+void Leader::note_cancellation(const std::string& id) {
+    cancellation_notices_[id] = loop_.now();
     Job* job = jobs_.find(id);
-    if (!job || job->withdrawn) return;
-    log::info("job {}: withdrawn, as told to its user", id);
-    jobs_.withdraw(*job, loop_.now());
-    ask_round();
+    if (!job || job->cancelled) return;
+    log::info("job {}: cancelled, as confirmed to its user", id);
+    jobs_.cancel(*job, loop_.now());
+    request_pass();
 }
 
-Task<Response> Leader::hello(Report r, Seconds hold, bool direct) {
+Task<Response> Leader::handle_report(Report r, Seconds hold, bool direct) {
     Response no{503, "", 0, "application/msgpack"};
     if (r.epoch > term_.epoch) {
         deposed_("a worker has seen a later epoch");
@@ -342,12 +349,12 @@
     Seconds began = loop_.now();
     while (!loaded_ && !stopped_)
         if (co_await loop_.wait(ready_, began + hold) == Wake::kTimeout) co_return no;
-    if (stopped_ || gone_.count(r.host)) co_return no;
+    if (stopped_ || gone_.count(r.machine)) co_return no;
 
-    std::string name = r.host;
-    Host* h = &cluster_.ensure(name, loop_.now());
+    std::string name = r.machine;
+    Machine* h = &cluster_.ensure(name, loop_.now());
     if (h->reported && !r.newer_than(h->session, h->seq)) co_return no;  // a late copy
-    uint64_t mine = ++line(name).reports;
+    uint64_t mine = ++worker_session(name).reports;
     bool heard = h->unheard_since < 0;
     h->judge_hearing(r, direct, config_.lease_s, loop_.now());
     bool first = h->answered_at < 0;
@@ -365,31 +372,31 @@
     // then does a task's absence prove anything.
     jobs_.apply(cluster_, *h, r, h->current, loop_.now());
     if (h->leaves_at >= 0 && !noticed) drain(*h);
-    line(name).wake.notify();  // an older report of it, if one is held, is let go
+    worker_session(name).wake.notify();  // an older report of it, if one is held, is let go
     struct Held {
         Leader& l;
         const std::string& name;
         ~Held() {
-            if (Host* x = l.cluster_.host(name)) x->holding = false;
+            if (Machine* x = l.cluster_.machine(name)) x->holding = false;
         }
     };
     {
-        // It asks for work in the next round.
+        // It asks for work in the next scheduling pass.
         Held held{*this, name};
         h->holding = true;
-        uint64_t round = rounds_;
-        ask_round();
-        Seconds until = std::min(began + hold, loop_.now() + constants::kRoundWait_s);
-        while (rounds_ == round && !stopped_)
-            if (co_await loop_.wait(round_done_, until) == Wake::kTimeout) break;
+        uint64_t round = passes_;
+        request_pass();
+        Seconds until = std::min(began + hold, loop_.now() + constants::kPassWait_s);
+        while (passes_ == round && !stopped_)
+            if (co_await loop_.wait(pass_done_, until) == Wake::kTimeout) break;
     }
 
     // A commit is waited for from when it is needed, which may be late in a hold, but not past the time at
     // which the worker gives up.
     Seconds commit_until = -1;
     while (true) {
-        h = cluster_.host(name);
-        if (stopped_ || !h || line(name).reports != mine) co_return no;
+        h = cluster_.machine(name);
+        if (stopped_ || !h || worker_session(name).reports != mine) co_return no;
         Seconds until = -1;
         bool commits = jobs_.awaits_commit(*h);
         if (commits) {
@@ -407,29 +414,29 @@
         if (loop_.now() >= until) break;
         Held held{*this, name};
         h->holding = !commits;
-        co_await loop_.wait(line(name).wake, until);
+        co_await loop_.wait(worker_session(name).wake, until);
     }
     if (!may_renew()) {
         log::info("report of {} refused: a withdrawal could be missing", name);
         co_return no;
     }
     Response ok;
-    std::vector<Order> orders = jobs_.orders(*h, h->current);
-    for (const auto& o : orders)
+    std::vector<Command> commands = jobs_.commands(*h, h->current);
+    for (const auto& o : commands)
         log::debug("{} {} attempt {} to {}",
-                   o.verb == Verb::kLaunch ? "launch"
-                   : o.verb == Verb::kHalt ? "halt"
-                                           : "forget",
+                   o.verb == CommandKind::kLaunch ? "launch"
+                   : o.verb == CommandKind::kStop ? "stop"
+                                                  : "forget",
                    o.name.text(), o.attempt, name);
-    ok.body = pack_report_answer(term_.epoch, orders);
-    h->answered(direct && !line(name).ordering, loop_.now());
+    ok.body = pack_report_answer(term_.epoch, commands);
+    h->answered(direct && !worker_session(name).command_in_flight, loop_.now());
     co_return ok;
 }
 
 // A machine is about to be taken: what can save does so now, and replicas move at once. From a machine that
 // is only to be returned they move one by one (JobTable::move_replicas).
-void Leader::drain(Host& h) {
-    auto tasks = jobs_.on_host(h.name);
+void Leader::drain(Machine& h) {
+    auto tasks = jobs_.on_machine(h.name);
     for (const auto& r : tasks)
         if (r.job->spec.service() ? h.leaves_at >= 0 : r.job->spec.checkpoint_s > 0)
             jobs_.stop(*r.job, r.task, loop_.now());
@@ -437,25 +444,25 @@
 
 // Matching looks at all machines and the queue's head. Done for each report by itself it would cost the
 // number of machines squared, and at a take-over or in a crowd take the leader's whole processor share: what
-// comes within a round is decided together.
-Task<void> Leader::rounds() {
+// comes within a scheduling pass is decided together.
+Task<void> Leader::run_passes() {
     while (true) {
         while (!wanted_) co_await loop_.wait(ask_, -1);
-        if (loop_.now() < next_round_) co_await loop_.sleep(next_round_ - loop_.now());
+        if (loop_.now() < next_pass_) co_await loop_.sleep(next_pass_ - loop_.now());
         wanted_ = false;
         Seconds began = loop_.now();
         step();
-        // With a fleet or a queue that is large for this machine's share of a core, rounds come less often:
-        // workers lose their tasks if they are not answered, and nothing if they wait for work.
+        // With a fleet or a queue that is large for this machine's share of a core, scheduling passes come
+        // less often: workers lose their tasks if they are not answered, and nothing if they wait for work.
         Seconds took = loop_.now() - began;
-        next_round_ = began + std::max(constants::kRound_s, took * (1 + constants::kRoundRest));
-        longest_round_ = std::max(longest_round_, took);
-        ++rounds_;
-        round_done_.notify();
+        next_pass_ = began + std::max(constants::kPassInterval_s, took * (1 + constants::kPassRest));
+        longest_pass_ = std::max(longest_pass_, took);
+        ++passes_;
+        pass_done_.notify();
     }
 }
 
-void Leader::ask_round() {
+void Leader::request_pass() {
     wanted_ = true;
     ask_.notify();
 }
@@ -465,62 +472,62 @@
     cluster_.recount(jobs_, loop_.now(), constants::kFreshReports * config_.report_s);
     replica_.reset();
     for (const auto& [id, j] : jobs_.all()) {
-        if (!j->spec.service() || j->withdrawn) continue;
+        if (!j->spec.service() || j->cancelled) continue;
         Amount a = Amount::of(j->spec);
         if (replica_)
             a = {std::min(a.cpus, replica_->cpus), std::min(a.gpus, replica_->gpus),
                  std::min(a.memory_gb, replica_->memory_gb)};
         replica_ = a;
     }
-    MatchInput in{config_, settings_, loop_.now(), {}, nullptr, form_.in_force()};
-    for (auto& [name, h] : cluster_.hosts)
+    SchedulerInput in{config_, settings_, loop_.now(), {}, nullptr, record_format_.in_force()};
+    for (auto& [name, h] : cluster_.machines)
         if (h->holding) in.askers.push_back(h.get());
-    for (const auto& b : match(cluster_, jobs_, in))
+    for (const auto& b : schedule(cluster_, jobs_, in))
         log::debug("bound {}/{} attempt {} to {}", b.job->spec.id, b.task, b.job->live.at(b.task).attempt,
-                   b.host->name);
-    for (const auto& host : jobs_.take_urgent()) {
-        Line& l = line(host);
-        if (l.ordering) {
+                   b.machine->name);
+    for (const auto& machine : jobs_.take_urgent()) {
+        WorkerSession& l = worker_session(machine);
+        if (l.command_in_flight) {
             l.again = true;
-        } else if (Host* h = cluster_.host(host); h && !h->addr.empty()) {
-            l.ordering = true;
-            spawn(halt(host), "halt");
+        } else if (Machine* h = cluster_.machine(machine); h && !h->addr.empty()) {
+            l.command_in_flight = true;
+            spawn(send_stops(machine), "stop commands");
         }
     }
     if (jobs_.any_dirty()) dirty_.notify();
 }
 
-// Halts go at once; a gang must hear of its stop within gang_peer_s.
-Task<void> Leader::halt(std::string host) {
+// Stops go at once; a gang must hear of its stop within gang_peer_s.
+Task<void> Leader::send_stops(std::string machine) {
     do {
-        line(host).again = false;
-        Host* h = cluster_.host(host);
+        worker_session(machine).again = false;
+        Machine* h = cluster_.machine(machine);
         Address to;
         if (!h || !Address::parse(h->addr, to)) break;
-        std::vector<Order> halts = jobs_.orders(*h, false);
-        std::erase_if(halts, [](const Order& o) { return o.verb != Verb::kHalt; });
+        std::vector<Command> stops = jobs_.commands(*h, false);
+        std::erase_if(stops, [](const Command& o) { return o.verb != CommandKind::kStop; });
         // One that has not reported to this leader may be held by another that knows less. Its session is
         // learned from its refusal; a command that it takes also tells it of this epoch, and through it the
         // other.
         uint64_t session = h->session;
         if (session == 0)
-            for (const auto& r : jobs_.on_host(host))
-                if (r.job->withdrawn)
-                    halts.push_back({Verb::kHalt, {r.job->spec.id, r.task}, r.placement->attempt, 0});
-        if (halts.empty()) break;
+            for (const auto& r : jobs_.on_machine(machine))
+                if (r.job->cancelled)
+                    stops.push_back({CommandKind::kStop, {r.job->spec.id, r.task}, r.placement->attempt, 0});
+        if (stops.empty()) break;
         h->answered_direct = false;  // the command numbers a report, whether or not its answer arrives
-        auto report = co_await send_orders(loop_, to, term_.epoch, h->session, std::move(halts));
-        h = cluster_.host(host);
+        auto report = co_await send_commands(loop_, to, term_.epoch, h->session, std::move(stops));
+        h = cluster_.machine(machine);
         if (report && h && report->newer_than(h->session, h->seq)) {
             jobs_.apply(cluster_, *h, *report, false, loop_.now());
-            ask_round();
-            if (session == 0) line(host).again = true;
+            request_pass();
+            if (session == 0) worker_session(machine).again = true;
         }
-    } while (line(host).again);
-    if (cluster_.host(host)) {
-        line(host).ordering = false;
+    } while (worker_session(machine).again);
+    if (cluster_.machine(machine)) {
+        worker_session(machine).command_in_flight = false;
     } else {
-        lines_.erase(host);
+        worker_sessions_.erase(machine);
     }
 }
 
@@ -528,23 +535,23 @@
 
 Task<void> Leader::read_prices() {
     while (true) {
-        auto flavors = co_await cloud_.flavors();
-        if (flavors) {
-            cluster_.flavors = std::move(*flavors);
-            if (!flavors_kept_) {
+        auto machine_types = co_await cloud_.machine_types();
+        if (machine_types) {
+            cluster_.machine_types = std::move(*machine_types);
+            if (!machine_types_kept_) {
                 // Kept for controllers that start while the cloud is away.
-                std::string data = Cloud::pack_flavors(cluster_.flavors);
-                if (json_size(data) > config_.value_limit(kNewestForm)) {
+                std::string data = Cloud::pack_machine_types(cluster_.machine_types);
+                if (json_size(data) > config_.value_limit(kNewestRecordFormat)) {
                     log::info("the machine types are too many to be kept in the state service");
-                    flavors_kept_ = true;
+                    machine_types_kept_ = true;
                 } else {
                     Txn txn;
-                    txn.expect(term_.key, term_.stamp).put(kFlavorsKey, std::move(data));
+                    txn.expect(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
                     TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-                    flavors_kept_ = r.reply == Reply::kOk || r.reply == Reply::kInvalid;
+                    machine_types_kept_ = r.reply == Reply::kOk || r.reply == Reply::kInvalid;
                 }
             }
-            co_await loop_.sleep(constants::kFlavorsEvery_s);
+            co_await loop_.sleep(constants::kMachineTypesEvery_s);
         } else {
             co_await loop_.sleep(constants::kRetryPauseMax_s);
         }
@@ -558,13 +565,13 @@
         if (list) {
             for (const auto& m : *list) {
                 if (gone_.count(m.name)) continue;
-                Host& h = cluster_.ensure(m.name, loop_.now());
+                Machine& h = cluster_.ensure(m.name, loop_.now());
                 if (!h.listed) {
                     h.listed = true;
                     h.born = asked - m.age_s;
                     if (!h.reported) {
                         h.addr = m.addr;
-                        h.flavor = m.flavor;
+                        h.machine_type = m.machine_type;
                         h.zone = m.zone;
                         h.spot = m.spot;
                     }
@@ -595,20 +602,20 @@
             log::info("stood still for {:.1f} s", loop_.now() - slept - constants::kFleetTick_s);
             listening_since_ = loop_.now();
         }
-        ask_round();  // time has passed: what was held may go
-        return_for_withdrawn();
-        if (loop_.now() - urged_ >= config_.report_s) {
-            urged_ = loop_.now();
-            jobs_.urge_withdrawn(loop_.now() - config_.report_s);
+        request_pass();  // time has passed: what was held may go
+        return_machines_holding_cancelled();
+        if (loop_.now() - stops_repeated_at_ >= config_.report_s) {
+            stops_repeated_at_ = loop_.now();
+            jobs_.repeat_stops(loop_.now() - config_.report_s);
         }
         // A leader that was cut off or stood still may have been followed by another: what it rents and
         // returns by its old view would undo the other's work. Cut off for 120 s, one returned the whole
         // fleet.
         if (!confirmed_()) continue;
-        if (cluster_.flavors.empty()) continue;
+        if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
         if (term_.epoch > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
-        jobs_.find_crawlers(cluster_, loop_.now());
+        jobs_.find_stragglers(cluster_, loop_.now());
         jobs_.move_replicas(cluster_, loop_.now());
         FleetInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
                       refused_until_, on_order_, true,        kind_seen_spot_only(),
@@ -631,7 +638,7 @@
         }
         return_machines(plan);
         for (const auto& name : plan.empty_out) {
-            Host* h = cluster_.host(name);
+            Machine* h = cluster_.machine(name);
             if (!h) continue;
             log::info("machine {}: its {} tasks are moved, so that it can be returned", name, h->placed);
             h->emptying = true;
@@ -649,7 +656,7 @@
         if (!names.empty()) spawn(remove(std::exchange(names, {}), std::exchange(silent, {})), "return");
     };
     for (const auto& name : plan.give_back) {
-        Host* h = cluster_.host(name);
+        Machine* h = cluster_.machine(name);
         if (!h || h->deleting) continue;
         h->deleting = true;
         log::info("machine {} returned: {}", name, plan.reasons.at(name));
@@ -671,19 +678,19 @@
     Seconds pause = constants::kRetryPause_s;
     while (true) {
         co_await confirmation();
-        RentResult r = co_await cloud_.rent(claim, rental.kind.flavor, rental.kind.zone, rental.kind.spot,
-                                            rental.number);
+        RentResult r = co_await cloud_.rent(claim, rental.kind.machine_type, rental.kind.zone,
+                                            rental.kind.spot, rental.number);
         if (r.result == Rent::kRented || r.result == Rent::kNoCapacity) {
             for (const auto& name : r.machines) {
                 if (gone_.count(name)) continue;
-                Host& h = cluster_.ensure(name, loop_.now());
+                Machine& h = cluster_.ensure(name, loop_.now());
                 if (h.reported) continue;
-                h.flavor = rental.kind.flavor;
+                h.machine_type = rental.kind.machine_type;
                 h.zone = rental.kind.zone;
                 h.spot = rental.kind.spot;
             }
-            log::info("rented {} of {} {} in {}{}", r.machines.size(), rental.number, rental.kind.flavor,
-                      rental.kind.zone, rental.kind.spot ? ", spot" : "");
+            log::info("rented {} of {} {} in {}{}", r.machines.size(), rental.number,
+                      rental.kind.machine_type, rental.kind.zone, rental.kind.spot ? ", spot" : "");
             if (r.machines.size() < static_cast<size_t>(rental.number))
                 refused_until_[rental.kind] = loop_.now() + constants::kNoCapacity_s;
             break;
@@ -707,9 +714,9 @@
         // Whoever was silent and is heard before the cloud could be asked is kept.
         if (!perhaps)
             std::erase_if(names, [&](const std::string& name) {
-                Host* h = cluster_.host(name);
+                Machine* h = cluster_.machine(name);
                 if (!h || !silent.count(name) || h->last_report <= decided) return false;
-                if (holds_withdrawn(name)) return false;
+                if (holds_cancelled(name)) return false;
                 log::info("machine {}: heard again, kept", name);
                 h->deleting = false;
                 return true;
@@ -718,9 +725,9 @@
         std::vector<std::string> asked;
         if (confirmed_()) {
             asked = names;
-        } else if (uncontested_()) {
+        } else if (no_other_leader_()) {
             for (const auto& name : names)
-                if (holds_withdrawn(name)) asked.push_back(name);
+                if (holds_cancelled(name)) asked.push_back(name);
         }
         if (asked.empty()) {
             co_await loop_.sleep(constants::kRetryPause_s);
@@ -741,40 +748,40 @@
 // Their deletion was confirmed.
 void Leader::gone(const std::vector<std::string>& names) {
     for (const auto& name : names) {
-        jobs_.host_gone(name, loop_.now());
-        cluster_.hosts.erase(name);
-        lines_.erase(name);  // wakes what waits on it
+        jobs_.machine_gone(name, loop_.now());
+        cluster_.machines.erase(name);
+        worker_sessions_.erase(name);  // wakes what waits on it
         if (gone_.insert(name).second) gone_order_.push_back(name);
         if (gone_order_.size() > constants::kGone) {
             gone_.erase(gone_order_.front());
             gone_order_.pop_front();
         }
     }
-    ask_round();
+    request_pass();
 }
 
-bool Leader::holds_withdrawn(const std::string& host) const {
-    const auto& tasks = jobs_.on_host(host);
-    return std::any_of(tasks.begin(), tasks.end(), [](const Resident& r) { return r.job->withdrawn; });
+bool Leader::holds_cancelled(const std::string& machine) const {
+    const auto& tasks = jobs_.on_machine(machine);
+    return std::any_of(tasks.begin(), tasks.end(), [](const Resident& r) { return r.job->cancelled; });
 }
 
-// In an outage of the state service for all this cannot wait for a confirmation. Where every sibling knows
+// In an outage of the state service for all this cannot wait for a confirmation. Where every peer knows
 // of no later leader there is none whose work could be undone; and no rule breaks if there were, since a
 // machine that is deleted runs nothing.
-void Leader::return_for_withdrawn() {
-    if (!confirmed_() && !uncontested_()) return;
+void Leader::return_machines_holding_cancelled() {
+    if (!confirmed_() && !no_other_leader_()) return;
     FleetPlan plan;
-    plan.give_back =
-        hold_withdrawn(cluster_, jobs_, config_, loop_.now(), std::max(loaded_at_, listening_since_));
+    plan.give_back = machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
+                                                std::max(loaded_at_, listening_since_));
     for (const auto& name : plan.give_back) {
         plan.silent.insert(name);
-        plan.reasons[name] = "it may hang with a task of a withdrawn job";
+        plan.reasons[name] = "it may hang with a task of a cancelled job";
     }
     return_machines(plan);
 }
 
 size_t Leader::machines_reported() const {
-    return static_cast<size_t>(std::count_if(cluster_.hosts.begin(), cluster_.hosts.end(),
+    return static_cast<size_t>(std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
                                              [](const auto& h) { return h.second->reported; }));
 }
 
@@ -795,8 +802,8 @@
 }
 
 void Leader::account(Seconds since) {
-    for (const auto& [name, h] : cluster_.hosts) {
-        const Flavor* f = cluster_.flavor(h->flavor);
+    for (const auto& [name, h] : cluster_.machines) {
+        const MachineType* f = cluster_.machine_type(h->machine_type);
         if (!f || h->phase == MachinePhase::kFailed) continue;
         if (!h->reported) {
             spent_.booting += f->gpus * since;
@@ -818,8 +825,8 @@
     fleet_logged_ = loop_.now();
     size_t booting = 0, spot = 0, idle = 0, waiting = 0, jobs = 0;
     double gpus = 0, free = 0;
-    for (const auto& [name, h] : cluster_.hosts) {
-        const Flavor* f = cluster_.flavor(h->flavor);
+    for (const auto& [name, h] : cluster_.machines) {
+        const MachineType* f = cluster_.machine_type(h->machine_type);
         booting += !h->reported;
         spot += h->spot;
         idle += h->reported && h->idle();
@@ -834,9 +841,9 @@
     }
     log::info(
         "{} machines, {} of them spot, {} not up yet, {} idle; {:.0f} of {:.0f} GPUs taken; {} tasks of {} "
-        "jobs wait; {} records to be written; rounds take up to {:.0f} ms",
-        cluster_.hosts.size(), spot, booting, idle, gpus - free, gpus, waiting, jobs, jobs_.backlog(),
-        std::exchange(longest_round_, 0) * 1000);
+        "jobs wait; {} records to be written; scheduling passes take up to {:.0f} ms",
+        cluster_.machines.size(), spot, booting, idle, gpus - free, gpus, waiting, jobs, jobs_.backlog(),
+        std::exchange(longest_pass_, 0) * 1000);
     double all = spent_.booting + spent_.idle + spent_.unused + spent_.starting + spent_.running;
     if (all > 0)
         log::info(
@@ -857,7 +864,7 @@
             s += fmt::format("{} {} team {} {} of {} tasks done, {} on machines, {} waiting", id,
                              j->spec.gang() ? "gang" : "array", j->spec.team, j->done.size(), j->spec.tasks,
                              j->live.size(), j->pending.size());
-        if (j->withdrawn) s += ", withdrawn";
+        if (j->cancelled) s += ", cancelled";
         if (j->waiting())
             s += fmt::format(" for {:.0f} s: {}", loop_.now() - j->waiting_since, wait_text(j->why));
         s += '\n';
@@ -867,11 +874,11 @@
 
 std::string Leader::machines_page() const {
     std::string s;
-    for (const auto& [name, h] : cluster_.hosts) {
+    for (const auto& [name, h] : cluster_.machines) {
         const char* phase = h->phase == MachinePhase::kBooting   ? "booting"
                             : h->phase == MachinePhase::kRunning ? "running"
                                                                  : "failed";
-        s += fmt::format("{} {} {}{} {} {} tasks, report {:.0f} s ago{}{}\n", name, h->flavor, h->zone,
+        s += fmt::format("{} {} {}{} {} {} tasks, report {:.0f} s ago{}{}\n", name, h->machine_type, h->zone,
                          h->spot ? " spot" : "", phase, h->placed, loop_.now() - h->last_report,
                          h->condemned ? ", condemned: " + h->why_condemned : "",
                          h->deleting ? ", being returned" : "");
--- a/src/lead/leader.h
+++ b/src/leader/leader.h
@@ -6,8 +6,8 @@
 
 #include "base/bucket.h"
 #include "fleet/plan.h"
-#include "match/match.h"
-#include "state/form.h"
+#include "scheduler/scheduler.h"
+#include "state/record_format.h"
 
 namespace hareshore {
 
@@ -15,23 +15,24 @@
   public:
     struct Term {
         uint64_t epoch = 0;
-        uint64_t stamp = 0;  // of the leadership key
-        std::string key;     // the leadership key
+        uint64_t mod_revision = 0;  // of the leadership key
+        std::string key;            // the leadership key
     };
-    // Until when the siblings vouch that no withdrawal was told that this node could be missing, given
-    // that it misses none told before `since`. Which were told it hears by told_withdrawn().
-    using Vouch = std::function<Seconds(Seconds since)>;
+    // Until when the peers confirm that no cancellation was told that this node could be missing, given
+    // that it misses none told before `since`. Which were told it hears by note_cancellation().
+    using RenewalBound = std::function<Seconds(Seconds since)>;
     // Whether this leadership is certain now.
     using Confirmed = std::function<bool()>;
     // Whether no other leadership can exist, though the state service does not say so.
-    using Uncontested = std::function<bool()>;
+    using NoOtherLeader = std::function<bool()>;
     using Deposed = std::function<void(const char* why)>;
-    // Whether every sibling has said that it knows the newest form of records.
+    // Whether every peer has said that it knows the newest format of records.
     using AllUpgraded = std::function<bool()>;
 
     Leader(Loop& loop, const Config& config, const Settings& settings, StateService& state, Cloud& cloud,
-           Term term, std::vector<Flavor> flavors, Vouch vouch, Confirmed confirmed, Uncontested uncontested,
-           Deposed deposed, Form& form, AllUpgraded all_upgraded);
+           Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound, Confirmed confirmed,
+           NoOtherLeader no_other_leader, Deposed deposed, RecordFormat& record_format,
+           AllUpgraded all_upgraded);
     void start();
     void stop();
     bool stopped() const { return stopped_; }
@@ -39,16 +40,16 @@
 
     // A worker's report, and the answer to it. 421 means that another leads.
     // `hold`: how long the answer may be held for work that comes.
-    // `direct`: it came on the worker's own connection, not through a sibling.
-    Task<Response> hello(Report report, Seconds hold, bool direct);
+    // `direct`: it came on the worker's own connection, not through a peer.
+    Task<Response> handle_report(Report report, Seconds hold, bool direct);
 
-    // A user is being told that this job is withdrawn, by this node or by a sibling: its tasks must go, also
+    // A user is being told that this job is cancelled, by this node or by a peer: its tasks must go, also
     // while the state service cannot say so.
-    void told_withdrawn(const std::string& id);
+    void note_cancellation(const std::string& id);
 
     // How many machines have reported to this leader, and for how long it has known its view.
     size_t machines_reported() const;
-    uint64_t rounds_done() const { return rounds_; }  // of matching, so far
+    uint64_t passes_done() const { return passes_; }  // of matching, so far
     Seconds loaded_for() const { return loaded_ ? loop_.now() - loaded_at_ : 0; }
 
     std::string jobs_page() const;
@@ -58,21 +59,21 @@
 
   private:
     // What belongs to a machine's connection rather than to the machine.
-    struct Line {
-        explicit Line(Loop& loop) : wake(loop) {}
+    struct WorkerSession {
+        explicit WorkerSession(Loop& loop) : wake(loop) {}
         Signal wake;
-        uint64_t reports = 0;   // how many came; an older one's answer is dropped by the worker
-        bool ordering = false;  // a direct command is on its way
-        bool again = false;     // another is wanted after it
+        uint64_t reports = 0;            // how many came; an older one's answer is dropped by the worker
+        bool command_in_flight = false;  // a direct command is on its way
+        bool again = false;              // another is wanted after it
     };
 
     Task<void> load();
     Task<bool> read_records();
     Task<void> watch();
     Task<void> commit();
-    Task<void> raise_form();
+    Task<void> raise_record_format();
     Task<bool> reread(std::string id);
-    void set_aside(Job& job, uint64_t version, uint64_t form, const char* why);
+    void defer_write(Job& job, uint64_t version, uint64_t record_format, const char* why);
     Task<void> read_machines();
     Task<void> read_prices();
     Task<void> run_fleet();
@@ -80,20 +81,20 @@
     Task<void> confirmation();
     Task<void> remove(std::vector<std::string> names, std::set<std::string> silent);
     void return_machines(const FleetPlan& plan);
-    void return_for_withdrawn();
-    bool holds_withdrawn(const std::string& host) const;
+    void return_machines_holding_cancelled();
+    bool holds_cancelled(const std::string& machine) const;
     void gone(const std::vector<std::string>& names);
-    Task<void> halt(std::string host);
+    Task<void> send_stops(std::string machine);
 
     void spawn(Task<void> task, const char* name);
-    Task<void> rounds();
-    void ask_round();
+    Task<void> run_passes();
+    void request_pass();
     void step();  // matches, and sends off what came of it
-    void drain(Host& host);
-    void wake(const std::string& host);
-    Line& line(const std::string& host);
+    void drain(Machine& machine);
+    void wake(const std::string& machine);
+    WorkerSession& worker_session(const std::string& machine);
     bool may_renew();
-    void finished(const std::string& id, uint64_t tide);
+    void finished(const std::string& id, uint64_t revision);
     void take_change(const Change& c);
     void log_waiting();
     void account(Seconds since);
@@ -106,16 +107,16 @@
     StateService& state_;
     Cloud& cloud_;
     Term term_;
-    Vouch vouch_;
+    RenewalBound renewal_bound_;
     Confirmed confirmed_;
-    Uncontested uncontested_;
+    NoOtherLeader no_other_leader_;
     Deposed deposed_;
-    Form& form_;
+    RecordFormat& record_format_;
     AllUpgraded all_upgraded_;
 
     JobTable jobs_;
     Cluster cluster_;
-    std::unordered_map<std::string, std::unique_ptr<Line>> lines_;
+    std::unordered_map<std::string, std::unique_ptr<WorkerSession>> worker_sessions_;
     std::set<std::string> gone_;  // machines whose deletion was confirmed
     std::deque<std::string> gone_order_;
     std::unordered_map<std::string, uint64_t> finished_;  // jobs erased from the table, with the revision
@@ -123,29 +124,30 @@
     std::map<Kind, Seconds> refused_until_;
     std::vector<Rental> on_order_;
     std::map<std::string, Seconds> cut_at_;  // when a zone was last taken for cut off
-    Seconds flavors_read_ = -1e9;
-    bool flavors_kept_ = false;
+    Seconds machine_types_read_ = -1e9;
+    bool machine_types_kept_ = false;
 
     bool loaded_ = false, stopped_ = false;
-    uint64_t tide_ = 0;                    // the watch has seen all changes up to this revision
-    Seconds fresh_ = -1e9;                 // no withdrawal committed before this is missing
-    Seconds known_ = -1e9;                 // no withdrawal told to a user before this is missing
-    std::map<std::string, Seconds> told_;  // jobs known to be withdrawn by telling, and since when
+    uint64_t revision_ = 0;                     // the watch has seen all changes up to this revision
+    Seconds watched_until_ = -1e9;              // no cancellation committed before this is missing
+    Seconds cancellations_known_until_ = -1e9;  // no cancellation told to a user before this is missing
+    std::map<std::string, Seconds>
+        cancellation_notices_;  // jobs known to be cancelled by telling, and since when
     Seconds loaded_at_ = 0;
     Seconds listening_since_ = 0;  // before this, that a machine was silent says nothing
     uint64_t claims_ = 0;
     Seconds fleet_logged_ = -1e9;
-    Seconds urged_ = -1e9;  // when halts of withdrawn work were last repeated
+    Seconds stops_repeated_at_ = -1e9;  // when stops of cancelled work were last repeated
     // Where the GPU time that is paid for goes, in GPU seconds since this leader began; for the log.
     struct Spent {
         double booting = 0, idle = 0, unused = 0, starting = 0, running = 0;
     } spent_;
     Bucket writes_;
     std::optional<Amount> replica_;  // what no replica of a service asks less than; none without services
-    bool wanted_ = false;            // a round of matching is wanted
-    uint64_t rounds_ = 0;
-    Seconds next_round_ = -1e9, longest_round_ = 0;
-    Signal ready_, dirty_, ask_, round_done_;
+    bool wanted_ = false;            // a scheduling pass is wanted
+    uint64_t passes_ = 0;
+    Seconds next_pass_ = -1e9, longest_pass_ = 0;
+    Signal ready_, dirty_, ask_, pass_done_;
     Scope scope_;
 };
 
--- a/src/main.cc
+++ b/src/main.cc
@@ -30,7 +30,7 @@
         SystemClock clock;
         Loop loop(clock);
         Controller controller(loop, config, settings);
-        log::info("hareshore {} in {}, {} siblings", HARESHORE_VERSION, config.zone, config.siblings.size());
+        log::info("hareshore {} in {}, {} peers", HARESHORE_VERSION, config.zone, config.peers.size());
         loop.run();
     } catch (const std::exception& e) {
         std::cerr << "hareshore: " << e.what() << '\n';
--- a/src/node.cc
+++ b/src/node.cc
@@ -16,9 +16,9 @@
 // The nodes stand for election one after the other, in the order of their labels.
 double place_of(const Config& c) {
     size_t before = 0;
-    for (const auto& s : c.siblings)
+    for (const auto& s : c.peers)
         if (s.label < c.label) ++before;
-    return c.siblings.empty() ? 0 : static_cast<double>(before) / static_cast<double>(c.siblings.size());
+    return c.peers.empty() ? 0 : static_cast<double>(before) / static_cast<double>(c.peers.size());
 }
 
 size_t connection_limit(const Config& c) {
@@ -31,7 +31,7 @@
                       constants::kAnswerLimit);
 }
 
-const std::string kFlavorsKey = "flavors";
+const std::string kMachineTypesKey = "flavors";
 
 }  // namespace
 
@@ -41,24 +41,24 @@
       settings_(settings),
       started_(loop.now()),
       state_(loop, config.state, answer_limit(config)),
-      cloud_(loop, config.cloud, config.cloud_rps, config.siblings.size() + 1),
+      cloud_(loop, config.cloud, config.cloud_rps, config.peers.size() + 1),
       election_(loop, state_, config.label, place_of(config)),
-      users_(loop, config, state_, flavors_, form_,
+      users_(loop, config, state_, machine_types_, record_format_,
              [this](const std::string& id) {
-                 siblings_.tell_withdrawn(id);
-                 told_withdrawn(id);
+                 peers_.announce_cancellation(id);
+                 note_cancellation(id);
              }),
-      siblings_(
-          loop, config, [this] { return beat(); },
+      peers_(
+          loop, config, [this] { return heartbeat(); },
           [this](std::string body) { return relayed(std::move(body)); },
-          [this](const std::string& id) { told_withdrawn(id); }),
+          [this](const std::string& id) { note_cancellation(id); }),
       server_(loop, config.listen, connection_limit(config),
               [this](Request r) { return handle(std::move(r)); }),
       scope_(loop) {
     scope_.spawn(election_.run(), "election");
     scope_.spawn(follow_election(), "leadership");
-    scope_.spawn(learn_flavors(), "machine types");
-    scope_.spawn(follow_form(), "form of records");
+    scope_.spawn(learn_machine_types(), "machine types");
+    scope_.spawn(follow_record_format(), "record format");
 }
 
 Controller::~Controller() {
@@ -69,107 +69,108 @@
     if (leader_) leader_->stop();
     scope_.cancel();
     server_.stop();
-    siblings_.stop();
+    peers_.stop();
 }
 
-back::Beat Controller::beat() const {
-    back::Beat b{};
-    back::set_label(b, config_.label);
+peer::Heartbeat Controller::heartbeat() const {
+    peer::Heartbeat b{};
+    peer::set_label(b, config_.label);
     b.epoch = election_.leading() ? election_.epoch() : election_.known_epoch();
     b.leads = election_.leading();
     b.ready = ready();
     auto ms = [&](Seconds since) {
         return static_cast<uint32_t>(std::clamp((loop_.now() - since) * 1000, 0.0, 4e9));
     };
-    b.hellos = static_cast<uint16_t>(std::count_if(hellos_.begin(), hellos_.end(), [&](Seconds t) {
-        return loop_.now() - t < constants::kHelloWindow_s;
-    }));
+    b.reports_received =
+        static_cast<uint16_t>(std::count_if(report_times_.begin(), report_times_.end(), [&](Seconds t) {
+            return loop_.now() - t < constants::kReportWindow_s;
+        }));
     b.state_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
-    b.quiet_ms = ms(users_.last_withdrawal());
+    b.quiet_ms = ms(users_.last_cancellation());
     return b;
 }
 
-// What this node tells users itself its leader knows at once. Every sibling says which withdrawals it has
+// What this node tells users itself its leader knows at once. Every peer says which cancellations it has
 // told users of, or, in a version that does not say that, for how long it has told nobody of any. Where that
-// reaches back to `since`, we miss none told between `since` and the time at which the sibling was asked.
-Seconds Controller::vouched(Seconds since) const {
+// reaches back to `since`, we miss none told between `since` and the time at which the peer was asked.
+Seconds Controller::cancellations_known_until(Seconds since) const {
     Seconds until = loop_.now();
-    for (const auto& p : siblings_.peers()) {
-        if (!p.speaks_from(since)) return since;
+    for (const auto& p : peers_.peers()) {
+        if (!p.covers_since(since)) return since;
         until = std::min(until, p.answered);
     }
     return std::max(since, until);
 }
 
-// A user is being told, here or by a sibling, that the job is withdrawn. Without a leader there is nothing to
+// A user is being told, here or by a peer, that the job is cancelled. Without a leader there is nothing to
 // do: one that begins later reads the records after this, and finds it there.
-void Controller::told_withdrawn(const std::string& id) {
-    if (leader_) leader_->told_withdrawn(id);
+void Controller::note_cancellation(const std::string& id) {
+    if (leader_) leader_->note_cancellation(id);
 }
 
 bool Controller::all_upgraded() const {
-    return std::all_of(siblings_.peers().begin(), siblings_.peers().end(),
-                       [](const auto& p) { return p.form >= back::kForm; });
+    return std::all_of(peers_.peers().begin(), peers_.peers().end(),
+                       [](const auto& p) { return p.record_format >= peer::kPeerFormat; });
 }
 
-// Every sibling has answered lately and knows of no later term: there is no other leader.
-bool Controller::uncontested() const {
+// Every peer has answered lately and knows of no later term: there is no other leader.
+bool Controller::no_other_leader() const {
     if (!election_.leading()) return false;
-    for (const auto& p : siblings_.peers())
-        if (loop_.now() - p.answered >= constants::kBeatFresh_s || p.beat.epoch > election_.epoch())
+    for (const auto& p : peers_.peers())
+        if (loop_.now() - p.answered >= constants::kHeartbeatFresh_s || p.heartbeat.epoch > election_.epoch())
             return false;
     return true;
 }
 
 bool Controller::ready() const {
-    if (form_.newer()) return false;  // of what is kept it understands nothing
+    if (record_format_.newer()) return false;  // of what is kept it understands nothing
     Seconds age = loop_.now() - std::max(state_.last_contact(), started_);
     if (state_.last_contact() < 0) {
         // Started in an outage: it has not learned the machine types, but tells users as well as any other
         // when to come back, and the load balancer need not find it anew when the outage is over. Not before
-        // the siblings had time to say whether they are served.
-        if (age < 2 * constants::kBeat_s) return false;
+        // the peers had time to say whether they are served.
+        if (age < 2 * constants::kHeartbeat_s) return false;
     } else {
-        if (flavors_.empty()) return false;
+        if (machine_types_.empty()) return false;
         if (age < constants::kAlone_s) return true;
     }
     // In an outage for all, users are better answered than turned away; refused alone, others serve them.
-    bool company = siblings_.peers().empty();
-    for (const auto& p : siblings_.peers()) {
-        if (loop_.now() - p.heard >= constants::kBeatFresh_s) continue;
+    bool company = peers_.peers().empty();
+    for (const auto& p : peers_.peers()) {
+        if (loop_.now() - p.heard >= constants::kHeartbeatFresh_s) continue;
         company = true;
-        if (p.beat.ready && p.beat.state_age_ms < constants::kAlone_s * 1000 / 2) return false;
+        if (p.heartbeat.ready && p.heartbeat.state_age_ms < constants::kAlone_s * 1000 / 2) return false;
     }
-    // Without the state service and all siblings this node is more likely cut off than they are all down:
+    // Without the state service and all peers this node is more likely cut off than they are all down:
     // a user who stays with it would ask in vain until the cut ends.
     return company || age < constants::kCutOff_s;
 }
 
 Task<void> Controller::follow_election() {
     while (true) {
-        co_await loop_.wait(election_.changed(), loop_.now() + constants::kBeat_s);
-        for (const auto& p : siblings_.peers())
-            if (loop_.now() - p.heard < constants::kBeatFresh_s)
-                // One that does not lead vouches for the term all the same: the new leader itself may be
+        co_await loop_.wait(election_.changed(), loop_.now() + constants::kHeartbeat_s);
+        for (const auto& p : peers_.peers())
+            if (loop_.now() - p.heard < constants::kHeartbeatFresh_s)
+                // One that does not lead confirms for the term all the same: the new leader itself may be
                 // behind a cut from here.
-                election_.heard(p.beat.leads ? p.who.label : "", p.beat.epoch);
+                election_.heard(p.heartbeat.leads ? p.who.label : "", p.heartbeat.epoch);
         resign_if_cut_off();
         if (leader_ && (!election_.leading() || leader_->epoch() != election_.epoch())) {
             leader_->stop();
             leader_.reset();
         }
         if (!leader_ && election_.leading()) {
-            Leader::Term term{election_.epoch(), election_.stamp(), kLeaderKey};
+            Leader::Term term{election_.epoch(), election_.mod_revision(), kLeaderKey};
             uint64_t epoch = election_.epoch();
             leader_ = std::make_shared<Leader>(
-                loop_, config_, settings_, state_, cloud_, term, flavors_,
-                [this](Seconds since) { return vouched(since); },
+                loop_, config_, settings_, state_, cloud_, term, machine_types_,
+                [this](Seconds since) { return cancellations_known_until(since); },
                 [this, epoch] { return election_.epoch() == epoch && election_.confirmed(); },
-                [this, epoch] { return election_.epoch() == epoch && uncontested(); },
+                [this, epoch] { return election_.epoch() == epoch && no_other_leader(); },
                 [this, epoch](const char* why) {
                     if (election_.epoch() == epoch) election_.deposed(why);
                 },
-                form_, [this] { return all_upgraded(); });
+                record_format_, [this] { return all_upgraded(); });
             leader_->start();
         }
     }
@@ -179,9 +180,10 @@
 void Controller::resign_if_cut_off() {
     if (!leader_ || !election_.leading() || leader_->loaded_for() < constants::kResignQuiet_s) return;
     if (leader_->machines_reported() < constants::kResignMachines) return;
-    if (!hellos_.empty() && loop_.now() - hellos_.back() < constants::kResignQuiet_s) return;
-    for (const auto& p : siblings_.peers()) {
-        if (loop_.now() - p.heard > constants::kBeatFresh_s || p.beat.hellos < constants::kResignMachines)
+    if (!report_times_.empty() && loop_.now() - report_times_.back() < constants::kResignQuiet_s) return;
+    for (const auto& p : peers_.peers()) {
+        if (loop_.now() - p.heard > constants::kHeartbeatFresh_s ||
+            p.heartbeat.reports_received < constants::kResignMachines)
             continue;
         log::info("no worker reaches this node, but {} hears them", p.who.label);
         election_.resign(constants::kResignOut_s);
@@ -189,40 +191,41 @@
     }
 }
 
-Task<void> Controller::learn_flavors() {
+Task<void> Controller::learn_machine_types() {
     // What an earlier leader kept is at hand sooner than the cloud's word, and also while the cloud is away.
     // Later changes of prices concern only the leader, which reads them itself.
-    while (flavors_.empty()) {
-        GetResult kept = co_await state_.get(kFlavorsKey, constants::kStateCall_s);
+    while (machine_types_.empty()) {
+        GetResult kept = co_await state_.get(kMachineTypesKey, constants::kStateCall_s);
         if (kept.reply == Reply::kOk) {
-            if (auto f = Cloud::unpack_flavors(kept.entry.data)) flavors_ = std::move(*f);
+            if (auto f = Cloud::unpack_machine_types(kept.entry.data)) machine_types_ = std::move(*f);
         }
-        if (!flavors_.empty()) break;
-        auto got = co_await cloud_.flavors();
-        if (got) flavors_ = std::move(*got);
-        if (flavors_.empty()) co_await loop_.sleep(constants::kRetryPauseMax_s / 2);
+        if (!machine_types_.empty()) break;
+        auto got = co_await cloud_.machine_types();
+        if (got) machine_types_ = std::move(*got);
+        if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryPauseMax_s / 2);
     }
 }
 
-// Until the newest form is in force; no version goes back after that.
-Task<void> Controller::follow_form() {
-    while (form_.kept < kNewestForm) {
-        co_await learn_form(state_, form_);
-        if (form_.kept < kNewestForm) co_await loop_.sleep(constants::kFormEvery_s);
+// Until the newest format is in force; no version goes back after that.
+Task<void> Controller::follow_record_format() {
+    while (record_format_.kept < kNewestRecordFormat) {
+        co_await learn_record_format(state_, record_format_);
+        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
-    if (form_.newer()) election_.bar();
+    if (record_format_.newer()) election_.bar();
 }
 
-Task<Response> Controller::hello(std::string body) {
+Task<Response> Controller::handle_report(std::string body) {
     auto report = Report::parse(body);
     if (!report) co_return status(400);
     Report seen = *report;
     seen.tasks.clear();
-    hellos_.push_back(loop_.now());
-    while (hellos_.size() > constants::kPointed || loop_.now() - hellos_.front() > constants::kHelloWindow_s)
-        hellos_.pop_front();
+    report_times_.push_back(loop_.now());
+    while (report_times_.size() > constants::kPointed ||
+           loop_.now() - report_times_.front() > constants::kReportWindow_s)
+        report_times_.pop_front();
     if (auto leader = leader_) {
-        Response r = co_await leader->hello(std::move(*report), constants::kHoldReport_s, true);
+        Response r = co_await leader->handle_report(std::move(*report), constants::kHoldReport_s, true);
         if (r.status == 200) co_return r;
         if (leader_ == leader && election_.leading()) co_return r;
     }
@@ -230,7 +233,7 @@
     if (to.empty() || to == config_.label)
         co_return Response{421, pack_redirect(""), 0, "application/msgpack"};
     if (pointed_.size() > constants::kPointed) pointed_.clear();
-    Pointed& p = pointed_[seen.host];
+    Pointed& p = pointed_[seen.machine];
     Seconds now = loop_.now();
     // A copy of the report that was pointed, or of an older one, does not show that its sender came back.
     bool newer = seen.newer_than(p.session, p.seq);
@@ -240,7 +243,7 @@
         p.seq = seen.seq;
     }
     if (came_back_.size() > constants::kPointed) came_back_.clear();
-    if (back && p.relayed_since < 0) came_back_[seen.zone][seen.host] = now;
+    if (back && p.relayed_since < 0) came_back_[seen.zone][seen.machine] = now;
     // Workers of a zone cut off from the leader are passed on without being pointed there first.
     back = back || (newer && zone_cut(seen.zone));
     if (back && (p.relayed_since < 0 || now - p.relayed_since < constants::kRelayFor_s)) {
@@ -248,7 +251,7 @@
         if (p.relayed_since < 0 || p.leader != to) p.relayed_since = now;
         p.leader = to;
         p.at = now;
-        auto r = co_await siblings_.relay(to, std::move(body));
+        auto r = co_await peers_.relay(to, std::move(body));
         if (r && r->status == 200) co_return *r;
         co_return Response{421, pack_redirect(""), 0, "application/msgpack"};
     }
@@ -268,7 +271,7 @@
     auto report = Report::parse(body);
     auto leader = leader_;
     if (!report || !leader) co_return status(421);
-    co_return co_await leader->hello(std::move(*report), constants::kHoldRelayed_s, false);
+    co_return co_await leader->handle_report(std::move(*report), constants::kHoldRelayed_s, false);
 }
 
 Response Controller::operator_page(const std::string& path) {
@@ -289,7 +292,7 @@
 Task<Response> Controller::handle(Request q) {
     if (q.path == "/hello") {
         if (q.method != "POST") co_return status(405);
-        co_return co_await hello(std::move(q.body));
+        co_return co_await handle_report(std::move(q.body));
     }
     if (q.path == "/ready") {
         if (q.method != "GET") co_return status(405);
--- a/src/node.h
+++ b/src/node.h
@@ -1,10 +1,10 @@
 // One controller: it serves users, takes part in elections, and leads or points workers to the leader.
 #pragma once
-#include "back/siblings.h"
 #include "config/config.h"
 #include "http/server.h"
-#include "lead/election.h"
-#include "lead/leader.h"
+#include "leader/election.h"
+#include "leader/leader.h"
+#include "peer/peers.h"
 #include "users/service.h"
 
 namespace hareshore {
@@ -21,19 +21,19 @@
 
   private:
     Task<void> follow_election();
-    Task<void> learn_flavors();
-    Task<void> follow_form();
-    Task<Response> hello(std::string body);
+    Task<void> learn_machine_types();
+    Task<void> follow_record_format();
+    Task<Response> handle_report(std::string body);
     Task<Response> relayed(std::string body);
     Response operator_page(const std::string& path);
     bool ready() const;
     void resign_if_cut_off();
-    back::Beat beat() const;
-    Seconds vouched(Seconds since) const;
-    void told_withdrawn(const std::string& id);
-    // Whether every sibling has said that it knows the forms of this version.
+    peer::Heartbeat heartbeat() const;
+    Seconds cancellations_known_until(Seconds since) const;
+    void note_cancellation(const std::string& id);
+    // Whether every peer has said that it knows the formats of this version.
     bool all_upgraded() const;
-    bool uncontested() const;
+    bool no_other_leader() const;
 
     Loop& loop_;
     const Config& config_;
@@ -42,8 +42,8 @@
     StateService state_;
     Cloud cloud_;
     Election election_;
-    std::vector<Flavor> flavors_;
-    Form form_;
+    std::vector<MachineType> machine_types_;
+    RecordFormat record_format_;
     UserService users_;
     std::shared_ptr<Leader> leader_;
     // When a worker was pointed to which leader: one that comes back could not reach it.
@@ -57,8 +57,8 @@
     // Of each zone the workers that came back of late. One may be deaf; several speak for the others.
     std::map<std::string, std::map<std::string, Seconds>> came_back_;
     bool zone_cut(const std::string& zone);
-    std::deque<Seconds> hellos_;  // when workers' reports came
-    Siblings siblings_;
+    std::deque<Seconds> report_times_;  // when workers' reports came
+    Peers peers_;
     HttpServer server_;
     Scope scope_;
 };
--- a/src/match/match.cc
+++ b/src/scheduler/scheduler.cc
@@ -1,4 +1,4 @@
-#include "match/match.h"
+#include "scheduler/scheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -32,7 +32,7 @@
 std::set<const Job*> entitled_jobs(const Config& config, const JobTable& jobs) {
     std::map<std::string, std::vector<const Job*>> by_team;
     for (const auto& [id, job] : jobs.all())
-        if (!job->withdrawn && !job->over()) by_team[job->spec.team].push_back(job.get());
+        if (!job->cancelled && !job->over()) by_team[job->spec.team].push_back(job.get());
     std::set<const Job*> out;
     for (auto& [name, list] : by_team) {
         const Team* t = config.team(name);
@@ -52,7 +52,7 @@
     return out;
 }
 
-std::vector<Queued> queue_order(const JobTable& jobs, const MatchInput& in) {
+std::vector<Queued> queue_order(const JobTable& jobs, const SchedulerInput& in) {
     std::vector<Queued> q;
     auto entitled = entitled_jobs(in.config, jobs);
     for (const auto& [id, job] : jobs.all()) {
@@ -92,14 +92,14 @@
 
 namespace {
 
-class Matcher {
+class Scheduler {
   public:
-    Matcher(Cluster& c, JobTable& j, const MatchInput& in) : cluster_(c), jobs_(j), in_(in) {}
+    Scheduler(Cluster& c, JobTable& j, const SchedulerInput& in) : cluster_(c), jobs_(j), in_(in) {}
 
     std::vector<Binding> run() {
         entitled_ = entitled_jobs(in_.config, jobs_);
         auto queue = queue_order(jobs_, in_);
-        for (auto& h : cluster_.hosts)
+        for (auto& h : cluster_.machines)
             if (h.second->usable) usable_.push_back(h.second.get());
         for (size_t i = 0; i < queue.size();) {
             size_t end = i;
@@ -115,7 +115,7 @@
         Job* job = nullptr;
         uint32_t task = 0;
         const Placement* placement = nullptr;
-        Host* host = nullptr;
+        Machine* machine = nullptr;
     };
 
     void count(size_t steps) {
@@ -155,25 +155,25 @@
             job.why = Wait::kBackoff;
             return false;
         }
-        if (job.stray) {
+        if (job.orphan) {
             job.why = Wait::kOldAttempt;
             return false;
         }
         return true;
     }
 
-    bool fits(const Job& job, const Host& h) const {
+    bool fits(const Job& job, const Machine& h) const {
         // Cheapest first: most machines of a busy fleet are full.
         return h.usable && h.free.holds(job.spec) && room(job, h).holds(job.spec) &&
-               job.spec.allows(h.flavor, h.zone, h.spot) && !avoids(job, h);
+               job.spec.allows(h.machine_type, h.zone, h.spot) && !avoids(job, h);
     }
 
     // What a job may use of a machine's room. What is kept for a gang is lent to work that is expected to
     // be over before the gang can start.
-    Amount room(const Job& job, const Host& h) const {
+    Amount room(const Job& job, const Machine& h) const {
         Amount a = h.free;
         if (h.kept.cpus <= 0 && h.kept.gpus <= 0 && h.kept.memory_gb <= 0) return a;
-        const Flavor* f = cluster_.flavor(h.flavor);
+        const MachineType* f = cluster_.machine_type(h.machine_type);
         Seconds fetch = f && f->fetch_gb_per_s > 0 && !h.cache.has(job.spec.image)
                             ? job.spec.image_gb / f->fetch_gb_per_s
                             : 0;
@@ -183,11 +183,11 @@
     }
 
     // A job keeps away from machines it failed on, unless it is blamed itself.
-    static bool avoids(const Job& job, const Host& h) {
+    static bool avoids(const Job& job, const Machine& h) {
         return !job.blamed && job.failed_on.count(h.name) > 0;
     }
 
-    void bind(Job& job, uint32_t task, Host& h, uint64_t attempt) {
+    void bind(Job& job, uint32_t task, Machine& h, uint64_t attempt) {
         jobs_.bind(job, task, h, attempt, in_.now);
         h.free -= Amount::of(job.spec);
         ++h.placed;
@@ -230,20 +230,20 @@
                 keep_limit(q);
             }
         Amount least = least_of(jobs);
-        for (Host* h : in_.askers)
+        for (Machine* h : in_.askers)
             if (h->usable && h->free.holds(least)) pull(jobs, *h);
         for (const auto& q : jobs) make_room(q);
     }
 
     // One machine asks: it gets tasks until none fits it.
-    void pull(const std::vector<Queued>& jobs, Host& h) {
+    void pull(const std::vector<Queued>& jobs, Machine& h) {
         while (Job* job = pick(jobs, h)) {
             if (job->spec.gang()) job->attempt = job->next_attempt;
             bind(*job, *job->pending.first(), h, job->next_attempt++);
         }
     }
 
-    Job* pick(const std::vector<Queued>& jobs, Host& h) {
+    Job* pick(const std::vector<Queued>& jobs, Machine& h) {
         Job* best = nullptr;
         double best_gb = -1;
         const Queued* first = nullptr;
@@ -262,8 +262,8 @@
                 if (job.why != Wait::kHeldForImage) job.why = Wait::kNoRoom;
                 continue;
             }
-            const Host* one[] = {&h};
-            if (!job.room_in_record(in_.config, in_.form, one)) {
+            const Machine* one[] = {&h};
+            if (!job.room_in_record(in_.config, in_.record_format, one)) {
                 job.why = Wait::kRecordFull;
                 continue;
             }
@@ -289,11 +289,11 @@
     // Whether a task that the asker would have to fetch the image for should wait for a holder of it. A
     // replica's time counts from the first second: it waits only while a holder is likely to ask before the
     // image would be here, and no longer than that takes.
-    bool worth_holding(const Job& job, const Host& asker) {
+    bool worth_holding(const Job& job, const Machine& asker) {
         Seconds waited = in_.now - job.waiting_since;
         if (waited >= in_.settings.hold_s) return false;
         if (!job.spec.service()) return holders(job, asker, 1) > 0;
-        const Flavor* f = cluster_.flavor(asker.flavor);
+        const MachineType* f = cluster_.machine_type(asker.machine_type);
         Seconds fetch = f && f->fetch_gb_per_s > 0 ? job.spec.image_gb / f->fetch_gb_per_s : 0;
         if (waited >= constants::kImageHoldShare * fetch) return false;
         return static_cast<double>(holders(job, asker, UINT32_MAX)) * fetch > in_.config.report_s;
@@ -301,72 +301,72 @@
 
     // How much would be lost with the machine of what the job has elsewhere already: its replicas there, and
     // one that is too many on spot machines, which are taken back in waves.
-    static size_t crowding(const Job& job, const Host& h, size_t spot) {
+    static size_t crowding(const Job& job, const Machine& h, size_t spot) {
         auto here = std::count_if(job.live.begin(), job.live.end(),
-                                  [&](const auto& l) { return l.second.host == h.name; });
+                                  [&](const auto& l) { return l.second.machine == h.name; });
         return static_cast<size_t>(here) + (h.spot && 2 * (spot + 1) > job.spec.tasks ? 1 : 0);
     }
 
     // Whether a machine that has room would be a better place for a replica than the one that asks. The
     // longer it waits the more it puts up with: one that asks is better than one that may ask.
-    bool spreads_better(const Job& job, const Host& asker) {
+    bool spreads_better(const Job& job, const Machine& asker) {
         size_t spot = 0;
         for (const auto& [task, p] : job.live)
-            if (const Host* h = cluster_.host(p.host); h && h->spot) ++spot;
+            if (const Machine* h = cluster_.machine(p.machine); h && h->spot) ++spot;
         auto put_up_with = static_cast<size_t>((in_.now - job.waiting_since) / constants::kSpreadWait_s);
         size_t mine = crowding(job, asker, spot);
         if (mine <= put_up_with) return false;
         ZoneRule rule(job);
         count(usable_.size());
-        return std::any_of(usable_.begin(), usable_.end(), [&](const Host* h) {
+        return std::any_of(usable_.begin(), usable_.end(), [&](const Machine* h) {
             return h != &asker && fits(job, *h) && rule.room(h->zone) > 0 && crowding(job, *h, spot) < mine;
         });
     }
 
     // Other machines with the image and room, up to `most`.
-    uint32_t holders(const Job& job, const Host& asker, uint32_t most) {
+    uint32_t holders(const Job& job, const Machine& asker, uint32_t most) {
         uint32_t n = 0;
         auto [it, fresh] = holders_.try_emplace(job.spec.image);
         if (fresh) {
             count(usable_.size());
-            for (Host* h : usable_)
+            for (Machine* h : usable_)
                 if (h->cache.has(job.spec.image)) it->second.push_back(h);
         }
-        for (const Host* h : it->second)
+        for (const Machine* h : it->second)
             if (n < most && h != &asker && fits(job, *h) && ZoneRule(job).room(h->zone) > 0) ++n;
         return n;
     }
 
     // Machines for n tasks of a gang, those with the image first; empty if there is not room for all.
-    std::vector<Host*> gang_hosts(Job& job, const std::string& zone, uint32_t n, uint32_t& cached) {
-        std::vector<Host*> hosts;
-        // In a round free room only shrinks: what a gang of this size lacked, the next one like it lacks,
-        // too.
+    std::vector<Machine*> gang_machines(Job& job, const std::string& zone, uint32_t n, uint32_t& cached) {
+        std::vector<Machine*> machines;
+        // In a scheduling pass free room only shrinks: what a gang of this size lacked, the next one like it
+        // lacks, too.
         const JobSpec& s = job.spec;
         uint32_t& most =
             most_places_.try_emplace({s.cpus, s.gpus, s.memory_gb, zone}, UINT32_MAX).first->second;
         if (n > most) return {};
         count(usable_.size());
         most = 0;
-        for (Host* h : usable_)
+        for (Machine* h : usable_)
             if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kReportPieces);
         if (n > most) return {};
-        for (Host* h : usable_)
-            if ((zone.empty() || h->zone == zone) && fits(job, *h)) hosts.push_back(h);
+        for (Machine* h : usable_)
+            if ((zone.empty() || h->zone == zone) && fits(job, *h)) machines.push_back(h);
         // Of machines that are alike, those that can be told first: a held report is answered at once, and
         // the next one comes soonest from where the last is oldest.
-        auto key = [&](const Host* h) {
+        auto key = [&](const Machine* h) {
             return std::tuple(!h->cache.has(job.spec.image), h->free.gpus, h->free.cpus, !h->holding,
                               h->last_report);
         };
-        std::sort(hosts.begin(), hosts.end(), [&](const Host* a, const Host* b) {
+        std::sort(machines.begin(), machines.end(), [&](const Machine* a, const Machine* b) {
             auto x = key(a), y = key(b);
             return x != y ? x < y : a->name < b->name;
         });
-        std::vector<Host*> out;
+        std::vector<Machine*> out;
         ZoneRule rule(job);
         cached = 0;
-        for (Host* h : hosts) {
+        for (Machine* h : machines) {
             uint32_t k = room(job, *h).fits(job.spec, n - static_cast<uint32_t>(out.size()));
             while (k > 0 && rule.room(h->zone) > 0) {
                 out.push_back(h);
@@ -395,14 +395,14 @@
             make_limit(q, n);
             return;
         }
-        std::vector<Host*> best;
+        std::vector<Machine*> best;
         uint32_t best_cached = 0;
         std::vector<std::string> zones = job.spec.one_zone ? in_.config.zones : std::vector<std::string>{""};
         for (const auto& zone : zones) {
             uint32_t cached = 0;
-            auto hosts = gang_hosts(job, zone, n, cached);
-            if (!hosts.empty() && (best.empty() || cached > best_cached)) {
-                best = std::move(hosts);
+            auto machines = gang_machines(job, zone, n, cached);
+            if (!machines.empty() && (best.empty() || cached > best_cached)) {
+                best = std::move(machines);
                 best_cached = cached;
             }
         }
@@ -414,19 +414,19 @@
             job.why = Wait::kHeldForImage;
             return;
         }
-        std::vector<const Host*> on(best.begin(), best.end());
-        if (!job.room_in_record(in_.config, in_.form, on)) {
+        std::vector<const Machine*> on(best.begin(), best.end());
+        if (!job.room_in_record(in_.config, in_.record_format, on)) {
             job.why = Wait::kRecordFull;
             return;
         }
         if (fresh) job.attempt = job.next_attempt++;
-        for (Host* h : best) bind(job, *job.pending.first(), *h, job.attempt);
+        for (Machine* h : best) bind(job, *job.pending.first(), *h, job.attempt);
     }
 
     void stop_for(const Job& gainer, const std::vector<Victim>& victims) {
         for (const Victim& v : victims) {
             log::debug("task {}/{} is stopped for job {}", v.job->spec.id, v.task, gainer.spec.id);
-            ++v.host->changes;
+            ++v.machine->changes;
             jobs_.stop(*v.job, v.task, in_.now, true);
         }
     }
@@ -434,9 +434,9 @@
     // What comes free of a team's limit is kept for its gang that waits for it, from the team's work of lower
     // priority; the team's small jobs would else take each piece, and the gang would not start while they
     // keep coming. Once it starves, it is kept from all, also while machines are lacking: given back to the
-    // work that was stopped for it, that would be stopped and started again in each round. Not before, since
-    // limit that is kept is not used. Comes last of what is done for the gang, which would else count it
-    // twice.
+    // work that was stopped for it, that would be stopped and started again in each scheduling pass. Not
+    // before, since limit that is kept is not used. Comes last of what is done for the gang, which would else
+    // count it twice.
     void keep_limit(const Queued& q) {
         const Job& job = *q.job;
         bool waits = job.why == Wait::kTeamLimit || (q.starved && job.why == Wait::kGangRoom);
@@ -456,13 +456,13 @@
         TeamUse freed;
         for (const auto& [id, v] : jobs_.all()) {
             if (v->spec.team != s.team) continue;
-            bool yields = v->spec.rank < s.rank && !v->withdrawn && !v->spec.service() &&
+            bool yields = v->spec.rank < s.rank && !v->cancelled && !v->spec.service() &&
                           (!v->spec.gang() || v->spec.tasks == 1);
             for (const auto& [task, p] : v->live) {
                 if (p.stopping) {
                     freed.cpus += v->spec.cpus;
                     freed.gpus += v->spec.gpus;
-                } else if (Host* h = yields ? cluster_.host(p.host) : nullptr) {
+                } else if (Machine* h = yields ? cluster_.machine(p.machine) : nullptr) {
                     victims.push_back({v.get(), task, &p, h});
                 }
             }
@@ -491,8 +491,8 @@
         // Only holders, and only work that need not save first.
         std::vector<Offer> offers;
         for (const Offer& o : offers_of(q)) {
-            const Flavor* f = cluster_.flavor(o.host->flavor);
-            if (!o.host->cache.has(job.spec.image) ||
+            const MachineType* f = cluster_.machine_type(o.machine->machine_type);
+            if (!o.machine->cache.has(job.spec.image) ||
                 job.spec.image_gb < constants::kClaimFetch_s * f->fetch_gb_per_s)
                 continue;
             offers.push_back(o);
@@ -500,7 +500,8 @@
             size_t kept = 0;
             for (size_t i = 0; i < mine.steps.size(); ++i) {
                 const auto& step = mine.steps[i];
-                if (!std::all_of(step.begin(), step.end(), [](const Victim& v) { return v.job->hasty(); }))
+                if (!std::all_of(step.begin(), step.end(),
+                                 [](const Victim& v) { return v.job->skips_saving(); }))
                     continue;
                 if (kept != i) mine.steps[kept] = std::move(mine.steps[i]);
                 mine.losses[kept++] = mine.losses[i];
@@ -526,7 +527,7 @@
     // What one machine can give: places that are free or being freed, those that more victims free, and
     // those that come free by themselves.
     struct Offer {
-        Host* host = nullptr;
+        Machine* machine = nullptr;
         uint64_t changes = 0;                    // of the machine when this was found
         uint32_t places = 0;                     // without further victims
         std::vector<std::vector<Victim>> steps;  // each frees one more place
@@ -535,14 +536,15 @@
     };
 
     // Jobs that ask the same of machines and before which the same work yields: what machines offer them is
-    // found once a round, and again only of machines that have changed since. Looked at job by job, a queue
-    // of 100 gangs cost 700 machines each, and a round took longer than the leader's share allows.
+    // found once a scheduling pass, and again only of machines that have changed since. Looked at job by job,
+    // a queue of 100 gangs cost 700 machines each, and a scheduling pass took longer than the leader's share
+    // allows.
     using Demand = std::tuple<double, double, double, std::vector<std::string>, std::string, bool, Shape,
                               Rank, bool, std::string>;
     static Demand demand(const Queued& q) {
         const JobSpec& s = q.job->spec;
-        return {s.cpus, s.gpus,  s.memory_gb, s.flavors,  s.zone,
-                s.spot, s.shape, s.rank,      q.entitled, q.entitled ? s.team : std::string()};
+        return {s.cpus, s.gpus,  s.memory_gb, s.machine_types, s.zone,
+                s.spot, s.shape, s.rank,      q.entitled,      q.entitled ? s.team : std::string()};
     }
 
     const std::vector<Offer>& offers_of(const Queued& q) {
@@ -550,19 +552,19 @@
         std::vector<Offer>& list = it->second;
         if (fresh) {
             count(usable_.size());
-            for (Host* h : usable_)
-                if (q.job->spec.allows(h->flavor, h->zone, h->spot)) list.push_back(offer(q, *h));
+            for (Machine* h : usable_)
+                if (q.job->spec.allows(h->machine_type, h->zone, h->spot)) list.push_back(offer(q, *h));
         }
         for (Offer& o : list)
-            if (o.changes != o.host->changes) {
+            if (o.changes != o.machine->changes) {
                 count(1);
-                o = offer(q, *o.host);
+                o = offer(q, *o.machine);
             }
         return list;
     }
 
-    void keep(const Job& job, const std::vector<Host*>& places, Seconds until) {
-        for (Host* h : places) {
+    void keep(const Job& job, const std::vector<Machine*>& places, Seconds until) {
+        for (Machine* h : places) {
             h->kept += Amount::of(job.spec);
             h->kept_until = std::max(h->kept_until, until);
             ++h->changes;
@@ -578,7 +580,7 @@
     }
 
     bool yields(const Job& victim, const Queued& q) const {
-        if (&victim == q.job || victim.withdrawn) return false;
+        if (&victim == q.job || victim.cancelled) return false;
         if (victim.spec.service()) return false;  // its replicas make room for nobody
         // Stopped, its only task would be what a starved job began with, and it would take the room again.
         if (in_.now - victim.accepted > in_.settings.begin_bound_s && victim.done.empty() &&
@@ -617,15 +619,15 @@
         });
     }
 
-    Offer offer(const Queued& q, Host& h) {
+    Offer offer(const Queued& q, Machine& h) {
         Offer o;
-        o.host = &h;
+        o.machine = &h;
         o.changes = h.changes;
         Amount room = h.free;
         room -= h.kept;
         std::vector<Victim> victims;
         std::vector<std::pair<Seconds, Amount>> ends;
-        for (const auto& [v, task, p] : jobs_.on_host(h.name)) {
+        for (const auto& [v, task, p] : jobs_.on_machine(h.name)) {
             if (p->stopping) {
                 room += Amount::of(v->spec);
                 continue;
@@ -709,8 +711,8 @@
         const std::vector<Offer>& offers = offers_of(q);
         ZoneRule rule(job);
         auto take = [&](const Offer& o) {
-            if (left == 0 || rule.room(o.host->zone) == 0) return false;
-            rule.add(o.host->zone);
+            if (left == 0 || rule.room(o.machine->zone) == 0) return false;
+            rule.add(o.machine->zone);
             --left;
             return true;
         };
@@ -722,7 +724,7 @@
         std::vector<Step> steps;
         count(offers.size());
         for (const Offer& o : offers) {
-            if (avoids(job, *o.host)) continue;
+            if (avoids(job, *o.machine)) continue;
             for (uint32_t i = 0; i < o.places; ++i)
                 if (!take(o)) break;
             for (size_t i = 0; i < o.steps.size(); ++i) steps.push_back({o.losses[i], &o, i});
@@ -730,8 +732,8 @@
         if (left == 0) return;
         // A machine's steps build on each other; the first of them loses least.
         std::sort(steps.begin(), steps.end(), [](const Step& a, const Step& b) {
-            return std::tie(a.index, a.loss, a.offer->host->name) <
-                   std::tie(b.index, b.loss, b.offer->host->name);
+            return std::tie(a.index, a.loss, a.offer->machine->name) <
+                   std::tie(b.index, b.loss, b.offer->machine->name);
         });
         std::vector<Victim> victims;
         for (const Step& s : steps) {
@@ -744,7 +746,7 @@
 
     // Where the places of a job that waits could come from in one zone.
     struct Room {
-        std::vector<Host*> keep;  // one entry a place
+        std::vector<Machine*> keep;  // one entry a place
         std::vector<Victim> victims;
         bool whole = false;  // with the victims all tasks have a place
         Seconds at = 0;      // when all have one without them
@@ -761,21 +763,22 @@
             const Offer* offer;
             size_t index;
             auto key(const Job& j) const {
-                return std::tuple(!offer->host->cache.has(j.spec.image), offer->losses[index], offer, index);
+                return std::tuple(!offer->machine->cache.has(j.spec.image), offer->losses[index], offer,
+                                  index);
             }
         };
         std::vector<Step> steps;
-        std::vector<std::pair<Seconds, Host*>> later;
+        std::vector<std::pair<Seconds, Machine*>> later;
         count(offers.size());
         for (const Offer& o : offers) {
-            if ((!zone.empty() && o.host->zone != zone) || avoids(job, *o.host)) continue;
+            if ((!zone.empty() && o.machine->zone != zone) || avoids(job, *o.machine)) continue;
             uint32_t k = std::min(left, o.places);
             left -= k;
-            for (uint32_t i = 0; i < k; ++i) r.keep.push_back(o.host);
+            for (uint32_t i = 0; i < k; ++i) r.keep.push_back(o.machine);
             for (size_t i = 0; i < o.steps.size(); ++i) steps.push_back({&o, i});
-            for (Seconds t : o.later) later.emplace_back(t, o.host);
+            for (Seconds t : o.later) later.emplace_back(t, o.machine);
         }
-        std::vector<Host*> free = r.keep;
+        std::vector<Machine*> free = r.keep;
         uint32_t missing = left;
         // Machines that have the image first, then those where least is lost. Steps of one machine are
         // taken in order, so that at most as many are passed over as are taken.
@@ -788,7 +791,7 @@
             for (size_t i = taken[s.offer]; i <= s.index && left > 0; ++i) {
                 const auto& v = s.offer->steps[i];
                 r.victims.insert(r.victims.end(), v.begin(), v.end());
-                r.keep.push_back(s.offer->host);
+                r.keep.push_back(s.offer->machine);
                 taken[s.offer] = i + 1;
                 --left;
             }
@@ -814,7 +817,7 @@
 
     Cluster& cluster_;
     JobTable& jobs_;
-    const MatchInput& in_;
+    const SchedulerInput& in_;
     std::set<const Job*> entitled_;
     struct KeptLimit {
         Rank rank;
@@ -822,9 +825,9 @@
         TeamUse use;
     };
     std::map<std::string, std::vector<KeptLimit>> kept_limit_;  // for gangs that wait for their team's limit
-    std::vector<Host*> usable_;
+    std::vector<Machine*> usable_;
     std::map<Demand, std::vector<Offer>> offers_;
-    std::map<std::string, std::vector<Host*>> holders_;                                // by image
+    std::map<std::string, std::vector<Machine*>> holders_;                             // by image
     std::map<std::tuple<double, double, double, std::string>, uint32_t> most_places_;  // by size and zone
     std::vector<Binding> bound_;
     size_t sought_ = 0;
@@ -832,8 +835,8 @@
 
 }  // namespace
 
-std::vector<Binding> match(Cluster& cluster, JobTable& jobs, const MatchInput& in) {
-    return Matcher(cluster, jobs, in).run();
+std::vector<Binding> schedule(Cluster& cluster, JobTable& jobs, const SchedulerInput& in) {
+    return Scheduler(cluster, jobs, in).run();
 }
 
 }  // namespace hareshore
--- a/src/match/match.h
+++ b/src/scheduler/scheduler.h
@@ -7,26 +7,26 @@
 
 namespace hareshore {
 
-struct MatchInput {
+struct SchedulerInput {
     const Config& config;
     const Settings& settings;
     Seconds now = 0;
     // Machines whose reports ask for work now: the one that reports, and those whose reports are held.
-    std::vector<Host*> askers;
+    std::vector<Machine*> askers;
     uint64_t* steps =
         nullptr;  // counts the steps taken, machines looked at above all; for tests of their growth
-    uint64_t form = kNewestForm;  // of the records that are written now
+    uint64_t record_format = kNewestRecordFormat;  // of the records that are written now
 };
 
 struct Binding {
     Job* job = nullptr;
     uint32_t task = 0;
-    Host* host = nullptr;
+    Machine* machine = nullptr;
 };
 
 // Binds tasks in the table and takes their room from the machines; Cluster::recount() must be current.
 // Where a job may take room from others, their tasks are told to stop in the table.
-std::vector<Binding> match(Cluster& cluster, JobTable& jobs, const MatchInput& in);
+std::vector<Binding> schedule(Cluster& cluster, JobTable& jobs, const SchedulerInput& in);
 
 // Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 std::set<const Job*> entitled_jobs(const Config& config, const JobTable& jobs);
@@ -41,7 +41,7 @@
     bool aged = false;
     int lost = 0;  // aims that it misses whatever is done: after those that can still make more of them
 };
-std::vector<Queued> queue_order(const JobTable& jobs, const MatchInput& in);
+std::vector<Queued> queue_order(const JobTable& jobs, const SchedulerInput& in);
 
 // What none of the jobs asks less than: a machine without it need not be offered to each.
 Amount least_of(const std::vector<Queued>& jobs);
--- /dev/null
+++ b/src/state/record_format.cc
@@ -0,0 +1,38 @@
+#include "state/record_format.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "base/log.h"
+
+namespace hareshore {
+
+std::string pack_record_format(uint64_t record_format) {
+    Packer p;
+    p.map(1).key("v").count(record_format);
+    return p.take();
+}
+
+uint64_t unpack_record_format(const std::string& packed) {
+    auto m = Message::parse(packed);
+    auto v = m ? m->root()["v"].count() : std::nullopt;
+    return v && *v > 0 ? *v : UINT64_MAX;
+}
+
+Task<bool> learn_record_format(StateService& state, RecordFormat& record_format) {
+    GetResult got = co_await state.get(kRecordFormatKey, constants::kStateCall_s);
+    if (got.reply == Reply::kAbsent) co_return true;
+    if (got.reply != Reply::kOk) co_return false;
+    uint64_t v = unpack_record_format(got.entry.data);
+    if (v > record_format.kept) {
+        record_format.kept = v;
+        if (record_format.newer()) {
+            log::error("the records are of a format that this version does not know: it decides nothing");
+        } else {
+            log::info("records are written in format {} from now on", v);
+        }
+    }
+    co_return true;
+}
+
+}  // namespace hareshore
