--- a/src/state/state.cc
+++ b/src/state/state.cc
@@ -4,8 +4,8 @@
 
 namespace hareshore {
 
-Txn& Txn::expect(std::string key, uint64_t stamp) {
-    when.emplace_back(std::move(key), stamp);
+Txn& Txn::expect(std::string key, uint64_t mod_revision) {
+    when.emplace_back(std::move(key), mod_revision);
     return *this;
 }
 Txn& Txn::put(std::string key, std::string data, uint64_t lease) {
@@ -20,7 +20,7 @@
 std::string Txn::pack() const {
     Packer p;
     p.map(writes.empty() ? 1 : 2).key("when").list(when.size());
-    for (const auto& [k, stamp] : when) p.map(2).key("k").text(k).key("stamp").count(stamp);
+    for (const auto& [k, mod_revision] : when) p.map(2).key("k").text(k).key("stamp").count(mod_revision);
     if (!writes.empty()) {
         p.key("writes").list(writes.size());
         for (const auto& w : writes) {
@@ -82,14 +82,14 @@
     }
     Node root = m->root();
     if (r.reply == Reply::kAbsent) {
-        r.tide = root["tide"].count_or(0);
+        r.revision = root["tide"].count_or(0);
         co_return r;
     }
     r.entry.key = std::move(key);
-    r.entry.stamp = root["stamp"].count_or(0);
+    r.entry.mod_revision = root["stamp"].count_or(0);
     r.entry.lease = root["mooring"].count_or(0);
     r.entry.data = repack(root["data"]);
-    if (r.entry.stamp == 0) r.reply = Reply::kUnknown;
+    if (r.entry.mod_revision == 0) r.reply = Reply::kUnknown;
     co_return r;
 }
 
@@ -106,18 +106,18 @@
     auto m = Message::parse(a.body);
     Node root = m ? m->root() : Node();
     auto more = root["has_next"].flag();
-    auto tide = root["tide"].count();
-    if (!more || !tide || !root["rows"].is_list()) {
+    auto revision = root["tide"].count();
+    if (!more || !revision || !root["rows"].is_list()) {
         r.reply = Reply::kUnknown;
         co_return r;
     }
     r.more = *more;
-    r.tide = *tide;
+    r.revision = *revision;
     for (size_t i = 0; i < root["rows"].size(); ++i) {
         Node row = root["rows"].at(i);
         Entry e;
         e.key = row["k"].text_or("");
-        e.stamp = row["stamp"].count_or(0);
+        e.mod_revision = row["stamp"].count_or(0);
         e.data = repack(row["data"]);
         r.entries.push_back(std::move(e));
     }
@@ -131,12 +131,12 @@
     r.reply = verdict(a);
     if (r.reply != Reply::kOk && r.reply != Reply::kConflict) co_return r;
     auto m = Message::parse(a.body);
-    auto tide = m ? m->root()["tide"].count() : std::nullopt;
-    if (!tide) {
+    auto revision = m ? m->root()["tide"].count() : std::nullopt;
+    if (!revision) {
         r.reply = Reply::kUnknown;
         co_return r;
     }
-    r.tide = *tide;
+    r.revision = *revision;
     Node failed = m->root()["failed"];
     for (size_t i = 0; i < failed.size(); ++i) r.failed.push_back(failed.at(i).text_or(""));
     co_return r;
@@ -183,16 +183,16 @@
     if (r.reply == Reply::kAbsent) co_return r;
     auto m = Message::parse(a.body);
     Node root = m ? m->root() : Node();
-    auto tide = root["tide"].count();
-    if (!tide) {
+    auto revision = root["tide"].count();
+    if (!revision) {
         r.reply = Reply::kUnknown;
         co_return r;
     }
-    r.tide = *tide;
+    r.revision = *revision;
     for (size_t i = 0; i < root["news"].size(); ++i) {
         Node n = root["news"].at(i);
         Change c;
-        c.stamp = n["stamp"].count_or(0);
+        c.mod_revision = n["stamp"].count_or(0);
         if (auto k = n["drop"].text()) {
             c.key = *k;
             c.dropped = true;
--- a/src/state/state.h
+++ b/src/state/state.h
@@ -18,7 +18,7 @@
 
 struct Entry {
     std::string key;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint64_t lease = 0;
     std::string data;  // packed
 };
@@ -26,27 +26,27 @@
 struct GetResult {
     Reply reply = Reply::kRefused;
     Entry entry;
-    uint64_t tide = 0;  // only when absent
+    uint64_t revision = 0;  // only when absent
 };
 
 struct ListResult {
     Reply reply = Reply::kRefused;
     std::vector<Entry> entries;
     bool more = false;
-    uint64_t tide = 0;
+    uint64_t revision = 0;
 };
 
 struct Change {
     std::string key;
     bool dropped = false;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     std::string data;  // packed
 };
 
 struct ChangesResult {
     Reply reply = Reply::kRefused;  // kAbsent: the revision is too old, read again
     std::vector<Change> changes;
-    uint64_t tide = 0;
+    uint64_t revision = 0;
 };
 
 struct Txn {
@@ -56,10 +56,10 @@
         std::string data;  // packed
         uint64_t lease = 0;
     };
-    std::vector<std::pair<std::string, uint64_t>> when;  // key, stamp; 0: must not exist
+    std::vector<std::pair<std::string, uint64_t>> when;  // key, mod revision; 0: must not exist
     std::vector<Write> writes;
 
-    Txn& expect(std::string key, uint64_t stamp);
+    Txn& expect(std::string key, uint64_t mod_revision);
     Txn& put(std::string key, std::string data, uint64_t lease = 0);
     Txn& drop(std::string key);
     std::string pack() const;
@@ -67,7 +67,7 @@
 
 struct TxnResult {
     Reply reply = Reply::kRefused;
-    uint64_t tide = 0;
+    uint64_t revision = 0;
     std::vector<std::string> failed;  // keys whose condition failed
 };
 
--- a/src/users/service.cc
+++ b/src/users/service.cc
@@ -18,17 +18,18 @@
 }  // namespace
 
 UserService::UserService(Loop& loop, const Config& config, StateService& state,
-                         const std::vector<Flavor>& flavors, const Form& form, Telling telling)
+                         const std::vector<MachineType>& machine_types, const RecordFormat& record_format,
+                         CancellationListener telling)
     : loop_(loop),
       config_(config),
       state_(state),
-      flavors_(flavors),
-      form_(form),
-      telling_(std::move(telling)),
-      most_busy_(std::max(constants::kUserCalls,
-                          static_cast<size_t>(config.state_rps * constants::kUserRead_s /
-                                              static_cast<double>(config.siblings.size() + 1)))),
-      last_withdrawal_(loop.now()) {}
+      machine_types_(machine_types),
+      record_format_(record_format),
+      on_cancellation_(std::move(telling)),
+      most_busy_(
+          std::max(constants::kUserCalls, static_cast<size_t>(config.state_rps * constants::kUserRead_s /
+                                                              static_cast<double>(config.peers.size() + 1)))),
+      last_cancellation_(loop.now()) {}
 
 Task<Response> UserService::handle(const Request& request) {
     static const std::string base = "/v2/runs";
@@ -55,7 +56,7 @@
         co_return plain(405, verb.empty() ? "use GET" : "use POST");
     if (!valid_job_id(id)) co_return plain(404, "unknown job");
     if (verb.empty()) co_return co_await query(id);
-    co_return co_await withdraw(id);
+    co_return co_await cancel(id);
 }
 
 // A node cut off from the state service would let each user wait for an answer that does not come. The
@@ -90,8 +91,9 @@
                 // Nothing is said of a job whose record means something unknown.
                 if (unreadable_.size() < constants::kFinalCache && unreadable_.insert(id).second)
                     log::error("record {} is {}: its user gets 503", live.entry.key,
-                               newer_form(live.entry.data) ? "of a form newer than this version knows"
-                                                           : "not readable");
+                               newer_record_format(live.entry.data)
+                                   ? "of a format newer than this version knows"
+                                   : "not readable");
                 co_return k;
             }
             k.reply = Reply::kOk;
@@ -99,7 +101,7 @@
             k.done = record->done.size();
             k.running = static_cast<uint32_t>(record->live.size());
             k.record = std::move(*record);
-            k.stamp = live.entry.stamp;
+            k.mod_revision = live.entry.mod_revision;
             co_return k;
         }
         if (live.reply != Reply::kAbsent || loop_.now() >= until) co_return k;
@@ -114,15 +116,15 @@
     }
     k.reply = Reply::kOk;
     k.final = true;
-    k.phase = final->withdrawn ? JobPhase::kWithdrawn : JobPhase::kDone;
+    k.phase = final->cancelled ? JobPhase::kCancelled : JobPhase::kDone;
     k.done = final->done;
     co_return k;
 }
 
-Response UserService::told(const std::string& id, const Known& k, bool counts) {
-    if (k.phase == JobPhase::kWithdrawn) {
-        last_withdrawal_ = loop_.now();
-        telling_(id);
+Response UserService::answer_known(const std::string& id, const Known& k, bool counts) {
+    if (k.phase == JobPhase::kCancelled) {
+        last_cancellation_ = loop_.now();
+        on_cancellation_(id);
     }
     return {200, counts ? pack_job(id, k.phase, k.done, k.running) : pack_phase(id, k.phase), 0,
             "application/msgpack"};
@@ -136,13 +138,13 @@
     }
     JobSpec spec = std::get<JobSpec>(std::move(parsed));
     Seconds until = loop_.now() + constants::kUserWrite_s;
-    if (form_.newer()) co_return unavailable();  // records are no longer ours to write
+    if (record_format_.newer()) co_return unavailable();  // records are no longer ours to write
     JobRecord record;
     record.spec = spec;
     record.accepted_wall = loop_.wall();
-    bool unknown = flavors_.empty();  // what can run is not known yet
+    bool unknown = machine_types_.empty();  // what can run is not known yet
     int status = 422;
-    std::string never = unknown ? "" : never_runnable(spec, config_, flavors_);
+    std::string never = unknown ? "" : never_runnable(spec, config_, machine_types_);
     if (never.empty()) {
         never = never_recorded(record);
         status = 400;
@@ -150,14 +152,14 @@
     if (unknown || !never.empty()) {
         // A job that was accepted once is known for ever, whatever the machine types are by now.
         Known k = co_await read(spec.id, until);
-        if (k.reply == Reply::kOk) co_return told(spec.id, k, false);
+        if (k.reply == Reply::kOk) co_return answer_known(spec.id, k, false);
         if (unknown || k.reply != Reply::kAbsent) co_return unavailable();
         co_return plain(status, never);
     }
     if (state_away()) co_return unavailable(503, constants::kRetryAfterOutage_s);
     Txn txn;
     txn.expect(live_key(spec.id), 0).expect(final_key(spec.id), 0);
-    txn.put(live_key(spec.id), record.pack(form_.in_force()));
+    txn.put(live_key(spec.id), record.pack(record_format_.in_force()));
     TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
     if (r.reply == Reply::kOk) {
         log::debug("job {} accepted, class {}, {} tasks, image {}, team {}", spec.id, spec.job_class,
@@ -166,7 +168,7 @@
     }
     if (r.reply == Reply::kConflict) {
         Known k = co_await read(spec.id, until);
-        if (k.reply == Reply::kOk) co_return told(spec.id, k, false);
+        if (k.reply == Reply::kOk) co_return answer_known(spec.id, k, false);
     }
     // At the service's rate the user is told at once when to come back, rather than held.
     if (r.reply == Reply::kLimited) co_return unavailable(429);
@@ -179,46 +181,47 @@
     // at a time if need be.
     size_t least = constants::kRecordSpare;
     if (record.spec.gang()) least += (record.spec.tasks - 1) * constants::kPlacementLeast;
-    for (uint64_t form = form_.in_force(); form <= kNewestForm; ++form)
-        if (json_size(record.pack(form)) + least > config_.value_limit(form))
+    for (uint64_t record_format = record_format_.in_force(); record_format <= kNewestRecordFormat;
+         ++record_format)
+        if (json_size(record.pack(record_format)) + least > config_.value_limit(record_format))
             return "the job's description is too long to be kept, or its gang too large";
     return "";
 }
 
 Task<Response> UserService::query(std::string id) {
     Known k = co_await read(id, loop_.now() + constants::kUserRead_s);
-    if (k.reply == Reply::kOk) co_return told(id, k, true);
+    if (k.reply == Reply::kOk) co_return answer_known(id, k, true);
     if (k.reply == Reply::kAbsent) co_return plain(404, "unknown job");
     co_return unavailable();
 }
 
-Task<Response> UserService::withdraw(std::string id) {
+Task<Response> UserService::cancel(std::string id) {
     Seconds until = loop_.now() + constants::kUserWrite_s;
     while (loop_.now() < until) {
         Known k = co_await read(id, until);
         if (k.reply == Reply::kAbsent) co_return plain(404, "unknown job");
         if (k.reply != Reply::kOk) co_return unavailable();
-        if (k.final || k.record.withdrawn) co_return told(id, k, false);
-        if (form_.newer()) co_return unavailable();
-        k.record.withdrawn = true;
-        uint64_t form = form_.in_force();
-        std::string data = k.record.pack(form);
-        if (json_size(data) > config_.value_limit(form)) {
-            // Of a withdrawn job nothing starts again: it is not needed any more which tasks are done.
+        if (k.final || k.record.cancelled) co_return answer_known(id, k, false);
+        if (record_format_.newer()) co_return unavailable();
+        k.record.cancelled = true;
+        uint64_t record_format = record_format_.in_force();
+        std::string data = k.record.pack(record_format);
+        if (json_size(data) > config_.value_limit(record_format)) {
+            // Of a cancelled job nothing starts again: it is not needed any more which tasks are done.
             k.record.done = {};
-            data = k.record.pack(form);
+            data = k.record.pack(record_format);
         }
-        if (json_size(data) > config_.value_limit(form)) {
-            log::error("job {}: withdrawn by its user, but its record is too large to be written", id);
+        if (json_size(data) > config_.value_limit(record_format)) {
+            log::error("job {}: cancelled by its user, but its record is too large to be written", id);
             co_return unavailable();
         }
         Txn txn;
-        txn.expect(live_key(id), k.stamp).put(live_key(id), std::move(data));
+        txn.expect(live_key(id), k.mod_revision).put(live_key(id), std::move(data));
         TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
         if (r.reply == Reply::kOk) {
-            k.phase = JobPhase::kWithdrawn;
-            log::info("job {} withdrawn by its user", id);
-            co_return told(id, k, false);
+            k.phase = JobPhase::kCancelled;
+            log::info("job {} cancelled by its user", id);
+            co_return answer_known(id, k, false);
         }
         if (r.reply == Reply::kLimited) co_return unavailable(429);
         if (r.reply != Reply::kConflict) co_return unavailable();
--- a/src/users/service.h
+++ b/src/users/service.h
@@ -6,21 +6,22 @@
 #include <unordered_map>
 
 #include "jobs/record.h"
-#include "state/form.h"
+#include "state/record_format.h"
 #include "users/wire.h"
 
 namespace hareshore {
 
 class UserService {
   public:
-    // Called before a user is told that the job is withdrawn.
-    using Telling = std::function<void(const std::string&)>;
-    UserService(Loop& loop, const Config& config, StateService& state, const std::vector<Flavor>& flavors,
-                const Form& form, Telling telling);
+    // Called before a user is told that the job is cancelled.
+    using CancellationListener = std::function<void(const std::string&)>;
+    UserService(Loop& loop, const Config& config, StateService& state,
+                const std::vector<MachineType>& machine_types, const RecordFormat& record_format,
+                CancellationListener telling);
     // The path begins with /v2/runs.
     Task<Response> handle(const Request& request);
-    // When a user was last told of a withdrawal here, or when this process began.
-    Seconds last_withdrawal() const { return last_withdrawal_; }
+    // When a user was last told of a cancellation here, or when this process began.
+    Seconds last_cancellation() const { return last_cancellation_; }
 
   private:
     struct Known {
@@ -29,28 +30,28 @@
         uint32_t done = 0, running = 0;
         bool final = false;
         JobRecord record;  // unless final
-        uint64_t stamp = 0;
+        uint64_t mod_revision = 0;
     };
     Task<Response> submit(const Request& request);
     Task<Response> query(std::string id);
-    Task<Response> withdraw(std::string id);
+    Task<Response> cancel(std::string id);
     Task<Known> read(std::string id, Seconds until);
     // Why the job's record could not be written under the limits of the state service, now or later.
     std::string never_recorded(const JobRecord& record) const;
     bool state_away() const;
     void keep_final(const std::string& id, const FinalRecord& f);
-    Response told(const std::string& id, const Known& k, bool counts);
+    Response answer_known(const std::string& id, const Known& k, bool counts);
 
     Loop& loop_;
     const Config& config_;
     StateService& state_;
-    const std::vector<Flavor>& flavors_;
-    const Form& form_;
-    Telling telling_;
+    const std::vector<MachineType>& machine_types_;
+    const RecordFormat& record_format_;
+    CancellationListener on_cancellation_;
     size_t busy_ = 0;
     size_t most_busy_;
-    Seconds last_withdrawal_;
-    std::set<std::string> unreadable_;  // records whose unreadable form was logged
+    Seconds last_cancellation_;
+    std::set<std::string> unreadable_;  // records whose unreadable format was logged
     std::unordered_map<std::string, FinalRecord> finals_;
     std::deque<std::string> finals_order_;
 };
--- a/src/users/wire.cc
+++ b/src/users/wire.cc
@@ -14,7 +14,7 @@
             return "running";
         case JobPhase::kDone:
             return "done";
-        case JobPhase::kWithdrawn:
+        case JobPhase::kCancelled:
             return "withdrawn";
     }
     return "pending";
@@ -122,7 +122,7 @@
     s.memory_gb = f.amount("memory_gb");
     s.image = f.text("bundle", 128);
     s.image_gb = f.amount("size_gb");
-    s.flavors = f.optional_list("flavors");
+    s.machine_types = f.optional_list("flavors");
     s.zone = f.optional_text("cove", 128);
     s.one_zone = f.flag("one_zone");
     s.apart = f.flag("apart");
@@ -135,15 +135,16 @@
     return s;
 }
 
-std::string never_runnable(const JobSpec& job, const Config& config, const std::vector<Flavor>& flavors) {
+std::string never_runnable(const JobSpec& job, const Config& config,
+                           const std::vector<MachineType>& machine_types) {
     const Team* team = config.team(job.team);
     if (!team) return "unknown team " + job.team;
     bool fits = false;
-    for (const auto& f : flavors) {
+    for (const auto& f : machine_types) {
         if (!f.fits(job.cpus, job.gpus, job.memory_gb)) continue;
-        if (!job.flavors.empty()) {
+        if (!job.machine_types.empty()) {
             bool named = false;
-            for (const auto& name : job.flavors) named |= name == f.name;
+            for (const auto& name : job.machine_types) named |= name == f.name;
             if (!named) continue;
         }
         fits = true;
--- a/src/workers/workers.cc
+++ b/src/workers/workers.cc
@@ -26,13 +26,13 @@
     return ExitCause::kError;
 }
 
-void pack_orders(Packer& p, const std::vector<Order>& orders) {
-    p.key("orders").list(orders.size());
-    for (const auto& o : orders) {
-        p.map(o.verb == Verb::kHalt ? 4 : 3).key("verb");
-        p.text(o.verb == Verb::kLaunch ? "launch" : o.verb == Verb::kHalt ? "halt" : "forget");
+void pack_commands(Packer& p, const std::vector<Command>& commands) {
+    p.key("orders").list(commands.size());
+    for (const auto& o : commands) {
+        p.map(o.verb == CommandKind::kStop ? 4 : 3).key("verb");
+        p.text(o.verb == CommandKind::kLaunch ? "launch" : o.verb == CommandKind::kStop ? "halt" : "forget");
         p.key("piece").text(o.name.text()).key("try").count(o.attempt);
-        if (o.verb == Verb::kHalt) p.key("linger_s").number(o.grace_s);
+        if (o.verb == CommandKind::kStop) p.key("linger_s").number(o.grace_s);
     }
 }
 
@@ -43,19 +43,19 @@
     if (!m || !m->root().is_map()) return std::nullopt;
     Node n = m->root();
     Report r;
-    auto host = n["host"].text();
+    auto machine = n["host"].text();
     auto session = n["tenure"].count();
     auto seq = n["tick"].count();
     auto epoch = n["epoch"].count();
-    if (!host || host->empty() || host->size() > 128 || host->find(' ') != std::string::npos)
+    if (!machine || machine->empty() || machine->size() > 128 || machine->find(' ') != std::string::npos)
         return std::nullopt;
     if (!session || !seq || !epoch) return std::nullopt;
-    r.host = *host;
+    r.machine = *machine;
     r.session = *session;
     r.seq = *seq;
     r.epoch = *epoch;
     r.addr = n["addr"].text_or("");
-    r.flavor = n["flavor"].text_or("");
+    r.machine_type = n["flavor"].text_or("");
     r.zone = n["cove"].text_or("");
     r.spot = n["driftwood"].flag_or(false);
     r.notice_s = n["warning_s"].number();
@@ -79,10 +79,10 @@
     return r;
 }
 
-std::string pack_report_answer(uint64_t epoch, const std::vector<Order>& orders) {
+std::string pack_report_answer(uint64_t epoch, const std::vector<Command>& commands) {
     Packer p;
     p.map(2).key("epoch").count(epoch);
-    pack_orders(p, orders);
+    pack_commands(p, commands);
     return p.take();
 }
 
@@ -96,13 +96,13 @@
     return p.take();
 }
 
-Task<std::optional<Report>> send_orders(Loop& loop, Address to, uint64_t epoch, uint64_t session,
-                                        std::vector<Order> orders) {
+Task<std::optional<Report>> send_commands(Loop& loop, Address to, uint64_t epoch, uint64_t session,
+                                          std::vector<Command> commands) {
     Packer p;
     p.map(3).key("epoch").count(epoch).key("tenure").count(session);
-    pack_orders(p, orders);
+    pack_commands(p, commands);
     HttpClient http(loop, to, 1);
-    Answer a = co_await http.call("POST", "/orders", p.take(), constants::kOrdersCall_s);
+    Answer a = co_await http.call("POST", "/orders", p.take(), constants::kCommandCall_s);
     if (a.status != 200 && a.status != 409) co_return std::nullopt;
     co_return Report::parse(a.body);
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -31,7 +31,7 @@
 };
 
 struct Report {
-    std::string host, addr, flavor, zone;
+    std::string machine, addr, machine_type, zone;
     bool spot = false;
     uint64_t session = 0, seq = 0, epoch = 0;
     std::optional<Seconds> notice_s;
@@ -44,20 +44,20 @@
     }
 };
 
-enum class Verb : uint8_t { kLaunch, kHalt, kForget };
+enum class CommandKind : uint8_t { kLaunch, kStop, kForget };
 
-struct Order {
-    Verb verb = Verb::kLaunch;
+struct Command {
+    CommandKind verb = CommandKind::kLaunch;
     TaskName name;
     uint64_t attempt = 0;
     Seconds grace_s = 0;  // with kHalt
 };
 
-std::string pack_report_answer(uint64_t epoch, const std::vector<Order>& orders);
+std::string pack_report_answer(uint64_t epoch, const std::vector<Command>& commands);
 std::string pack_redirect(const std::string& node);  // empty: no hint
 
 // Sends commands to a worker; the answer is its report after them, if they were executed.
-Task<std::optional<Report>> send_orders(Loop& loop, Address to, uint64_t epoch, uint64_t session,
-                                        std::vector<Order> orders);
+Task<std::optional<Report>> send_commands(Loop& loop, Address to, uint64_t epoch, uint64_t session,
+                                          std::vector<Command> commands);
 
 }  // namespace hareshore
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <random>
 
-#include "back/frames.h"
 #include "base/bucket.h"
 #include "base/ranges.h"
 #include "cloud/cloud.h"
 #include "config/config.h"
 #include "http/pack.h"
 #include "jobs/record.h"
+#include "peer/frames.h"
 #include "users/wire.h"
 #include "workers/workers.h"
 
@@ -110,7 +110,7 @@
         text += "[[siblings]]\nlabel = \"m" + std::to_string(i) + "\"\nsite = \"z" + std::to_string(i % 9) +
                 "\"\naddr = \"10.0.1." + std::to_string(i) + ":8081\"\nrack = 3\n";
     c = Config::parse(text);
-    EXPECT_GE(c.siblings.size(), 40u);
+    EXPECT_GE(c.peers.size(), 40u);
     EXPECT_EQ(c.sockets, 4000u);
     EXPECT_EQ(c.ram_bytes, 300u * 1024 * 1024);
 }
@@ -203,7 +203,7 @@
     r.spec.shape = Shape::kGang;
     r.spec.tasks = 100;
     r.spec.due_s = 30;
-    r.spec.flavors = {"g2"};
+    r.spec.machine_types = {"g2"};
     r.done = Ranges::whole(3);
     r.next_attempt = 9;
     r.live[5] = {8, "vm-000003", "zone a"};
@@ -212,7 +212,7 @@
     ASSERT_TRUE(again);
     EXPECT_EQ(again->spec, r.spec);
     EXPECT_EQ(again->done, r.done);
-    EXPECT_EQ(again->live.at(5).host, "vm-000003");
+    EXPECT_EQ(again->live.at(5).machine, "vm-000003");
     EXPECT_EQ(again->live.at(5).zone, "zone a");
     EXPECT_EQ(again->next_attempt, 9u);
 }
@@ -223,18 +223,18 @@
     r.spec.id = "job-1";
     r.spec.tasks = 4;
     r.live[1] = {1, "vm-1", "a"};
-    back::Beat beat{};
-    back::set_label(beat, "node-0");
+    peer::Heartbeat heartbeat{};
+    peer::set_label(heartbeat, "node-0");
     Packer p;
     p.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
     std::vector<std::string> seeds{
         r.pack(1),
         r.pack(2),
         p.take(),
-        back::pack(back::Kind::kBeat, 1, 2, beat),
-        back::pack(back::Kind::kWithdrawn, 1, 2, back::pack({7, 3, {"job-1", "job-22"}})),
+        peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
+        peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
-        Cloud::pack_flavors({Flavor{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
+        Cloud::pack_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kGood};
     std::mt19937 rng(11);
     size_t taken = 0;
@@ -256,12 +256,12 @@
         taken += Report::parse(s).has_value();
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
         taken += FinalRecord::unpack(s).has_value();
-        taken += Cloud::unpack_flavors(s).has_value();
-        back::Reader reader;
+        taken += Cloud::unpack_machine_types(s).has_value();
+        peer::Reader reader;
         reader.feed(s);
         while (auto f = reader.next()) {
-            taken += back::unpack_beat(f->payload).has_value();
-            taken += back::unpack_withdrawn(f->payload).has_value();
+            taken += peer::unpack_heartbeat(f->payload).has_value();
+            taken += peer::unpack_cancellation_notice(f->payload).has_value();
         }
         try {
             Settings::parse(s);
--- a/tests/withdrawal_test.cc
+++ b/tests/cancellation_test.cc
@@ -1,7 +1,7 @@
-// Withdrawals that a leader cannot read from the state service: what its siblings tell it of them, and when
+// Cancellations that a leader cannot read from the state service: what its peers tell it of them, and when
 // it must let leases run out because they may not have.
-#include "back/frames.h"
 #include "base/constants.h"
+#include "peer/frames.h"
 #include "standins.h"
 
 using namespace hareshore;
@@ -14,38 +14,41 @@
     return m ? m->root()["phase"].text_or("") : "";
 }
 
-// A sibling of the only controller, played by a script: it answers beats, and sends its own once a second.
-struct ScriptedSibling {
+// A peer of the only controller, played by a script: it answers heartbeats, and sends its own once a second.
+struct ScriptedPeer {
     Site& site;
-    uint64_t life = 77;
-    uint8_t form = back::kForm;      // 0: the version in production, which knows no withdrawals
-    uint32_t told = 0;               // withdrawals that it says it told users of
+    uint64_t incarnation = 77;
+    uint8_t record_format = peer::kPeerFormat;  // 0: the version in production, which knows no cancellations
+    uint32_t announced = 0;                     // cancellations that it says it told users of
     std::vector<std::string> sends;  // and those that it sends ahead of its next answer, numbered from `from`
     uint32_t from = 0;
-    Seconds told_last = 0;  // when it told a user of one
-    bool answers = true;    // beats
-    int unknown = 0;        // frames that the version in production does not know
-    uint32_t next_beat = 1;
+    Seconds announced_last = 0;  // when it told a user of one
+    bool answers = true;         // heartbeats
+    int unknown = 0;             // frames that the version in production does not know
+    uint32_t next_heartbeat = 1;
     File listener;
     Scope scope;
 
-    explicit ScriptedSibling(Site& s)
-        : site(s), told_last(s.loop.now()), listener(s.loop, listen_on(s.configs[1].back)), scope(s.loop) {
+    explicit ScriptedPeer(Site& s)
+        : site(s),
+          announced_last(s.loop.now()),
+          listener(s.loop, listen_on(s.configs[1].peer_listen)),
+          scope(s.loop) {
         scope.spawn(accept(), "sibling");
-        scope.spawn(beats(), "sibling's beats");
+        scope.spawn(heartbeats(), "sibling's beats");
     }
-    ~ScriptedSibling() {
+    ~ScriptedPeer() {
         scope.cancel();
         unwind(site.loop);
     }
-    back::Beat beat() const {
-        back::Beat b{};
-        back::set_label(b, site.configs[1].label);
-        b.life = life;
-        b.form = form;
-        b.told = form ? told : 0;
+    peer::Heartbeat heartbeat() const {
+        peer::Heartbeat b{};
+        peer::set_label(b, site.configs[1].label);
+        b.incarnation = incarnation;
+        b.record_format = record_format;
+        b.cancellations_announced = record_format ? announced : 0;
         b.state_age_ms = UINT32_MAX;
-        b.quiet_ms = static_cast<uint32_t>((site.loop.now() - told_last) * 1000);
+        b.quiet_ms = static_cast<uint32_t>((site.loop.now() - announced_last) * 1000);
         return b;
     }
     Task<void> accept() {
@@ -60,40 +63,42 @@
     }
     Task<void> serve(int fd) {
         Stream stream(site.loop, fd);
-        back::Reader reader;
+        peer::Reader reader;
         char chunk[4096];
         while (true) {
             ssize_t n = co_await stream.read(chunk, sizeof chunk, -1);
             if (n <= 0) co_return;
             reader.feed({chunk, static_cast<size_t>(n)});
             while (auto f = reader.next()) {
-                if (f->kind != back::Kind::kBeat || !answers) continue;
+                if (f->kind != peer::Kind::kHeartbeat || !answers) continue;
                 std::string out;
                 if (!sends.empty())
-                    out = back::pack(back::Kind::kWithdrawn, 0, life, back::pack({life, from, sends}));
+                    out = peer::pack(peer::Kind::kCancellationNotice, 0, incarnation,
+                                     peer::pack({incarnation, from, sends}));
                 sends.clear();
-                back::Beat b = beat();
-                b.asked_us = back::unpack_beat(f->payload)->asked_us;
-                out += back::pack(back::Kind::kBeatAnswer, f->id, f->life, b);
+                peer::Heartbeat b = heartbeat();
+                b.asked_us = peer::unpack_heartbeat(f->payload)->asked_us;
+                out += peer::pack(peer::Kind::kHeartbeatAnswer, f->id, f->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
     }
     Task<void> count_unknown(std::shared_ptr<Stream> stream) {
-        back::Reader reader;
+        peer::Reader reader;
         char chunk[4096];
         for (ssize_t n; (n = co_await stream->read(chunk, sizeof chunk, -1)) > 0;) {
             reader.feed({chunk, static_cast<size_t>(n)});
-            while (auto f = reader.next()) unknown += f->kind == back::Kind::kWithdrawn;
+            while (auto f = reader.next()) unknown += f->kind == peer::Kind::kCancellationNotice;
         }
     }
-    Task<void> beats() {
+    Task<void> heartbeats() {
         std::shared_ptr<Stream> stream =
-            co_await connect_to(site.loop, site.configs[0].back, site.loop.now() + 1);
+            co_await connect_to(site.loop, site.configs[0].peer_listen, site.loop.now() + 1);
         if (stream) scope.spawn(count_unknown(stream), "answers to the sibling's beats");
         while (stream) {
             co_await site.loop.sleep(0.93);
-            co_await stream->write(back::pack(back::Kind::kBeat, next_beat++, life, beat()), -1);
+            co_await stream->write(
+                peer::pack(peer::Kind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
         }
     }
 };
@@ -103,20 +108,20 @@
     int status = 0;
     for (Seconds end = s.loop.now() + time; s.loop.now() < end;) {
         s.run(2);
-        status = s.hello(w, node);
+        status = s.send_report(w, node);
     }
     return status;
 }
 
-// A controller that leads, with a scripted sibling and a worker with a task of each job.
+// A controller that leads, with a scripted peer and a worker with a task of each job.
 struct Pair {
     Site s{2};
-    std::unique_ptr<ScriptedSibling> sibling;
+    std::unique_ptr<ScriptedPeer> peer;
     FakeWorker w;
-    explicit Pair(uint8_t form, std::vector<std::string> jobs = {}) {
+    explicit Pair(uint8_t record_format, std::vector<std::string> jobs = {}) {
         s.run(1);
-        sibling = std::make_unique<ScriptedSibling>(s);
-        sibling->form = form;
+        peer = std::make_unique<ScriptedPeer>(s);
+        peer->record_format = record_format;
         s.start(0);
         EXPECT_TRUE(s.until([&] { return s.leader() == 0; }));
         s.run(6);
@@ -133,10 +138,10 @@
 
 }  // namespace
 
-// The gap: the state service refuses the leader alone, another controller confirms a withdrawal, then the
+// The gap: the state service refuses the leader alone, another controller confirms a cancellation, then the
 // service is down for all for longer than cancel_s while workers still report to the leader. Without the
-// siblings' word for which jobs were withdrawn either this task outlived cancel_s or every lease ended.
-TEST(Withdrawal, ToldByASiblingWhileTheLeaderIsRefusedEndsItsTasksAndNoOthers) {
+// peers' word for which jobs were cancelled either this task outlived cancel_s or every lease ended.
+TEST(Cancellation, AnnouncedByAPeerWhileTheLeaderIsRefusedEndsItsTasksAndNoOthers) {
     for (int n : {2, 3, 5}) {
         Site s(n);
         for (int i = 0; i < n; ++i) s.start(i);
@@ -154,12 +159,12 @@
         ASSERT_EQ(phase_of(s.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
         s.run(0.5);
         s.state.down = true;
-        Seconds told = s.loop.now();
+        Seconds announced = s.loop.now();
         EXPECT_EQ(report(s, w, leader, 4), 200);
         EXPECT_TRUE(!w.find("job-1/0") || w.find("job-1/0")->phase == TaskPhase::kExited);
         EXPECT_EQ(report(s, w, leader, s.configs[0].cancel_s + 20), 200) << "all is known: no lease need end";
         EXPECT_EQ(s.leader(), leader);
-        EXPECT_EQ(w.find("job-2/0")->phase, TaskPhase::kRunning) << s.loop.now() - told;
+        EXPECT_EQ(w.find("job-2/0")->phase, TaskPhase::kRunning) << s.loop.now() - announced;
         s.state.outage_is_over();
         s.state.down = false;
         s.state.refused.clear();
@@ -170,9 +175,9 @@
     }
 }
 
-// A withdrawal may be confirmed after a new leader has read the job's record and told before it has read them
-// all: its view must not take the job for one that goes on.
-TEST(Withdrawal, ToldWhileANewLeaderReadsTheRecordsCounts) {
+// A cancellation may be confirmed after a new leader has read the job's record and told before it has read
+// them all: its view must not take the job for one that goes on.
+TEST(Cancellation, AnnouncedWhileANewLeaderReadsTheRecordsCounts) {
     Site s(2);
     s.start(0);
     s.start(1);
@@ -190,108 +195,108 @@
     Controller& node = *s.nodes[static_cast<size_t>(1 - first)];
     ASSERT_TRUE(s.until([&] { return node.leader() != nullptr; }));
     ASSERT_EQ(node.leader()->jobs().size(), 0u);
-    node.leader()->told_withdrawn("job-1");
+    node.leader()->note_cancellation("job-1");
     s.settle(w);
     EXPECT_EQ(report(s, w, 1 - first, 4), 200);
     const ReportedTask* t = w.find("job-1/0");
     EXPECT_TRUE(!t || t->phase == TaskPhase::kExited);
 }
 
-// A sibling of the version in production cannot say which jobs were withdrawn: it is sent nothing that it
-// does not know, and its silence about withdrawals counts as before.
-TEST(Withdrawal, BesideTheVersionInProductionSilenceCounts) {
+// A peer of the version in production cannot say which jobs were cancelled: it is sent nothing that it
+// does not know, and its silence about cancellations counts as before.
+TEST(Cancellation, BesideTheVersionInProductionSilenceCounts) {
     Pair p(0, {"job-1"});
     ASSERT_EQ(phase_of(p.s.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     p.s.run(3);
-    EXPECT_EQ(p.sibling->unknown, 0) << "it would close the connection";
+    EXPECT_EQ(p.peer->unknown, 0) << "it would close the connection";
     p.s.state.down = true;
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200) << "it has told nobody";
-    p.sibling->told_last = p.s.loop.now();
+    p.peer->announced_last = p.s.loop.now();
     EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
     EXPECT_EQ(report(p.s, p.w, 0, 12), 503) << "which it was is not known";
 }
 
-// The sibling says that it told of a withdrawal, and the frame that names the job does not come.
-TEST(Withdrawal, AMissingNameEndsTheRightToRenewInTime) {
-    Pair p(back::kForm, {"job-1", "job-2"});
+// The peer says that it told of a cancellation, and the frame that names the job does not come.
+TEST(Cancellation, AMissingNameEndsTheRightToRenewInTime) {
+    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
     p.s.state.down = true;
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
-    p.sibling->told_last = p.s.loop.now();
-    p.sibling->told = 1;
+    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced = 1;
     EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
     EXPECT_EQ(report(p.s, p.w, 0, 12), 503);
     EXPECT_TRUE(p.runs("job-1/0") && p.runs("job-2/0"));
 }
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
-TEST(Withdrawal, NamesCountOnceAndInOrder) {
-    Pair p(back::kForm, {"job-1", "job-2"});
+TEST(Cancellation, NamesCountOnceAndInCommand) {
+    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
     p.s.state.down = true;
     p.s.run(2);
-    p.sibling->told_last = p.s.loop.now();
-    p.sibling->told = 1;
-    p.sibling->sends = {"job-1"};
+    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced = 1;
+    p.peer->sends = {"job-1"};
     EXPECT_EQ(report(p.s, p.w, 0, 6), 200);
     EXPECT_TRUE(!p.runs("job-1/0") && p.runs("job-2/0"));
-    p.sibling->told_last = p.s.loop.now();
-    p.sibling->told = 2;
-    p.sibling->sends = {"job-1", "job-2"};
+    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced = 2;
+    p.peer->sends = {"job-1", "job-2"};
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
     EXPECT_FALSE(p.runs("job-2/0"));
     // One is left out: what comes after it says nothing of it.
-    p.sibling->told_last = p.s.loop.now();
-    p.sibling->told = 4;
-    p.sibling->from = 3;
-    p.sibling->sends = {"job-9"};
+    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced = 4;
+    p.peer->from = 3;
+    p.peer->sends = {"job-9"};
     EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
     EXPECT_EQ(report(p.s, p.w, 0, 12), 503);
 }
 
-// The beat that a sibling sends by itself is up to a second newer than its last answer. Taken together, its
-// silence and the answer's time reached back to before a withdrawal that it had told a user of.
-TEST(Withdrawal, ALaterBeatSaysNothingOfAnEarlierAnswer) {
+// The heartbeat that a peer sends by itself is up to a second newer than its last answer. Taken together, its
+// silence and the answer's time reached back to before a cancellation that it had told a user of.
+TEST(Cancellation, ALaterHeartbeatSaysNothingOfAnEarlierAnswer) {
     Pair p(0);
     // Seen fresh by a watch that began up to 3 s ago, and cut off now.
     p.s.state.refused.insert(0);
     p.s.state.down = true;
     p.s.run(0.2);
-    p.sibling->told_last = p.s.loop.now();
-    Seconds told = p.s.loop.now();
-    while (p.s.loop.now() < told + p.s.configs[0].cancel_s - p.s.configs[0].lease_s) {
+    p.peer->announced_last = p.s.loop.now();
+    Seconds announced = p.s.loop.now();
+    while (p.s.loop.now() < announced + p.s.configs[0].cancel_s - p.s.configs[0].lease_s) {
         p.s.run(0.2);
-        p.s.hello(p.w, 0);
+        p.s.send_report(p.w, 0);
     }
     for (int i = 0; i < 40; ++i) {
         p.s.run(0.2);
-        ASSERT_EQ(p.s.hello(p.w, 0), 503) << i;
+        ASSERT_EQ(p.s.send_report(p.w, 0), 503) << i;
     }
 }
 
-// What was vouched for once stays known when the sibling begins anew and can speak only for itself.
-TEST(Withdrawal, WhatWasVouchedForStaysKnown) {
-    Pair p(back::kForm);
+// What was confirmed for once stays known when the peer begins anew and can speak only for itself.
+TEST(Cancellation, WhatWasVouchedForStaysKnown) {
+    Pair p(peer::kPeerFormat);
     p.s.state.down = true;
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
-    p.sibling->life = 78;
-    p.sibling->told_last = p.s.loop.now();
+    p.peer->incarnation = 78;
+    p.peer->announced_last = p.s.loop.now();
     EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span from its last word";
     EXPECT_EQ(report(p.s, p.w, 0, 12), 503) << "its last process may have told of one before it ended";
 }
 
-// In the beat's form of the version in production the label is padded to 32 bytes; ours stands in the
+// In the heartbeat's format of the version in production the label is padded to 32 bytes; ours stands in the
 // padding.
-TEST(Withdrawal, ABeatIsReadAsTheVersionInProductionReadsIt) {
+TEST(Cancellation, AHeartbeatIsReadAsTheVersionInProductionReadsIt) {
     for (std::string label : {"node-0", "a-label-of-23-bytes-long", "a-label-of-exactly-31-bytes-xyz"}) {
-        back::Beat b{};
-        back::set_label(b, label);
-        EXPECT_EQ(back::label_of(b), label);
-        EXPECT_EQ(back::extended(b), label.size() < sizeof b.label);
-        if (back::extended(b)) {
-            b.form = back::kForm;
-            b.told = 0x01020304;
+        peer::Heartbeat b{};
+        peer::set_label(b, label);
+        EXPECT_EQ(peer::label_of(b), label);
+        EXPECT_EQ(peer::extended(b), label.size() < sizeof b.label);
+        if (peer::extended(b)) {
+            b.record_format = peer::kPeerFormat;
+            b.cancellations_announced = 0x01020304;
         }
-        EXPECT_EQ(back::label_of(b), label);
-        std::string bytes = back::pack(back::Kind::kBeat, 1, 2, b);
+        EXPECT_EQ(peer::label_of(b), label);
+        std::string bytes = peer::pack(peer::Kind::kHeartbeat, 1, 2, b);
         ASSERT_EQ(bytes.size(), 24u + 68u);
         EXPECT_EQ(std::string(bytes.c_str() + 24), label);
     }
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -38,18 +38,18 @@
     EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200) << "a retry makes no second job";
     FakeWorker w;
     s.settle(w);
-    s.hello(w, 0);
+    s.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
-    s.hello(w, 0);
+    s.send_report(w, 0);
     EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "running");
     w.find("job-1/0")->phase = TaskPhase::kExited;
     w.find("job-1/0")->cause = ExitCause::kDone;
-    s.hello(w, 0);
+    s.send_report(w, 0);
     s.run(0.5);
     EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "done");
     EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-1/withdraw")), "done");
     EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
-    s.hello(w, 0);
+    s.send_report(w, 0);
     EXPECT_TRUE(w.tasks.empty()) << "forgotten once committed";
 }
 
@@ -147,15 +147,15 @@
     s.settle(w);
     uint64_t epoch = w.epoch;
     ASSERT_EQ(s.call(second, "POST", "/v2/runs", job_body("job-1")).status, 201) << "any node serves users";
-    s.hello(w, first);
-    s.hello(w, first);
+    s.send_report(w, first);
+    s.send_report(w, first);
     ASSERT_TRUE(w.find("job-1/0"));
-    EXPECT_EQ(s.hello(w, second), 421);
+    EXPECT_EQ(s.send_report(w, second), 421);
     s.kill(first);
     ASSERT_TRUE(s.until([&] { return s.leader() == second; }, 15));
     s.settle(w);
     EXPECT_GT(w.epoch, epoch);
-    s.hello(w, second);
+    s.send_report(w, second);
     ASSERT_TRUE(w.find("job-1/0"));
     EXPECT_EQ(w.find("job-1/0")->attempt, 1u);
     EXPECT_EQ(w.find("job-1/0")->phase, TaskPhase::kRunning);
@@ -175,8 +175,8 @@
     auto gang = [](auto& f) { f["shape"] = Packer().text("ensemble").take(); };
     ASSERT_EQ(s.call(first, "POST", "/v2/runs", job_body("job-1", gang)).status, 201);
     FakeWorker before = w;
-    s.hello(w, first);
-    s.hello(w, first);
+    s.send_report(w, first);
+    s.send_report(w, first);
     ASSERT_TRUE(w.find("job-1/0"));
     s.kill(first);
     s.state.end_lease(s.state.rows.at("leader").lease);
@@ -184,11 +184,11 @@
     int second = s.leader();
     s.run(1);
     before.deaf = true;
-    s.hello(before, second);
+    s.send_report(before, second);
     FakeWorker other;
     other.name = "vm-000002";
     s.settle(other);
-    s.hello(other, second);
+    s.send_report(other, second);
     EXPECT_FALSE(other.find("job-1/0")) << "it runs where it was";
     EXPECT_EQ(s.nodes[static_cast<size_t>(second)]->leader()->jobs().find("job-1")->live.size(), 1u);
 }
@@ -224,7 +224,7 @@
     };
     hold = true;
     ASSERT_EQ(s.call(1 - first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, first);
+    s.send_report(w, first);
     ASSERT_FALSE(s.state.late.empty()) << "the placement's transaction is on its way";
     EXPECT_FALSE(w.find("job-1/0")) << "nothing is launched before its commit";
     s.kill(first);
@@ -234,13 +234,13 @@
     for (const auto& body : s.state.late) EXPECT_EQ(s.state.apply(body).status, 409);
     EXPECT_EQ(s.state.rows.at("j/job-1").data, before);
     s.settle(w);
-    s.hello(w, s.leader());
+    s.send_report(w, s.leader());
     EXPECT_TRUE(w.find("job-1/0")) << "the new leader starts it";
 }
 
-// The user withdraws while the machine reports the last task done: one of the two wins, and it stays so.
-TEST(Controller, AWithdrawalRacingTheEndGetsOneLastingAnswer) {
-    for (bool withdraw_first : {true, false}) {
+// The user cancels while the machine reports the last task done: one of the two wins, and it stays so.
+TEST(Controller, ACancellationRacingTheEndGetsOneLastingAnswer) {
+    for (bool cancel_first : {true, false}) {
         Site s;
         s.start(0);
         ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
@@ -248,32 +248,32 @@
         FakeWorker w;
         s.settle(w);
         ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-        s.hello(w, 0);
-        s.hello(w, 0);
+        s.send_report(w, 0);
+        s.send_report(w, 0);
         ASSERT_TRUE(w.find("job-1/0"));
         w.find("job-1/0")->phase = TaskPhase::kExited;
         w.find("job-1/0")->cause = ExitCause::kDone;
         // The leader's transaction is lost on its way, and carried out late.
-        bool lose = withdraw_first;
+        bool lose = cancel_first;
         s.state.let_through = [&](const std::string& body) {
             return !(lose && body.find("leader") != std::string::npos);
         };
-        s.hello(w, 0);
-        std::string told = phase_of(s.call(0, "POST", "/v2/runs/job-1/withdraw"));
-        EXPECT_EQ(told, withdraw_first ? "withdrawn" : "done");
+        s.send_report(w, 0);
+        std::string announced = phase_of(s.call(0, "POST", "/v2/runs/job-1/withdraw"));
+        EXPECT_EQ(announced, cancel_first ? "withdrawn" : "done");
         lose = false;
         for (const auto& body : s.state.late) s.state.apply(body);
         for (int i = 0; i < 5; ++i) {
             s.run(1);
-            EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), told);
+            EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), announced);
         }
         EXPECT_TRUE(s.state.rows.count("f/job-1"));
         EXPECT_FALSE(s.state.rows.count("j/job-1"));
     }
 }
 
-// Without the state service a leader cannot learn of withdrawals. It renews workers' leases only while none
-// older than cancel_s - lease_s can be missing, and longer only while all siblings vouch that none was told.
+// Without the state service a leader cannot learn of cancellations. It renews workers' leases only while none
+// older than cancel_s - lease_s can be missing, and longer only while all peers confirm that none was told.
 TEST(Controller, RenewsWithoutTheStateServiceOnlyAsLongAsItMay) {
     Site s(2);
     s.start(0);
@@ -289,7 +289,7 @@
         int status = 0;
         for (Seconds end = s.loop.now() + time; s.loop.now() < end;) {
             s.run(3);
-            status = s.hello(w, first);
+            status = s.send_report(w, first);
         }
         return status;
     };
@@ -312,9 +312,9 @@
     int other = 1 - s.leader();
     s.run(3);
     FakeWorker w;
-    EXPECT_EQ(s.hello(w, other), 421);
+    EXPECT_EQ(s.send_report(w, other), 421);
     s.run(5);
-    EXPECT_EQ(s.hello(w, other), 200);
+    EXPECT_EQ(s.send_report(w, other), 200);
     EXPECT_EQ(w.epoch, s.nodes[static_cast<size_t>(s.leader())]->election().epoch());
 }
 
@@ -336,12 +336,12 @@
                   .status,
               201);
     for (int i = 0; i < 2; ++i)
-        for (auto& w : workers) s.hello(w, first);
+        for (auto& w : workers) s.send_report(w, first);
     ASSERT_EQ(workers[3].tasks.size(), 2u);
     auto report = [&](int node, Seconds time) {
         for (Seconds t = 0; t < time && s.leader() == first; t += 1) {
             s.run(1);
-            for (auto& w : workers) s.hello(w, node);
+            for (auto& w : workers) s.send_report(w, node);
         }
     };
     report(first, 10);
@@ -360,26 +360,26 @@
     w2.name = "vm-000002";
     s.settle(w1);
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w1, 0);
-    s.hello(w1, 0);
+    s.send_report(w1, 0);
+    s.send_report(w1, 0);
     ASSERT_TRUE(w1.find("job-1/0"));
     s.cloud.down = true;
     for (int i = 0; i < 10; ++i) {
         s.run(3);
-        s.hello(w2, 0);
+        s.send_report(w2, 0);
         EXPECT_FALSE(w2.find("job-1/0")) << "the first machine may still run it";
     }
     s.cloud.down = false;
     for (int i = 0; i < 4; ++i) {
         s.run(3);
-        s.hello(w2, 0);
+        s.send_report(w2, 0);
     }
     EXPECT_EQ(std::count(s.cloud.deleted.begin(), s.cloud.deleted.end(), "vm-000001"), 1);
     EXPECT_TRUE(w2.find("job-1/0"));
 }
 
 // The service has forgotten the changes that a watch asks for: the leader reads all records again, page by
-// page, and misses neither a new job nor a withdrawal.
+// page, and misses neither a new job nor a cancellation.
 TEST(Controller, ReadsAllRecordsAgainWhenAWatchComesTooLate) {
     Site s(2);
     s.start(0);
@@ -454,26 +454,27 @@
     std::string idle = w.report();
     EXPECT_EQ(s.call(leader, "POST", "/hello", idle).status, 200);
     ASSERT_EQ(s.call(leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, leader);
+    s.send_report(w, leader);
     ASSERT_TRUE(w.find("job-1/0"));
-    s.hello(w, leader);
+    s.send_report(w, leader);
     const auto& jobs = s.nodes[static_cast<size_t>(leader)]->leader()->jobs();
     ASSERT_EQ(jobs.find("job-1")->live.size(), 1u);
     EXPECT_EQ(s.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
     EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
-    Seconds heard = s.nodes[static_cast<size_t>(leader)]->leader()->cluster().hosts.at(w.name)->last_report;
+    Seconds heard =
+        s.nodes[static_cast<size_t>(leader)]->leader()->cluster().machines.at(w.name)->last_report;
     for (int i = 0; i < 3; ++i) {
         s.run(s.configs[0].lease_s);
         EXPECT_EQ(s.call(leader, "POST", "/hello", idle).status, 503);
     }
     auto l = s.nodes[static_cast<size_t>(leader)]->leader();
-    auto it = l->cluster().hosts.find(w.name);
-    EXPECT_TRUE(it == l->cluster().hosts.end() || it->second->last_report == heard)
+    auto it = l->cluster().machines.find(w.name);
+    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_report == heard)
         << "it was not taken for alive";
     EXPECT_FALSE(s.cloud.deleted.empty()) << "but replaced";
 }
 
-// A controller without the state service and its siblings: users hear so at once, the load balancer is told
+// A controller without the state service and its peers: users hear so at once, the load balancer is told
 // to go elsewhere, and workers are answered as long as that is safe and then sent on.
 TEST(Controller, ALoneControllerIsHonestAndLetsGo) {
     Site s(2);
@@ -485,12 +486,12 @@
     FakeWorker w;
     s.settle(w);
     ASSERT_EQ(s.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, first);
+    s.send_report(w, first);
     s.state.silent = true;
     s.kill(1 - first);
     Seconds began = s.loop.now();
     s.run(8);
-    EXPECT_EQ(s.hello(w, first), 200) << "what runs goes on";
+    EXPECT_EQ(s.send_report(w, first), 200) << "what runs goes on";
     for (const char* path : {"/v2/runs/job-1", "/v2/runs/job-2"}) {
         Seconds asked = s.loop.now();
         EXPECT_EQ(s.call(first, "GET", path).status, 503) << "it can say neither";
@@ -502,7 +503,7 @@
     EXPECT_EQ(s.call(first, "GET", "/ready").status, 503);
     const Config& c = s.configs[0];
     s.run(c.cancel_s - c.lease_s - (s.loop.now() - began));
-    EXPECT_EQ(s.hello(w, first), 503);
+    EXPECT_EQ(s.send_report(w, first), 503);
     s.state.silent = false;
     s.start(1 - first);
     s.run(10);
@@ -538,7 +539,7 @@
 
 // After a take-over all workers report at once. What comes together is decided together: the work grows with
 // the reports, not with reports times machines.
-TEST(Controller, ACrowdOfReportsSharesItsRounds) {
+TEST(Controller, ACrowdOfReportsSharesItsPasses) {
     Site s;
     // Each worker takes two descriptors of this process.
     rlimit files{};
@@ -562,18 +563,18 @@
     int answered = 0;
     Scope scope(s.loop);
     auto go = [](Loop& l, Address at, FakeWorker& w, int& n) -> Task<void> {
-        n += co_await w.hello(l, at) == 200;
+        n += co_await w.send_report(l, at) == 200;
     };
     for (size_t i = 0; i < workers.size(); ++i) {
         workers[i].name = "vm-" + std::to_string(10000 + i);
         scope.spawn(go(s.loop, s.configs[0].listen, workers[i], answered), "hello");
     }
-    uint64_t before = s.nodes[0]->leader()->rounds_done();
+    uint64_t before = s.nodes[0]->leader()->passes_done();
     Seconds began = s.loop.now();
     ASSERT_TRUE(s.until([&] { return answered == 1000; }, 10));
-    uint64_t rounds = s.nodes[0]->leader()->rounds_done() - before;
-    EXPECT_LE(static_cast<double>(rounds), 2 + (s.loop.now() - began) / constants::kRound_s);
-    EXPECT_LT(rounds, 50u) << "far fewer than reports";
+    uint64_t run_passes = s.nodes[0]->leader()->passes_done() - before;
+    EXPECT_LE(static_cast<double>(run_passes), 2 + (s.loop.now() - began) / constants::kPassInterval_s);
+    EXPECT_LT(run_passes, 50u) << "far fewer than reports";
     EXPECT_EQ(s.nodes[0]->leader()->machines_reported(), 1000u);
 }
 
@@ -633,7 +634,7 @@
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
     s.run(1);
     FakeWorker w;
-    s.cloud.machines[w.name] = {w.name, w.addr, w.flavor, w.zone, false, MachinePhase::kRunning, 100};
+    s.cloud.machines[w.name] = {w.name, w.addr, w.machine_type, w.zone, false, MachinePhase::kRunning, 100};
     s.settle(w);
     s.state.silent = true;
     s.run(60);
@@ -644,7 +645,7 @@
 }
 
 // A command may be lost, and a machine that does not report hears nothing else.
-TEST(Controller, RepeatsTheHaltOfWithdrawnWork) {
+TEST(Controller, RepeatsTheStopOfCancelledWork) {
     Site s;
     int commands = 0;
     Address at = address(60, 9000);
@@ -659,8 +660,8 @@
     w.addr = text_of(at);
     s.settle(w);
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, 0);
-    s.hello(w, 0);
+    s.send_report(w, 0);
+    s.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
     ASSERT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     s.run(11);
@@ -669,7 +670,7 @@
     unwind(s.loop);
 }
 
-// Nor what holds withdrawn work, if a sibling does not answer: it may lead by now.
+// Nor what holds cancelled work, if a peer does not answer: it may lead by now.
 TEST(Controller, ALeaderThatMayHaveBeenFollowedReturnsNothing) {
     Site s(2);
     s.start(0);
@@ -678,11 +679,11 @@
     int first = s.leader();
     s.run(6);
     FakeWorker w;
-    s.cloud.machines[w.name] = {w.name, w.addr, w.flavor, w.zone, false, MachinePhase::kRunning, 100};
+    s.cloud.machines[w.name] = {w.name, w.addr, w.machine_type, w.zone, false, MachinePhase::kRunning, 100};
     s.settle(w);
     ASSERT_EQ(s.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, first);
-    s.hello(w, first);
+    s.send_report(w, first);
+    s.send_report(w, first);
     ASSERT_TRUE(w.find("job-1/0"));
     ASSERT_EQ(phase_of(s.call(first, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     s.state.silent = true;
@@ -703,12 +704,12 @@
     s.settle(w2);
     s.cloud.down = true;
     s.run(20);
-    EXPECT_EQ(s.hello(w1, 0), 200);
+    EXPECT_EQ(s.send_report(w1, 0), 200);
     s.cloud.down = false;
     s.run(4);
     EXPECT_EQ(s.cloud.deleted, std::vector<std::string>{"vm-000002"});
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w1, 0);
+    s.send_report(w1, 0);
     EXPECT_TRUE(w1.find("job-1/0")) << "it is of use again";
 }
 
@@ -729,7 +730,7 @@
             if (followed) {
                 Packer p;
                 p.map(2).key("node").text("node-1").key("epoch").count(9);
-                s.state.rows["leader"] = {p.take(), ++s.state.tide, 0};
+                s.state.rows["leader"] = {p.take(), ++s.state.revision, 0};
             }
             s.clock.advance(30);
             if (!followed) s.state.outage_is_over();  // so that the lease is still there
@@ -737,7 +738,7 @@
             if (followed) {
                 s.run(5);
                 EXPECT_EQ(s.leader(), -1) << steps;
-                EXPECT_EQ(s.hello(workers[0], 0), 421) << steps;
+                EXPECT_EQ(s.send_report(workers[0], 0), 421) << steps;
             }
             EXPECT_TRUE(s.cloud.deleted.empty()) << steps;
             if (followed) break;
@@ -750,7 +751,7 @@
     }
 }
 
-// Late copies of what controllers said to each other: a beat of a process that is gone, and answers that
+// Late copies of what controllers said to each other: a heartbeat of a process that is gone, and answers that
 // belong to no request of this process, change nothing.
 TEST(Controller, LateCopiesOfFramesShowNothing) {
     Site s(2);
@@ -761,15 +762,15 @@
     size_t at = static_cast<size_t>(leader);
     s.run(4);
     uint64_t epoch = s.nodes[at]->election().epoch();
-    back::Beat b{};
-    back::set_label(b, s.configs[1 - at].label);
-    b.life = 7;
+    peer::Heartbeat b{};
+    peer::set_label(b, s.configs[1 - at].label);
+    b.incarnation = 7;
     b.epoch = 50;
     b.leads = 1;
     b.asked_us = static_cast<uint64_t>((s.loop.now() + 100) * 1e6);
-    std::string frames = back::pack(back::Kind::kBeat, 1000, 7, b) +
-                         back::pack(back::Kind::kBeatAnswer, 1, 7, b) +
-                         back::pack(back::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+    std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
+                         peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
+                         peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
     Scope scope(s.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
@@ -778,7 +779,7 @@
             co_await l.sleep(0.037);
         }
     };
-    scope.spawn(send(s.loop, s.configs[at].back, frames), "copies");
+    scope.spawn(send(s.loop, s.configs[at].peer_listen, frames), "copies");
     s.run(4);
     EXPECT_EQ(s.leader(), leader);
     EXPECT_EQ(s.nodes[at]->election().epoch(), epoch);
@@ -800,8 +801,8 @@
     s.settle(w);
     for (const char* id : {"job-1", "job-2", "job-3"}) {
         ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
-        s.hello(w, 0);
-        s.hello(w, 0);
+        s.send_report(w, 0);
+        s.send_report(w, 0);
         ReportedTask* t = w.find(std::string(id) + "/0");
         ASSERT_TRUE(t) << id;
         if (std::string(id) == "job-1") {
@@ -810,8 +811,8 @@
         } else if (std::string(id) == "job-2") {
             ASSERT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         }
-        s.hello(w, 0);
-        s.hello(w, 0);
+        s.send_report(w, 0);
+        s.send_report(w, 0);
     }
     auto kept = [&] {
         std::map<std::string, std::string> rows;
@@ -831,7 +832,7 @@
         EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs", job_body("job-3"))), "running");
         s.run(3);
-        s.hello(w, 0);
+        s.send_report(w, 0);
         EXPECT_EQ(kept(), before);
         EXPECT_EQ(w.tasks.size(), 1u) << "nothing was started again";
         EXPECT_EQ(s.nodes[0]->election().epoch(), epoch);
--- a/tests/meetings_test.cc
+++ b/tests/fault_scenarios_test.cc
@@ -1,6 +1,7 @@
 // Troubles that meet. One deployment whose machines, controllers and links can be cut, slowed, refused, held,
-// doubled and frozen; each meeting is a script of such troubles, and the rules are watched throughout. Once
-// the troubles are over everything that was accepted must end and every question be answered.
+// doubled and frozen; each fault combination is a script of such troubles, and the rules are watched
+// throughout. Once the troubles are over everything that was accepted must end and every question be
+// answered.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -96,7 +97,7 @@
     Seconds lease_from = 0, last_report = -1e9;
     std::map<std::string, Seconds> ends;  // of its tasks, by name
     std::vector<std::string> reports;     // all that it sent
-    std::unique_ptr<HttpServer> orders;
+    std::unique_ptr<HttpServer> commands;
 };
 
 class World {
@@ -106,11 +107,11 @@
             gates.push_back(std::make_unique<Gate>(site.loop, site.state, address(20 + i, 2379)));
             Config& c = site.configs[static_cast<size_t>(i)];
             c.state = address(20 + i, 2379);
-            for (auto& sibling : c.siblings) {
-                int k = sibling.label.back() - '0';
+            for (auto& peer : c.peers) {
+                int k = peer.label.back() - '0';
                 Address at = address(100 + 10 * i + k, 8081);
-                wires[{i, k}] = std::make_unique<Wire>(site.loop, at, sibling.addr);
-                sibling.addr = at;
+                wires[{i, k}] = std::make_unique<Wire>(site.loop, at, peer.addr);
+                peer.addr = at;
             }
             site.start(i);
         }
@@ -121,7 +122,7 @@
     }
     ~World() {
         scope.cancel();
-        for (auto& m : fleet) m->orders->stop();
+        for (auto& m : fleet) m->commands->stop();
         for (auto& g : gates) g->server.stop();
         for (auto& [ends, wire] : wires) wire->scope.cancel();
         unwind(site.loop);
@@ -135,9 +136,10 @@
         Address at = address(50 + static_cast<int>(fleet.size()), 9000);
         m.w.addr = text_of(at);
         m.lease_from = site.loop.now();
-        m.orders = std::make_unique<HttpServer>(site.loop, at, 20,
-                                                [this, &m](Request r) { return ordered(m, std::move(r)); });
-        site.cloud.machines[name] = {name, m.w.addr, m.w.flavor, zone, false, MachinePhase::kRunning, 100};
+        m.commands = std::make_unique<HttpServer>(site.loop, at, 20,
+                                                  [this, &m](Request r) { return ordered(m, std::move(r)); });
+        site.cloud.machines[name] = {name, m.w.addr, m.w.machine_type, zone, false, MachinePhase::kRunning,
+                                     100};
         scope.spawn(reporting(m), "machine");
     }
 
@@ -181,9 +183,9 @@
         if (!phase.empty()) accepted.insert(id);
         return phase;
     }
-    void withdraw(const std::string& id, Seconds most = 60) {
+    void cancel(const std::string& id, Seconds most = 60) {
         std::string phase = ask("POST", "/v2/runs/" + id + "/withdraw", "", most);
-        if (phase == "withdrawn" && !told.count(id)) told[id] = site.loop.now();
+        if (phase == "withdrawn" && !announced.count(id)) announced[id] = site.loop.now();
         if (!phase.empty()) said(id, phase);
     }
     void poll(const std::string& id) {
@@ -244,11 +246,11 @@
         for (; left < 3; ++left) add_machine("vm-00020" + std::to_string(left), left % 2 ? "b" : "a");
         auto over = [&] {
             return std::all_of(accepted.begin(), accepted.end(),
-                               [&](const auto& id) { return told.count(id) || done.count(id); });
+                               [&](const auto& id) { return announced.count(id) || done.count(id); });
         };
         EXPECT_TRUE(site.until(over, most)) << "work is left waiting beside room";
         for (const auto& id : accepted)
-            if (!told.count(id) && !done.count(id)) ADD_FAILURE() << id << " did not run to its end";
+            if (!announced.count(id) && !done.count(id)) ADD_FAILURE() << id << " did not run to its end";
         site.run(4);
         for (const auto& id : accepted) {
             poll(id);
@@ -264,17 +266,17 @@
     std::map<std::pair<int, int>, std::unique_ptr<Wire>> wires;
     std::vector<std::unique_ptr<LiveMachine>> fleet;
     std::set<std::string> accepted;
-    std::map<std::string, Seconds> told;  // when a user was told that the job is withdrawn
+    std::map<std::string, Seconds> announced;  // when a user was told that the job is cancelled
     std::map<std::string, std::string> finals, bodies;
     std::map<std::string, Seconds> run_times;
     std::map<std::string, std::set<uint32_t>> ended;
     std::set<std::string> done;
     std::set<std::string> one_zone;
     std::map<std::string, int> launches;
-    std::map<std::string, size_t> gangs;                           // their tasks
-    std::map<std::pair<std::string, uint64_t>, Seconds> whole_at;  // when an attempt was last complete
-    bool double_reports = false;                                   // copies of old reports come again
-    std::vector<std::string> starts_after_told;
+    std::map<std::string, size_t> gangs;                              // their tasks
+    std::map<std::pair<std::string, uint64_t>, Seconds> complete_at;  // when an attempt was last complete
+    bool double_reports = false;                                      // copies of old reports come again
+    std::vector<std::string> starts_after_announced;
     size_t next_node = 0;
     Scope scope;
 
@@ -344,9 +346,9 @@
             if (t.phase == TaskPhase::kExited || before.count({t.name.text(), t.attempt})) continue;
             ++launches[t.name.job];
             m.ends[t.name.text()] = site.loop.now() + run_times[t.name.job];
-            auto it = told.find(t.name.job);
-            if (it != told.end() && site.loop.now() > it->second + 0.5)
-                starts_after_told.push_back(t.name.text());
+            auto it = announced.find(t.name.job);
+            if (it != announced.end() && site.loop.now() > it->second + 0.5)
+                starts_after_announced.push_back(t.name.text());
         }
     }
     // Whether the rest of a gang was complete, and lacks a task or has one on a machine that hangs.
@@ -358,7 +360,7 @@
             for (const auto& x : m->w.tasks)
                 n += !m->gone && !m->hung && x.phase != TaskPhase::kExited && x.name.job == t.name.job &&
                      x.attempt == t.attempt;
-        Seconds& whole = whole_at[{t.name.job, t.attempt}];
+        Seconds& whole = complete_at[{t.name.job, t.attempt}];
         if (n == gang->second) whole = now;
         return whole > 0 && now - whole > site.configs[0].gang_peer_s;
     }
@@ -412,8 +414,8 @@
                         ADD_FAILURE() << name << " is not in its job's zone";
                     if (!on.emplace(name, m->w.name).second)
                         ADD_FAILURE() << name << " ran twice, on " << on[name] << " and " << m->w.name;
-                    auto it = told.find(t.name.job);
-                    if (it != told.end() && now > it->second + site.configs[0].cancel_s)
+                    auto it = announced.find(t.name.job);
+                    if (it != announced.end() && now > it->second + site.configs[0].cancel_s)
                         ADD_FAILURE() << name << " on " << m->w.name << " ran though cancelled, at " << now;
                 }
                 if (double_reports && m->reports.size() > 3 && now - m->last_report > 1.5)
@@ -429,17 +431,17 @@
     }
 };
 
-struct Meeting {
+struct FaultScenario {
     const char* name;
     int nodes, machines;
     std::function<void(World&)> play;
 };
 
-void PrintTo(const Meeting& m, std::ostream* out) {
+void PrintTo(const FaultScenario& m, std::ostream* out) {
     *out << m.name;
 }
 
-const std::vector<Meeting> kMeetings{
+const std::vector<FaultScenario> kFaultScenarios{
     {"LeadersChangeTenTimes", 2, 4,
      [](World& w) {
          w.submit("job-1", 4, 60);
@@ -447,7 +449,7 @@
          for (int i = 0; i < 10; ++i) {
              if (i == 5) w.outage(true);
              if (i == 6) w.outage(false);
-             if (i == 3) w.withdraw("job-2");
+             if (i == 3) w.cancel("job-2");
              int first = w.site.leader();
              if (first >= 0) w.site.kill(first);
              w.site.run(4);
@@ -463,7 +465,7 @@
              w.submit(id, 1, 5);
              w.starts(id);
              w.site.until([&] { return w.done.count(id) > 0; }, 30);
-             if (i % 2) w.withdraw(id);
+             if (i % 2) w.cancel(id);
              w.said(id, w.ask("POST", "/v2/runs", w.bodies[id]));
              w.poll(id);
          }
@@ -474,7 +476,7 @@
          for (int i = 1; i <= 8; ++i)
              w.submit("job-" + std::to_string(i), 3, 15,
                       [&](auto& f) { f["rank"] = packed_text(i % 3 ? "idle" : "production"); });
-         w.withdraw("job-5");
+         w.cancel("job-5");
          w.site.run(30);
      }},
     {"AHeldReportComesToTheNewLeader", 2, 4,
@@ -503,7 +505,7 @@
          int first = w.leader();
          w.alone(first, true);
          w.next_node = static_cast<size_t>(first) + 1;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.site.run(1);
          w.outage(true);
          w.site.run(61);
@@ -518,7 +520,7 @@
          w.site.run(4);
          w.fleet[0]->mute = w.fleet[1]->deaf = true;
          int first = w.leader();
-         w.withdraw("job-2");
+         w.cancel("job-2");
          w.site.kill(first);
          w.site.run(30);
          w.site.start(first);
@@ -531,7 +533,7 @@
          ASSERT_TRUE(w.starts("job-2"));
          w.site.run(4);
          for (auto& m : w.fleet) m->cut = m->w.zone == "b";
-         w.withdraw("job-2");
+         w.cancel("job-2");
          int first = w.leader();
          w.site.kill(first);
          w.site.run(30);
@@ -544,7 +546,7 @@
          ASSERT_TRUE(w.starts("job-1"));
          w.site.run(4);
          for (auto& m : w.fleet) m->hung = !m->w.tasks.empty();
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.submit("job-2", 8, 20);
          w.site.run(10);
      }},
@@ -557,7 +559,7 @@
          int first = w.leader();
          w.alone(first, true);
          w.next_node = static_cast<size_t>(first) + 1;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.poll("job-2");
          w.site.run(2);
          w.outage(true);
@@ -571,13 +573,13 @@
          for (int i = 0; i < 20; ++i) {
              w.site.run(3);
              for (const auto& body : std::exchange(w.site.state.late, {})) w.site.state.apply(body);
-             if (i == 4) w.withdraw("job-3");
+             if (i == 4) w.cancel("job-3");
              if (i == 8) w.site.kill(w.leader());
              if (i == 10)
                  for (int k : {0, 1})
                      if (!w.site.nodes[static_cast<size_t>(k)]) w.site.start(k);
          }
-         // A withdrawal without an answer, and a placement's, arrive when their jobs are over.
+         // A cancellation without an answer, and a placement's, arrive when their jobs are over.
          for (const char* id : {"job-6", "job-7"}) {
              bool users = std::string(id) == "job-6", kept = false;
              w.site.state.let_through = {};
@@ -608,7 +610,7 @@
          w.fleet[0]->cut = true;
          w.site.run(26);
          w.fleet[0]->cut = false;
-         w.withdraw("job-2");
+         w.cancel("job-2");
          int first = w.leader();
          w.site.kill(first);
          w.site.run(15);
@@ -626,7 +628,7 @@
          w.fleet[0]->cut = w.fleet[1]->hung = true;
          int first = w.leader();
          w.site.kill(first);
-         w.withdraw("job-2");
+         w.cancel("job-2");
          w.site.run(20);
          w.fleet[0]->cut = w.fleet[1]->hung = false;
          w.site.run(10);
@@ -639,7 +641,7 @@
          ASSERT_TRUE(w.starts("job-2"));
          w.site.run(4);
          w.holder("job-1")->hung = true;
-         w.withdraw("job-2");
+         w.cancel("job-2");
          w.site.kill(0);
          w.site.kill(1);
          w.site.run(30);
@@ -658,7 +660,7 @@
          for (auto& m : w.fleet) m->node = first;
          w.site.run(1);
          w.next_node = static_cast<size_t>(first) + 1;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.site.run(60);
          EXPECT_TRUE(w.site.cloud.deleted.empty()) << "it takes nobody's silence for an end";
      }},
@@ -684,12 +686,12 @@
          ASSERT_TRUE(w.starts("job-2"));
          w.site.run(4);
          for (auto& m : w.fleet) m->mute = m->w.zone == "a";
-         w.withdraw("job-2");
+         w.cancel("job-2");
          w.site.run(2);
          EXPECT_FALSE(w.holder("job-2")) << "a direct command halts it";
          w.site.run(35);
      }},
-    // What a lone leader knows to be withdrawn is no reason either to return what another halted.
+    // What a lone leader knows to be cancelled is no reason either to return what another stopped.
     {"ALoneLeaderTakesNoSilenceForAnEnd", 3, 6,
      [](World& w) {
          w.submit("job-1", 2, 400);
@@ -700,7 +702,7 @@
          for (auto& m : w.fleet)
              if (!m->w.tasks.empty()) held.push_back(m.get());
          for (auto* m : held) m->hung = true;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.alone(first, true);
          w.apart(first, true);
          w.site.run(5);
@@ -718,7 +720,7 @@
          w.site.run(4);
          for (auto& m : w.fleet) m->mute = m->cut = !m->w.tasks.empty();
          int first = w.leader();
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.site.run(0.2);
          w.site.kill(first);
          for (auto& m : w.fleet) m->cut = false;
@@ -727,7 +729,7 @@
          EXPECT_TRUE(w.site.cloud.deleted.empty());
          w.site.start(first);
      }},
-    // A hung machine cannot be halted and may go on: only its deletion ends what was cancelled there.
+    // A hung machine cannot be stopped and may go on: only its deletion ends what was cancelled there.
     {"CancelledOnHungMachinesOfACutZone", 2, 6,
      [](World& w) {
          w.submit("job-1", 6, 400);
@@ -738,7 +740,7 @@
          for (auto& m : w.fleet)
              if (m->cut) m->hung = true;
          w.site.cloud.down = true;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.site.run(35);
          w.site.cloud.down = false;
          w.site.run(25);
@@ -749,7 +751,7 @@
          ASSERT_TRUE(w.starts("job-1"));
          w.site.run(4);
          w.holder("job-1")->hung = true;
-         w.withdraw("job-1");
+         w.cancel("job-1");
          w.site.run(0.2);
          w.outage(true);
          w.site.run(62);
@@ -760,7 +762,7 @@
          ASSERT_TRUE(w.starts("job-1"));
          w.site.run(4);
          for (auto& m : w.fleet) m->cut = m->hung = m->w.zone == "a";
-         w.withdraw("job-1");
+         w.cancel("job-1");
          for (int i = 0; i < 2; ++i) {
              int first = w.leader();
              w.site.kill(first);
@@ -771,17 +773,17 @@
      }},
 };
 
-class Meetings : public testing::TestWithParam<Meeting> {};
+class FaultScenarios : public testing::TestWithParam<FaultScenario> {};
 
 }  // namespace
 
-TEST_P(Meetings, BreakNoRule) {
+TEST_P(FaultScenarios, BreakNoRule) {
     World w(GetParam().nodes, GetParam().machines);
     GetParam().play(w);
     w.calm();
-    EXPECT_TRUE(w.starts_after_told.empty())
-        << w.starts_after_told.front() << " started after its withdrawal";
+    EXPECT_TRUE(w.starts_after_announced.empty())
+        << w.starts_after_announced.front() << " started after its withdrawal";
 }
 
-INSTANTIATE_TEST_SUITE_P(Two, Meetings, testing::ValuesIn(kMeetings),
+INSTANTIATE_TEST_SUITE_P(Two, FaultScenarios, testing::ValuesIn(kFaultScenarios),
                          [](const auto& i) { return std::string(i.param.name); });
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -3,7 +3,7 @@
 
 #include "base/constants.h"
 #include "fleet/plan.h"
-#include "match/match.h"
+#include "scheduler/scheduler.h"
 #include "standins.h"
 
 using namespace hareshore;
@@ -27,7 +27,7 @@
         config.lease_s = 24;
         config.value_bytes = 8192;
         config.cloud_rps = 6;
-        cluster.flavors = {test::small_flavor()};
+        cluster.machine_types = {test::small_machine_type()};
     }
 
     JobSpec spec(const std::string& id, uint32_t tasks, Shape shape = Shape::kArray) {
@@ -52,23 +52,23 @@
         r.next_attempt = r.live.empty() ? 1 : 10;
         Job& j = jobs.load(r, 5, now, 0);
         j.accepted = now;
-        for (const auto& [task, b] : r.live) cluster.ensure(b.host, now).zone = b.zone;
+        for (const auto& [task, b] : r.live) cluster.ensure(b.machine, now).zone = b.zone;
         return j;
     }
-    Host& machine(const std::string& name, const std::string& zone = "a") {
-        Host& h = cluster.ensure(name, now);
+    Machine& machine(const std::string& name, const std::string& zone = "a") {
+        Machine& h = cluster.ensure(name, now);
         h.zone = zone;
-        h.flavor = "g2";
+        h.machine_type = "g2";
         Report r = report(h, {});
         h.reported = h.current = true;
         jobs.apply(cluster, h, r, true, now);
         return h;
     }
-    Report report(const Host& h, std::vector<ReportedTask> tasks) {
+    Report report(const Machine& h, std::vector<ReportedTask> tasks) {
         Report r;
-        r.host = h.name;
+        r.machine = h.name;
         r.zone = h.zone;
-        r.flavor = "g2";
+        r.machine_type = "g2";
         r.session = 1;
         r.seq = h.seq + 1;
         r.tasks = std::move(tasks);
@@ -78,16 +78,16 @@
                              ExitCause c = ExitCause::kNone) {
         return {{job, n}, attempt, p, c, false};
     }
-    std::vector<Binding> pull(std::vector<Host*> askers) {
-        for (auto& [n, h] : cluster.hosts) h->last_report = now;
+    std::vector<Binding> pull(std::vector<Machine*> askers) {
+        for (auto& [n, h] : cluster.machines) h->last_report = now;
         cluster.recount(jobs, now, 6);
-        MatchInput in{config, settings, now, std::move(askers)};
-        return match(cluster, jobs, in);
+        SchedulerInput in{config, settings, now, std::move(askers)};
+        return schedule(cluster, jobs, in);
     }
     void committed(Job& j) { j.committed = j.version; }
-    static size_t launches(const std::vector<Order>& o) {
+    static size_t launches(const std::vector<Command>& o) {
         return static_cast<size_t>(
-            std::count_if(o.begin(), o.end(), [](auto& x) { return x.verb == Verb::kLaunch; }));
+            std::count_if(o.begin(), o.end(), [](auto& x) { return x.verb == CommandKind::kLaunch; }));
     }
 };
 
@@ -95,26 +95,26 @@
 
 TEST_F(Lifecycle, LaunchesOnlyWhatIsCommitted) {
     Job& j = add(spec("job-1", 1));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     ASSERT_EQ(pull({&h}).size(), 1u);
     EXPECT_TRUE(jobs.awaits_commit(h));
-    EXPECT_EQ(launches(jobs.orders(h, true)), 0u);
+    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
     committed(j);
-    EXPECT_EQ(launches(jobs.orders(h, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(launches(jobs.orders(h, true)), 1u);
+    EXPECT_EQ(launches(jobs.commands(h, false)), 0u) << "a direct command carries no launch";
+    EXPECT_EQ(launches(jobs.commands(h, true)), 1u);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
 // the same attempt. The task stays bound to this machine all the while.
 TEST_F(Lifecycle, RepeatsALaunchWhoseResponseWasLost) {
     Job& j = add(spec("job-1", 1));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    auto first = jobs.orders(h, true);
+    auto first = jobs.commands(h, true);
     jobs.apply(cluster, h, report(h, {}), true, now += 3);
     ASSERT_EQ(j.live.size(), 1u);
-    auto second = jobs.orders(h, true);
+    auto second = jobs.commands(h, true);
     ASSERT_EQ(launches(second), 1u);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
@@ -123,10 +123,10 @@
 // of a direct command proves no absence, since a response may still carry the launch.
 TEST_F(Lifecycle, LateReportsDisproveNothing) {
     Job& j = add(spec("job-1", 1));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    jobs.orders(h, true);
+    jobs.commands(h, true);
     Report late = report(h, {});
     late.seq = h.seq;  // the report that was answered with the launch
     EXPECT_FALSE(late.newer_than(h.session, h.seq));
@@ -139,26 +139,26 @@
 // before that, the last leader's launch may still arrive.
 TEST_F(Lifecycle, InheritedPlacementsStayUntilDisproved) {
     Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    Host& h = cluster.ensure("vm-1", now);
-    h.flavor = "g2";
+    Machine& h = cluster.ensure("vm-1", now);
+    h.machine_type = "g2";
     jobs.apply(cluster, h, report(h, {}), false, now);  // has not seen the epoch
     EXPECT_EQ(j.live.size(), 1u);
-    Host& other = machine("vm-2");
+    Machine& other = machine("vm-2");
     EXPECT_TRUE(pull({&other}).empty());
     jobs.apply(cluster, h, report(h, {}), true, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
-    auto orders = jobs.orders(h, true);
-    ASSERT_EQ(launches(orders), 1u);
-    EXPECT_EQ(orders[0].attempt, 3u);
+    auto commands = jobs.commands(h, true);
+    ASSERT_EQ(launches(commands), 1u);
+    EXPECT_EQ(commands[0].attempt, 3u);
     EXPECT_TRUE(pull({&other}).empty());
 }
 
 TEST_F(Lifecycle, NoTimeoutFreesAPlacementOnlyTheDeletionDoes) {
     Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    Host& other = machine("vm-2");
+    Machine& other = machine("vm-2");
     now += 100000;
     EXPECT_TRUE(pull({&other}).empty());
-    jobs.host_gone("vm-1", now);
+    jobs.machine_gone("vm-1", now);
     EXPECT_EQ(j.live.size(), 0u);
     EXPECT_EQ(pull({&other}).size(), 1u);
     EXPECT_GT(j.live.at(0).attempt, 3u);
@@ -166,10 +166,10 @@
 
 // A cancelled task that is still on its machine after any lease it was given can only be on one that hangs.
 // The machine must go, and soon enough for cancel_s, however quiet its zone is.
-TEST_F(Lifecycle, AMachineThatHoldsWithdrawnWorkIsDueAfterALease) {
+TEST_F(Lifecycle, AMachineThatHoldsCancelledWorkIsDueAfterALease) {
     config.cancel_s = 49;
     auto due = [&](Seconds leading_since) {
-        return hold_withdrawn(cluster, jobs, config, now, leading_since);
+        return machines_holding_cancelled(cluster, jobs, config, now, leading_since);
     };
     using Names = std::vector<std::string>;
     for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_report = now;
@@ -177,25 +177,25 @@
     add(spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
     now += 30;
     EXPECT_TRUE(due(0).empty()) << "silence alone is no reason";
-    cluster.host("vm-1")->last_report = now - 1;
-    jobs.withdraw(j, now);
+    cluster.machine("vm-1")->last_report = now - 1;
+    jobs.cancel(j, now);
     now += 10;
     EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
     now += config.lease_s - 8 + constants::kLeaseSpare_s;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
-    EXPECT_LT(now, j.withdrawn_at + config.cancel_s - 15) << "the cloud may be slow";
+    EXPECT_LT(now, j.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
     EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
-    cluster.host("vm-1")->last_report = now;
+    cluster.machine("vm-1")->last_report = now;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "it reports, and hears nothing";
     // A leader that learns late counts from the machine's silence.
-    jobs.withdraw(*jobs.find("job-2"), now);
+    jobs.cancel(*jobs.find("job-2"), now);
     EXPECT_EQ(due(0), (Names{"vm-1", "vm-2"}));
-    cluster.host("vm-1")->deleting = true;
+    cluster.machine("vm-1")->deleting = true;
     EXPECT_EQ(due(0), Names{"vm-2"});
-    // One that inherits a withdrawal does not know since when: a machine that does not come is due soon.
+    // One that inherits a cancellation does not know since when: a machine that does not come is due soon.
     JobRecord r;
     r.spec = spec("job-3", 1);
-    r.withdrawn = true;
+    r.cancelled = true;
     r.live[0] = {4, "vm-9", "a"};
     jobs.load(r, 9, now, 0);
     cluster.ensure("vm-9", now);
@@ -210,18 +210,18 @@
 // Launch after forget: the exit is committed first, and the next start has another attempt.
 TEST_F(Lifecycle, ForgetsOnlyWhatIsCommittedAndNeverReusesAnAttempt) {
     Job& j = add(spec("job-1", 1));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    jobs.orders(h, true);
+    jobs.commands(h, true);
     auto exited = task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
     jobs.apply(cluster, h, report(h, {exited}), true, now += 3);
-    EXPECT_TRUE(jobs.orders(h, true).empty()) << "the exit is not committed yet";
+    EXPECT_TRUE(jobs.commands(h, true).empty()) << "the exit is not committed yet";
     committed(j);
-    auto o = jobs.orders(h, true);
+    auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, Verb::kForget);
-    Host& other = machine("vm-2");
+    EXPECT_EQ(o[0].verb, CommandKind::kForget);
+    Machine& other = machine("vm-2");
     now += 30;
     ASSERT_EQ(pull({&other}).size(), 1u);
     EXPECT_EQ(j.live.at(0).attempt, 2u);
@@ -230,7 +230,7 @@
 TEST_F(Lifecycle, CountsInheritedPlacementsAgainstTheTeamsLimit) {
     add(spec("job-1", 3), {{0, {1, "vm-8", "a"}}, {1, {1, "vm-8", "a"}}, {2, {1, "vm-9", "a"}}});
     add(spec("job-2", 4));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     EXPECT_EQ(pull({&h}).size(), 1u) << "three of four GPUs are in use on machines not heard of yet";
 }
 
@@ -238,9 +238,9 @@
     JobSpec s = spec("job-1", 3);
     s.one_zone = true;
     add(s, {{0, {1, "vm-8", "a"}}});
-    Host& b = machine("vm-1", "b");
+    Machine& b = machine("vm-1", "b");
     EXPECT_TRUE(pull({&b}).empty());
-    Host& a = machine("vm-2", "a");
+    Machine& a = machine("vm-2", "a");
     EXPECT_EQ(pull({&a}).size(), 2u);
 }
 
@@ -249,13 +249,13 @@
     JobSpec s = spec("job-1", 5);
     s.apart = true;
     add(s);
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     EXPECT_EQ(pull({&x, &y}).size(), 3u);
 }
 
 TEST_F(Lifecycle, StartsAGangOnlyWithRoomForAllTasks) {
     Job& g = add(spec("job-1", 4, Shape::kGang));
-    Host& x = machine("vm-1");
+    Machine& x = machine("vm-1");
     EXPECT_TRUE(pull({&x}).empty());
     EXPECT_EQ(g.why, Wait::kGangRoom);
     machine("vm-2");
@@ -268,11 +268,11 @@
 // Until the last task of the old attempt has exited, no task of the gang may start anywhere.
 TEST_F(Lifecycle, RestartsAGangOnlyWhenItsLastAttemptIsGone) {
     Job& g = add(spec("job-1", 2, Shape::kGang));
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     x.free = {};
     ASSERT_EQ(pull({&x}).size(), 2u);
     committed(g);
-    Host& h = *cluster.host(g.live.at(0).host);
+    Machine& h = *cluster.machine(g.live.at(0).machine);
     auto t0 = task("job-1", 0, 1, TaskPhase::kRunning), t1 = task("job-1", 1, 1, TaskPhase::kRunning);
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(g.started);
@@ -281,8 +281,8 @@
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(pull({&x, &y}).empty());
     EXPECT_EQ(g.why, Wait::kOldAttempt);
-    auto o = jobs.orders(h, true);
-    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == Verb::kHalt; }));
+    auto o = jobs.commands(h, true);
+    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
     t1.phase = TaskPhase::kExited;
     t1.cause = ExitCause::kStopped;
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
@@ -292,11 +292,11 @@
 
 TEST_F(Lifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
     Job& g = add(spec("job-1", 2, Shape::kGang));
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     pull({&x});
     committed(g);
-    Host& h = *cluster.host(g.live.at(0).host);
-    Host& other = &h == &x ? y : x;
+    Machine& h = *cluster.machine(g.live.at(0).machine);
+    Machine& other = &h == &x ? y : x;
     jobs.apply(
         cluster, h,
         report(h, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 1, TaskPhase::kRunning)}), true,
@@ -311,42 +311,42 @@
     (void)other;
 }
 
-// A task that nothing vouches for is halted, and its job does not start it elsewhere meanwhile.
-TEST_F(Lifecycle, HaltsStraysAndStartsNothingBesideThem) {
+// A task that nothing confirms for is stopped, and its job does not start it elsewhere meanwhile.
+TEST_F(Lifecycle, StopsOrphansAndStartsNothingBesideThem) {
     add(spec("job-1", 1));
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     jobs.apply(
         cluster, x,
         report(x, {task("job-1", 0, 77, TaskPhase::kRunning), task("job-9", 0, 1, TaskPhase::kRunning)}),
         true, now);
     EXPECT_TRUE(pull({&y}).empty());
-    auto o = jobs.orders(x, true);
+    auto o = jobs.commands(x, true);
     ASSERT_EQ(o.size(), 2u);
-    EXPECT_EQ(o[0].verb, Verb::kHalt);
-    EXPECT_EQ(o[1].verb, Verb::kHalt);
+    EXPECT_EQ(o[0].verb, CommandKind::kStop);
+    EXPECT_EQ(o[1].verb, CommandKind::kStop);
 }
 
-TEST_F(Lifecycle, AWithdrawnJobIsLaunchedNowhereAndHaltedEverywhere) {
+TEST_F(Lifecycle, ACancelledJobIsLaunchedNowhereAndHaltedEverywhere) {
     Job& j = add(spec("job-1", 3));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     ASSERT_EQ(pull({&h}).size(), 2u);
     committed(j);
-    jobs.orders(h, true);
-    jobs.withdraw(j, now);
+    jobs.commands(h, true);
+    jobs.cancel(j, now);
     EXPECT_TRUE(pull({&h}).empty());
-    EXPECT_EQ(launches(jobs.orders(h, true)), 0u);
+    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
     // The launch was in flight and took effect.
     jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    auto o = jobs.orders(h, true);
+    auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, Verb::kHalt);
+    EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
 }
 
 TEST_F(Lifecycle, TellsFaultyMachinesFromFaultyJobs) {
     config.teams[0].gpus_max = 0;
-    Host& bad = machine("vm-1");
-    auto fail = [&](Host& h, const std::string& id) {
+    Machine& bad = machine("vm-1");
+    auto fail = [&](Machine& h, const std::string& id) {
         Job& j = jobs.find(id) ? *jobs.find(id) : add(spec(id, 1));
         h.tasks.clear();
         jobs.bind(j, 0, h, j.next_attempt++, now);
@@ -361,7 +361,7 @@
     EXPECT_TRUE(bad.condemned);
     // One job that fails everywhere costs no machine.
     for (const char* m : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
-        Host& h = machine(m);
+        Machine& h = machine(m);
         fail(h, "job-7");
         EXPECT_FALSE(h.condemned);
     }
@@ -384,44 +384,45 @@
     add(old);
     now += 80;
     add(young);
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     auto b = pull({&h});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
 }
 
-// A machine that crawls shows against siblings of the same job elsewhere; a long job alone shows nothing.
-TEST_F(Lifecycle, CondemnsMachinesThatCrawl) {
+// A machine that straggles shows against peers of the same job elsewhere; a long job alone shows nothing.
+TEST_F(Lifecycle, CondemnsMachinesThatStraggler) {
     config.teams[0].gpus_max = 0;
     Job& j = add(spec("job-1", 8));
-    std::vector<Host*> hosts;
-    for (int i = 0; i < 4; ++i) hosts.push_back(&machine("vm-" + std::to_string(i)));
-    ASSERT_EQ(pull(hosts).size(), 8u);
+    std::vector<Machine*> machines;
+    for (int i = 0; i < 4; ++i) machines.push_back(&machine("vm-" + std::to_string(i)));
+    ASSERT_EQ(pull(machines).size(), 8u);
     committed(j);
-    auto state = [&](Host& h, TaskPhase p, ExitCause c) {
+    auto state = [&](Machine& h, TaskPhase p, ExitCause c) {
         std::vector<ReportedTask> t;
-        for (auto& r : jobs.on_host(h.name))
+        for (auto& r : jobs.on_machine(h.name))
             t.push_back(task(r.job->spec.id, r.task, r.placement->attempt, p, c));
         jobs.apply(cluster, h, report(h, t), true, now);
     };
-    for (Host* h : hosts) state(*h, TaskPhase::kRunning, ExitCause::kNone);
+    for (Machine* h : machines) state(*h, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
-    jobs.find_crawlers(cluster, now);
-    EXPECT_FALSE(hosts[0]->condemned) << "nothing to compare with";
+    jobs.find_stragglers(cluster, now);
+    EXPECT_FALSE(machines[0]->condemned) << "nothing to compare with";
     now -= 70;
-    for (int i = 1; i < 4; ++i) state(*hosts[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
-    jobs.find_crawlers(cluster, now);
-    EXPECT_FALSE(hosts[0]->condemned);
+    for (int i = 1; i < 4; ++i)
+        state(*machines[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
+    jobs.find_stragglers(cluster, now);
+    EXPECT_FALSE(machines[0]->condemned);
     now += 50;
-    jobs.find_crawlers(cluster, now);
-    EXPECT_TRUE(hosts[0]->condemned);
+    jobs.find_stragglers(cluster, now);
+    EXPECT_TRUE(machines[0]->condemned);
     EXPECT_EQ(jobs.take_urgent().count("vm-0"), 1u) << "its tasks save and move";
 }
 
 TEST_F(Lifecycle, WaitsBrieflyForAnIdleHolderOfTheImage) {
     Job& j = add(spec("job-1", 1));
-    Host &asker = machine("vm-1"), &holder = machine("vm-2");
+    Machine &asker = machine("vm-1"), &holder = machine("vm-2");
     holder.cache.set_capacity(50);
     holder.cache.use(j.spec.image, 2);
     EXPECT_TRUE(pull({&asker}).empty());
@@ -436,7 +437,7 @@
     big.image_gb = 9;
     now += 1;
     add(big);
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     h.cache.set_capacity(50);
     h.cache.use("img-job-1", 2);
     h.cache.use("img-job-2", 9);
@@ -461,9 +462,9 @@
 TEST_F(Lifecycle, AHugeJobCostsNoMoreThanItsMachines) {
     config.teams[0].gpus_max = 0;
     Job& j = add(spec("job-1", 100'000));
-    std::vector<Host*> hosts;
-    for (int i = 0; i < 40; ++i) hosts.push_back(&machine("vm-" + std::to_string(100 + i)));
-    EXPECT_EQ(pull(hosts).size(), 80u);
+    std::vector<Machine*> machines;
+    for (int i = 0; i < 40; ++i) machines.push_back(&machine("vm-" + std::to_string(100 + i)));
+    EXPECT_EQ(pull(machines).size(), 80u);
     EXPECT_LE(j.pending.pieces(), 1u);
     EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
@@ -490,7 +491,8 @@
     Seconds then = now;
     now += 15;
     auto silent = [&](int n) {
-        for (int i = 0; i < 6; ++i) cluster.host("vm-" + std::to_string(i))->last_report = i < n ? then : now;
+        for (int i = 0; i < 6; ++i)
+            cluster.machine("vm-" + std::to_string(i))->last_report = i < n ? then : now;
         cluster.recount(jobs, now, 6);
         FleetInput in{config, settings, now, then, {}, {}, true, false};
         return plan_fleet(cluster, jobs, in).give_back.size();
@@ -498,8 +500,8 @@
     EXPECT_EQ(silent(1), 1u);
     EXPECT_EQ(silent(5), 0u) << "more likely the controller is cut off";
     // Not one by one either, when the others have only just fallen quiet.
-    for (int i = 1; i < 6; ++i) cluster.host("vm-" + std::to_string(i))->last_report = now - 8;
-    cluster.host("vm-0")->last_report = then;
+    for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_report = now - 8;
+    cluster.machine("vm-0")->last_report = then;
     FleetInput in{config, settings, now, then, {}, {}, true, false};
     EXPECT_TRUE(plan_fleet(cluster, jobs, in).give_back.empty());
     // Nor is anything rented where it would not be heard, and the silent ones are no room to count on. A new
@@ -509,7 +511,7 @@
     add(spec("job-1", 4));
     for (bool heard : {true, false}) {
         for (int i = 0; i < 6; ++i) {
-            Host& h = *cluster.host("vm-" + std::to_string(i));
+            Machine& h = *cluster.machine("vm-" + std::to_string(i));
             h.last_report = then;
             h.listed = true;
             h.reported = heard;
@@ -528,13 +530,13 @@
         cut.now = now + 1;
         cut.cut_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
-            Host& h = *cluster.host("vm-" + std::to_string(i));
+            Machine& h = *cluster.machine("vm-" + std::to_string(i));
             h.reported = true;
             h.last_report = cut.now;
         }
         EXPECT_TRUE(plan_fleet(cluster, jobs, cut).silent.empty());
         cut.now += 2 * config.lease_s;
-        for (int i = 0; i < 4; ++i) cluster.host("vm-" + std::to_string(i))->last_report = cut.now;
+        for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_report = cut.now;
         EXPECT_EQ(plan_fleet(cluster, jobs, cut).silent.size(), 2u);
     }
 }
@@ -542,7 +544,7 @@
 // Work is moved together only when no job has come for a while, and only if it can save and fits elsewhere.
 TEST_F(Lifecycle, EmptiesHalfUsedMachinesOnlyInACalm) {
     config.teams[0].gpus_max = 0;
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec s = spec("job-1", 2);
     s.estimate_s = 500;
     Job& j = add(s);
@@ -568,7 +570,7 @@
 // A waiting gang keeps the machines that come free, except for work that is over before it can start.
 TEST_F(Lifecycle, KeepsRoomForAWaitingGangAndLendsItToShortWork) {
     config.teams[0].gpus_max = 0;
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec longer = spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 200;
@@ -598,7 +600,7 @@
     guaranteed.name = "other";
     guaranteed.gpus = 2;
     config.teams.push_back(guaranteed);
-    Host& x = machine("vm-1");
+    Machine& x = machine("vm-1");
     Job& low = add(spec("job-1", 2));
     low.spec.rank = Rank::kStandard;
     low.spec.checkpoint_s = 100;
@@ -630,7 +632,7 @@
     config.teams[0].gpus_max = 0;
     std::vector<Job*> low;
     for (int i = 0; i < 4; ++i) {
-        Host& h = machine("vm-" + std::to_string(i));
+        Machine& h = machine("vm-" + std::to_string(i));
         Job& j = add(spec("job-" + std::to_string(i), 2));
         low.push_back(&j);
         pull({&h});
@@ -660,13 +662,13 @@
 // The task goes elsewhere, nothing more is bound there, and the machine is replaced.
 TEST_F(Lifecycle, GivesUpAMachineThatReportsButDoesNotHear) {
     Job& j = add(spec("job-1", 1));
-    Host &deaf = machine("vm-1"), &other = machine("vm-2");
+    Machine &deaf = machine("vm-1"), &other = machine("vm-2");
     other.condemned = true;
     ASSERT_EQ(pull({&deaf}).size(), 1u);
     committed(j);
     for (int i = 0; i < constants::kUnheardLaunches; ++i) {
         ASSERT_EQ(j.live.count(0), 1u);
-        EXPECT_EQ(launches(jobs.orders(deaf, true)), 1u);
+        EXPECT_EQ(launches(jobs.commands(deaf, true)), 1u);
         jobs.apply(cluster, deaf, report(deaf, {}), true, now += 3);
     }
     EXPECT_TRUE(j.live.empty());
@@ -687,7 +689,7 @@
 // What its reports say of the answers to them: one that is answered stays and numbers its reports one by
 // one, and its lease does not end.
 TEST_F(Lifecycle, SeesFromReportsWhetherAnswersAreHeard) {
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     auto next = [&](uint64_t session, uint64_t seq, bool direct = true) {
         Report r = report(h, {});
         r.session = session;
@@ -715,7 +717,7 @@
 TEST_F(Lifecycle, ALateCopyAtANewLeaderIsNoRoom) {
     settings.max_machines = 5;
     add(spec("job-1", 2));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     h.current = false;
     h.last_report = now;
     cluster.recount(jobs, now, 6);
@@ -735,7 +737,7 @@
 // lateness: after the bound it goes first, and what comes free is kept for it until it can begin.
 TEST_F(Lifecycle, AStarvedJobGoesBeforeAllOthers) {
     config.teams[0].gpus_max = 0;
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec large = spec("job-1", 2, Shape::kGang);
     large.gpus = 2;
     large.one_zone = true;
@@ -757,16 +759,16 @@
     now += settings.begin_bound_s + 1;
     stream();
     // One machine comes free: it is kept, whatever else waits.
-    jobs.host_gone("vm-1", now);
+    jobs.machine_gone("vm-1", now);
     EXPECT_TRUE(pull({&x}).empty());
     jobs.erase("job-10");
-    jobs.host_gone("vm-2", now);
+    jobs.machine_gone("vm-2", now);
     auto b = pull({&x, &y});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job, &old);
     // The late array has its turn before what came after it, too, and only until it has begun.
-    jobs.host_gone("vm-1", now);
-    jobs.host_gone("vm-2", now);
+    jobs.machine_gone("vm-1", now);
+    jobs.machine_gone("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
     b = pull({&x, &y});
@@ -778,7 +780,7 @@
 // A gang that its team's limit keeps waiting: the team's own lower work yields, and small jobs of the team
 // that come later do not take what comes free of the limit for ever.
 TEST_F(Lifecycle, ATeamsLimitIsGatheredForItsWaitingGang) {
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     machine("vm-3");
     Job& low = add(spec("job-1", 2));
     low.spec.rank = Rank::kIdle;
@@ -792,7 +794,7 @@
     idle.rank = Rank::kIdle;
     Job& lower = add(idle);
     config.teams[0].gpus_max = 5;
-    EXPECT_TRUE(pull({&x, &y, cluster.host("vm-3")}).empty()) << "what is free is kept from lower work";
+    EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty()) << "what is free is kept from lower work";
     EXPECT_EQ(lower.why, Wait::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
@@ -809,9 +811,9 @@
     // Not enough came free, and a small job comes.
     gang.spec.tasks = 3;
     gang.pending = Ranges::whole(3);
-    low.withdrawn = true;
-    for (const auto& r : std::vector(jobs.on_host("vm-1")))
-        if (r.job->spec.id == "job-1") jobs.host_gone("vm-1", now);
+    low.cancelled = true;
+    for (const auto& r : std::vector(jobs.on_machine("vm-1")))
+        if (r.job->spec.id == "job-1") jobs.machine_gone("vm-1", now);
     add(spec("job-4", 1));
     EXPECT_TRUE(pull({&x, &y}).empty()) << "what is free of the limit is kept";
     EXPECT_EQ(gang.why, Wait::kTeamLimit);
@@ -822,7 +824,7 @@
     gang.spec.one_zone = true;
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
-    EXPECT_TRUE(pull({&x, &y, cluster.host("vm-3")}).empty());
+    EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty());
     EXPECT_EQ(gang.why, Wait::kGangRoom);
 }
 
@@ -835,7 +837,7 @@
     add(old);
     now += 60;
     add(young);
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     auto b = pull({&h});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
@@ -851,12 +853,12 @@
     JobSpec s = spec("job-1", 2);
     s.job_class = "c";
     Job& old = add(s);
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     ASSERT_EQ(pull({&h}).size(), 2u);
     committed(old);
     now += 60;
-    jobs.host_gone("vm-1", now);
-    cluster.hosts.erase("vm-1");
+    jobs.machine_gone("vm-1", now);
+    cluster.machines.erase("vm-1");
     s.id = "job-2";
     add(s);
     auto b = pull({&machine("vm-2")});
@@ -868,7 +870,7 @@
 // What is kept of the limit for a starved gang does not count against itself: it still keeps the machines
 // that come free.
 TEST_F(Lifecycle, AStarvedGangKeepsLimitAndMachines) {
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec longer = spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 300;
@@ -889,33 +891,33 @@
     now += settings.begin_bound_s + 1;
     add(theirs);
     EXPECT_TRUE(pull({&x}).empty()) << "the machine is kept, from other teams as well";
-    jobs.host_gone("vm-2", now);
+    jobs.machine_gone("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
     EXPECT_EQ(pull({&x, &y}).size(), 2u);
 }
 
-// What a round, a rental plan and a take-over cost grows with the fleet, although jobs wait in proportion to
-// it: like tasks are decided as a class. Looked at job by job, 1,000 machines cost 16 times what 250 do, and
-// a round took longer than the leader's share of a core allows.
-TEST_F(Lifecycle, TheCostOfARoundGrowsWithTheFleetAndNotItsSquare) {
+// What a scheduling pass, a rental plan and a take-over cost grows with the fleet, although jobs wait in
+// proportion to it: like tasks are decided as a class. Looked at job by job, 1,000 machines cost 16 times
+// what 250 do, and a scheduling pass took longer than the leader's share of a core allows.
+TEST_F(Lifecycle, TheCostOfAPassGrowsWithTheFleetAndNotItsSquare) {
     struct Cost {
         uint64_t round = 0, plan = 0;
     };
     auto cost = [&](int machines) {
-        cluster.hosts.clear();
+        cluster.machines.clear();
         jobs.clear();
         config.teams[0].gpus_max = 0;
-        std::vector<Host*> hosts;
+        std::vector<Machine*> fleet_machines;
         for (int i = 0; i < machines; ++i)
-            hosts.push_back(&machine("vm-" + std::to_string(10000 + i), i % 2 ? "a" : "b"));
+            fleet_machines.push_back(&machine("vm-" + std::to_string(10000 + i), i % 2 ? "a" : "b"));
         // Half of the fleet runs an array that yields, half one that does not.
         for (int i = 0; i < machines; i += 10) {
             JobSpec s = spec("job-" + std::to_string(i), 20);
             s.rank = i % 20 ? Rank::kIdle : Rank::kHigh;
             Job& j = add(s);
             for (uint32_t t = 0; t < 20; ++t)
-                jobs.bind(j, t, *hosts[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
+                jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
             JobSpec s = spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
@@ -927,9 +929,9 @@
         }
         Cost c;
         cluster.recount(jobs, now, 6);
-        MatchInput in{config, settings, now, {}, &c.round};
-        for (int i = 0; i < machines; i += 50) in.askers.push_back(hosts[static_cast<size_t>(i)]);
-        match(cluster, jobs, in);
+        SchedulerInput in{config, settings, now, {}, &c.round};
+        for (int i = 0; i < machines; i += 50) in.askers.push_back(fleet_machines[static_cast<size_t>(i)]);
+        schedule(cluster, jobs, in);
         cluster.recount(jobs, now, 6);
         FleetInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
         plan_fleet(cluster, jobs, f);
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -1,11 +1,11 @@
-// Services: replicas that run until their job is withdrawn. Without I/O, then through a whole controller.
+// Services: replicas that run until their job is cancelled. Without I/O, then through a whole controller.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
 #include "base/constants.h"
 #include "fleet/plan.h"
-#include "match/match.h"
+#include "scheduler/scheduler.h"
 #include "standins.h"
 #include "users/wire.h"
 
@@ -30,7 +30,7 @@
         config.lease_s = 24;
         config.value_bytes = 8192;
         config.cloud_rps = 6;
-        cluster.flavors = {small_flavor()};
+        cluster.machine_types = {small_machine_type()};
     }
 
     static JobSpec service(const std::string& id, uint32_t replicas) {
@@ -68,10 +68,10 @@
         j.accepted = j.waiting_since = now;
         return j;
     }
-    Host& machine(const std::string& name, const std::string& zone = "a", bool spot = false) {
-        Host& h = cluster.ensure(name, now);
+    Machine& machine(const std::string& name, const std::string& zone = "a", bool spot = false) {
+        Machine& h = cluster.ensure(name, now);
         h.zone = zone;
-        h.flavor = "g2";
+        h.machine_type = "g2";
         h.spot = spot;
         h.reported = h.current = true;
         reported(h);
@@ -79,11 +79,11 @@
     }
     // What the machine has besides exits, as it would report it.
     std::map<std::string, std::vector<ReportedTask>> on;
-    void reported(Host& h) {
+    void reported(Machine& h) {
         Report r;
-        r.host = h.name;
+        r.machine = h.name;
         r.zone = h.zone;
-        r.flavor = "g2";
+        r.machine_type = "g2";
         r.spot = h.spot;
         r.session = 1;
         r.seq = h.seq + 1;
@@ -91,42 +91,42 @@
         jobs.apply(cluster, h, r, true, now);
     }
     // Binds, commits, launches and reports the replicas as running.
-    size_t started(std::vector<Host*> askers) {
+    size_t started(std::vector<Machine*> askers) {
         size_t n = pull(askers).size();
-        for (auto& [name, h] : cluster.hosts) carry_out(*h);
+        for (auto& [name, h] : cluster.machines) carry_out(*h);
         return n;
     }
-    void carry_out(Host& h) {
+    void carry_out(Machine& h) {
         for (auto& [id, j] : jobs.all()) j->committed = j->version;
         auto& list = on[h.name];
-        for (const Order& o : jobs.orders(h, true)) {
+        for (const Command& o : jobs.commands(h, true)) {
             auto it = std::find_if(list.begin(), list.end(), [&](const ReportedTask& t) {
                 return t.name == o.name && t.attempt == o.attempt;
             });
-            if (o.verb == Verb::kLaunch && it == list.end())
+            if (o.verb == CommandKind::kLaunch && it == list.end())
                 list.push_back({o.name, o.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-            if (o.verb == Verb::kHalt && it != list.end()) {
+            if (o.verb == CommandKind::kStop && it != list.end()) {
                 it->phase = TaskPhase::kExited;
                 it->cause = ExitCause::kStopped;
             }
-            if (o.verb == Verb::kForget && it != list.end()) list.erase(it);
+            if (o.verb == CommandKind::kForget && it != list.end()) list.erase(it);
         }
         reported(h);
     }
-    void ends(Host& h, ExitCause cause) {
+    void ends(Machine& h, ExitCause cause) {
         for (auto& t : on[h.name]) {
             t.phase = TaskPhase::kExited;
             t.cause = cause;
         }
         reported(h);
     }
-    std::vector<Binding> pull(std::vector<Host*> askers) {
-        for (auto& [n, h] : cluster.hosts) h->last_report = now;
+    std::vector<Binding> pull(std::vector<Machine*> askers) {
+        for (auto& [n, h] : cluster.machines) h->last_report = now;
         cluster.recount(jobs, now, 8);
-        return match(cluster, jobs, {config, settings, now, std::move(askers)});
+        return schedule(cluster, jobs, {config, settings, now, std::move(askers)});
     }
     FleetPlan plan() {
-        for (auto& [n, h] : cluster.hosts) h->last_report = now;
+        for (auto& [n, h] : cluster.machines) h->last_report = now;
         cluster.recount(jobs, now, 8);
         return plan_fleet(cluster, jobs, {config, settings, now, 0, {}, {}, true, false});
     }
@@ -145,7 +145,7 @@
 
 TEST_F(Service, IsNeverDoneWhateverItsReplicasReport) {
     Job& j = add(service("job-1", 1));
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     ASSERT_EQ(started({&h}), 1u);
     for (ExitCause cause : {ExitCause::kDone, ExitCause::kError, ExitCause::kStopped, ExitCause::kNoRoom,
                             ExitCause::kBusy, ExitCause::kUnknownJob}) {
@@ -156,7 +156,7 @@
         EXPECT_FALSE(j.over());
         EXPECT_TRUE(j.done.empty()) << "a poll would count it";
         EXPECT_EQ(j.record().phase(), JobPhase::kPending);
-        auto o = jobs.orders(h, true);
+        auto o = jobs.commands(h, true);
         EXPECT_TRUE(o.empty()) << "an exit is forgotten only once what came of it is committed";
         ASSERT_EQ(started({&h}), 1u) << "it ran for a while: it is started again at once, also here";
         EXPECT_GT(j.live.at(0).attempt, attempt);
@@ -165,7 +165,7 @@
     }
     // An exit `done` of an attempt that was given up, too.
     on[h.name] = {{{"job-1", 0}, 1, TaskPhase::kExited, ExitCause::kDone, false}};
-    jobs.host_gone("vm-1", now);
+    jobs.machine_gone("vm-1", now);
     reported(h);
     EXPECT_TRUE(j.done.empty());
     // And what an earlier version took for done.
@@ -174,21 +174,21 @@
     r.done.add(0);
     Job& old = jobs.load(r, 5, now, 0);
     EXPECT_EQ(old.pending.size(), 2u);
-    jobs.withdraw(j, now);
-    EXPECT_EQ(j.record().phase(), JobPhase::kWithdrawn);
+    jobs.cancel(j, now);
+    EXPECT_EQ(j.record().phase(), JobPhase::kCancelled);
 }
 
 // Replaced as soon as it cannot be live any more, and no sooner.
 TEST_F(Service, ReplacesAReplicaWhoseMachineIsGoneOnlyOnceThatIsCertain) {
     Job& j = add(service("job-1", 1));
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     ASSERT_EQ(started({&x}), 1u);
     now += 500;
     EXPECT_TRUE(pull({&y}).empty()) << "silent, its machine may still run it";
-    jobs.host_gone("vm-1", now);
-    cluster.hosts.erase("vm-1");
+    jobs.machine_gone("vm-1", now);
+    cluster.machines.erase("vm-1");
     ASSERT_EQ(pull({&y}).size(), 1u);
-    EXPECT_EQ(j.live.at(0).host, "vm-2");
+    EXPECT_EQ(j.live.at(0).machine, "vm-2");
     // Lost with its worker's lease: a newer report lacks it.
     carry_out(y);
     on["vm-2"].clear();
@@ -197,7 +197,7 @@
 }
 
 TEST_F(Service, EndsNoOtherWorkAndYieldsToNone) {
-    Host& h = machine("vm-1");
+    Machine& h = machine("vm-1");
     JobSpec low = service("job-1", 4);
     low.rank = Rank::kIdle;
     low.cpus = 4;
@@ -215,7 +215,7 @@
 
 // Nor is it expected to come free by itself, whatever its user gave as an estimate.
 TEST_F(Service, IsNoRoomToCountOn) {
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec s = service("job-1", 1);
     s.cpus = 16;
     s.gpus = 1;
@@ -243,7 +243,7 @@
 }
 
 TEST_F(Service, OfProductionRankPreemptsLowerWorkAtOnce) {
-    Host& x = machine("vm-1");
+    Machine& x = machine("vm-1");
     Job& low = add(batch("job-1", 1, Rank::kHigh));
     ASSERT_EQ(started({&x}), 1u);
     add(service("job-2", 1));
@@ -262,7 +262,7 @@
     sure.name = "sure";
     sure.gpus = 100;
     config.teams.push_back(sure);
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec g = batch("job-1", 2, Rank::kHigh);
     g.shape = Shape::kGang;
     g.team = "sure";
@@ -280,7 +280,7 @@
 
 // Room is made where the zones allow a replica, not where there is most to take.
 TEST_F(Service, PreemptsOnlyInZonesThatMayStillTakeAReplica) {
-    Host &a = machine("vm-1"), &b = machine("vm-2", "b");
+    Machine &a = machine("vm-1"), &b = machine("vm-2", "b");
     Job& low = add(batch("job-2", 1, Rank::kStandard));
     ASSERT_EQ(started({&b}), 1u);
     JobSpec s = service("job-1", 2);
@@ -291,14 +291,14 @@
     EXPECT_EQ(j.pending.size(), 1u);
     // Without the lower work it is a machine of that zone that is rented.
     jobs.erase("job-2");
-    cluster.hosts.erase("vm-2");
+    cluster.machines.erase("vm-2");
     FleetPlan p = plan();
     ASSERT_EQ(p.rent.size(), 1u);
     EXPECT_EQ(p.rent[0].kind.zone, "b");
 }
 
 TEST_F(Service, IsApartInAReplacementToo) {
-    std::vector<Host*> a, b;
+    std::vector<Machine*> a, b;
     for (int i = 0; i < 4; ++i) a.push_back(&machine("vm-a" + std::to_string(i)));
     for (int i = 0; i < 4; ++i) b.push_back(&machine("vm-b" + std::to_string(i), "b"));
     JobSpec s = service("job-1", 5);
@@ -309,14 +309,14 @@
     EXPECT_EQ(started(b), 2u);
     std::string lost;
     for (const auto& [task, p] : j.live)
-        if (p.zone == "b") lost = p.host;
+        if (p.zone == "b") lost = p.machine;
     now += 60;
-    jobs.host_gone(lost, now);
-    cluster.hosts.erase(lost);
+    jobs.machine_gone(lost, now);
+    cluster.machines.erase(lost);
     on.erase(lost);
     EXPECT_EQ(started(a), 0u);
-    std::vector<Host*> left;
-    for (auto& [name, h] : cluster.hosts)
+    std::vector<Machine*> left;
+    for (auto& [name, h] : cluster.machines)
         if (h->zone == "b") left.push_back(h.get());
     EXPECT_EQ(started(left), 1u);
     EXPECT_EQ(by(j, &Placement::zone), (std::map<std::string, int>{{"a", 3}, {"b", 2}}));
@@ -324,7 +324,7 @@
 
 // One loss takes one replica, and a wave of spot machines taken back at most half.
 TEST_F(Service, SpreadsOverMachinesAndKinds) {
-    std::vector<Host*> all;
+    std::vector<Machine*> all;
     for (int i = 0; i < 4; ++i) all.push_back(&machine("vm-" + std::to_string(i), "a", i < 2));
     JobSpec s = service("job-1", 4);
     s.spot = true;
@@ -332,7 +332,7 @@
     EXPECT_EQ(started({all[0]}), 1u) << "the others of this machine wait for other machines";
     EXPECT_EQ(j.why, Wait::kHeldForSpread);
     EXPECT_EQ(started(all), 3u);
-    EXPECT_EQ(by(j, &Placement::host).size(), 4u);
+    EXPECT_EQ(by(j, &Placement::machine).size(), 4u);
     // Not for long: a machine that asks is better than one that may ask.
     Job& k = add(service("job-2", 3));
     EXPECT_EQ(started({all[2]}), 1u);
@@ -345,13 +345,13 @@
     machine("vm-9", "a", true);
     s.id = "job-3";
     Job& l = add(s);
-    EXPECT_EQ(started({all[0], all[1], cluster.host("vm-9")}), 2u);
+    EXPECT_EQ(started({all[0], all[1], cluster.machine("vm-9")}), 2u);
     EXPECT_EQ(started({all[2], all[3]}), 2u);
     EXPECT_EQ(l.live.size(), 4u);
 }
 
 TEST_F(Service, WaitsForAnImageOnlyWhereThatIsSooner) {
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     JobSpec s = service("job-1", 1);
     s.image_gb = 1;  // fetched in a second; the holder's next report may be four away
     x.cache.use(s.image, 1);
@@ -383,7 +383,7 @@
     now += 50;
     EXPECT_EQ(j.aims_lost(config, now), 0);
     EXPECT_FALSE(j.late(config, now));
-    Host &x = machine("vm-1"), &y = machine("vm-2");
+    Machine &x = machine("vm-1"), &y = machine("vm-2");
     Job& busy = add(batch("job-2", 1, Rank::kStandard));
     jobs.bind(busy, 0, y, 1, now);
     JobSpec g = batch("job-3", 2, Rank::kStandard);
@@ -395,14 +395,14 @@
 // It ends at once wherever it is started: that is its own fault. It is tried again less and less often, and
 // no machine is condemned for it.
 TEST_F(Service, BacksOffWhenItEndsAtOnceWithoutCondemningMachines) {
-    std::vector<Host*> all;
+    std::vector<Machine*> all;
     for (int i = 0; i < 6; ++i) all.push_back(&machine("vm-" + std::to_string(i)));
     Job& j = add(service("job-1", 1));
     std::vector<Seconds> starts;
     for (int step = 0; step < 1200 && starts.size() < 10; ++step, now += 0.5) {
         if (started(all) == 0) continue;
         starts.push_back(now);
-        Host* h = cluster.host(j.live.at(0).host);
+        Machine* h = cluster.machine(j.live.at(0).machine);
         ends(*h, starts.size() % 2 ? ExitCause::kError : ExitCause::kDone);
         carry_out(*h);
     }
@@ -411,7 +411,7 @@
     EXPECT_GT(starts[9] - starts[8], 30);
     EXPECT_GT(starts[8] - starts[7], starts[6] - starts[5]);
     EXPECT_TRUE(j.blamed);
-    for (Host* h : all) {
+    for (Machine* h : all) {
         EXPECT_FALSE(h->condemned);
         EXPECT_TRUE(h->failed_jobs.empty());
     }
@@ -419,7 +419,7 @@
     now += 200;
     ASSERT_EQ(started(all), 1u);
     now += constants::kReplicaSteady_s;
-    Host* h = cluster.host(j.live.at(0).host);
+    Machine* h = cluster.machine(j.live.at(0).machine);
     reported(*h);
     EXPECT_FALSE(j.blamed);
     ends(*h, ExitCause::kError);
@@ -428,13 +428,13 @@
 
 // Replicas of different services fail on one machine and run elsewhere: it is the machine.
 TEST_F(Service, CondemnsAMachineThatFailsReplicasOfDifferentServices) {
-    Host &bad = machine("vm-1"), &good = machine("vm-2");
+    Machine &bad = machine("vm-1"), &good = machine("vm-2");
     for (const char* id : {"job-1", "job-2"}) {
         Job& j = add(service(id, 1));
         ASSERT_EQ(started({&bad}), 1u);
         ends(bad, ExitCause::kError);
         ASSERT_EQ(started({&bad, &good}), 1u);
-        EXPECT_EQ(j.live.at(0).host, "vm-2") << "at once, and not where it failed";
+        EXPECT_EQ(j.live.at(0).machine, "vm-2") << "at once, and not where it failed";
         carry_out(bad);
     }
     EXPECT_TRUE(bad.condemned);
@@ -443,15 +443,15 @@
 // From a machine that is condemned or emptied replicas move one at a time: the next when the last one's
 // successor runs. What can wait does not make a service small.
 TEST_F(Service, MovesReplicasOneAtATime) {
-    Host& x = machine("vm-1");
+    Machine& x = machine("vm-1");
     Job& j = add(service("job-1", 3));
     now += constants::kSpreadWait_s;
     ASSERT_EQ(started({&x}), 3u);
-    Host& y = machine("vm-2");
+    Machine& y = machine("vm-2");
     x.emptying = true;
     now += 60;
     for (size_t left = 3; left > 0; --left) {
-        EXPECT_EQ(by(j, &Placement::host)["vm-1"], static_cast<int>(left));
+        EXPECT_EQ(by(j, &Placement::machine)["vm-1"], static_cast<int>(left));
         jobs.move_replicas(cluster, now);
         jobs.move_replicas(cluster, now += 1);
         EXPECT_EQ(stopping(j), 1u);
@@ -461,18 +461,18 @@
         EXPECT_EQ(stopping(j), 0u) << "its successor does not run yet";
         ASSERT_EQ(started({&x, &y}), 1u);
     }
-    EXPECT_EQ(by(j, &Placement::host)["vm-2"], 3);
+    EXPECT_EQ(by(j, &Placement::machine)["vm-2"], 3);
 }
 
 TEST_F(Service, IsRefusedIfItsReplicasCannotAllRun) {
     config.teams[0].cpus_max = 6;
     JobSpec s = service("job-1", 6);
-    EXPECT_EQ(never_runnable(s, config, cluster.flavors), "");
+    EXPECT_EQ(never_runnable(s, config, cluster.machine_types), "");
     s.tasks = 7;
-    EXPECT_NE(never_runnable(s, config, cluster.flavors), "");
+    EXPECT_NE(never_runnable(s, config, cluster.machine_types), "");
     s.tasks = 1;
     s.cpus = 17;
-    EXPECT_NE(never_runnable(s, config, cluster.flavors), "");
+    EXPECT_NE(never_runnable(s, config, cluster.machine_types), "");
 }
 
 namespace {
@@ -503,8 +503,8 @@
 
 }  // namespace
 
-// What its user sees, from the submission to the withdrawal, also through another node.
-TEST(ServiceUsers, SeeItRunUntilTheyWithdrawIt) {
+// What its user sees, from the submission to the cancellation, also through another node.
+TEST(ServiceUsers, SeeItRunUntilTheyCancelIt) {
     Site s(2);
     s.start(0);
     s.start(1);
@@ -516,31 +516,31 @@
     FakeWorker w;
     s.settle(w);
     for (ExitCause cause : {ExitCause::kDone, ExitCause::kDone, ExitCause::kDone}) {
-        s.hello(w, lead);
-        s.hello(w, lead);
+        s.send_report(w, lead);
+        s.send_report(w, lead);
         ASSERT_TRUE(w.find("job-1/0"));
         EXPECT_EQ(phase(s.call(other, "GET", "/v2/runs/job-1")), "running");
         for (int i = 0; i < 8; ++i) {
             s.run(3);
-            s.hello(w, lead);
+            s.send_report(w, lead);
         }
         ASSERT_TRUE(w.find("job-1/0"));
         w.find("job-1/0")->phase = TaskPhase::kExited;
         w.find("job-1/0")->cause = cause;
-        s.hello(w, lead);
+        s.send_report(w, lead);
         s.run(0.5);
         std::string now = phase(s.call(other, "GET", "/v2/runs/job-1"));
         EXPECT_TRUE(now == "pending" || now == "running") << now;
         EXPECT_EQ(s.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 200);
     }
-    s.hello(w, lead);
+    s.send_report(w, lead);
     ASSERT_TRUE(w.find("job-1/0"));
     std::string page = s.call(lead, "GET", "/operator/jobs").body;
     EXPECT_NE(page.find("job-1 service team team 1 of 1 replicas up"), std::string::npos) << page;
     EXPECT_EQ(phase(s.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     s.run(0.5);
-    s.hello(w, lead);
-    s.hello(w, lead);
+    s.send_report(w, lead);
+    s.send_report(w, lead);
     s.run(0.5);
     EXPECT_EQ(phase(s.call(lead, "GET", "/v2/runs/job-1")), "withdrawn");
     EXPECT_EQ(s.state.rows.count("j/job-1"), 0u);
@@ -558,21 +558,21 @@
     w2.name = "vm-000002";
     s.settle(w1);
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
-    s.hello(w1, 0);
-    s.hello(w1, 0);
+    s.send_report(w1, 0);
+    s.send_report(w1, 0);
     ASSERT_TRUE(w1.find("job-1/0"));
     s.settle(w2);
     w1.notice_s = 20;
-    s.hello(w1, 0);
+    s.send_report(w1, 0);
     ASSERT_TRUE(w1.find("job-1/0"));
     EXPECT_EQ(w1.find("job-1/0")->phase, TaskPhase::kExited) << "told to stop in the answer to the notice";
-    s.hello(w2, 0);
+    s.send_report(w2, 0);
     EXPECT_FALSE(w2.find("job-1/0")) << "its exit is not reported yet";
-    s.hello(w1, 0);
-    s.hello(w2, 0);
+    s.send_report(w1, 0);
+    s.send_report(w2, 0);
     ASSERT_TRUE(w2.find("job-1/0"));
     EXPECT_EQ(w2.find("job-1/0")->attempt, 2u);
-    s.hello(w1, 0);
+    s.send_report(w1, 0);
     EXPECT_TRUE(w1.tasks.empty()) << "and nothing comes back to the machine that goes";
 }
 
@@ -586,12 +586,12 @@
     FakeWorker w;
     s.settle(w);
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.hello(w, 0);
-    s.hello(w, 0);
+    s.send_report(w, 0);
+    s.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
     auto took = [&] {
         Seconds began = s.loop.now();
-        EXPECT_EQ(s.hello(w, 0), 200);
+        EXPECT_EQ(s.send_report(w, 0), 200);
         return s.loop.now() - began;
     };
     EXPECT_LT(took(), 0.3) << "without services its next change must come through";
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -87,9 +87,9 @@
             ++it;
             continue;
         }
-        if (!any) ++tide;
+        if (!any) ++revision;
         any = true;
-        events_.push_back({it->first, true, "", tide});
+        events_.push_back({it->first, true, "", revision});
         it = rows.erase(it);
     }
     if (any) news_.notify();
@@ -107,7 +107,8 @@
     for (size_t i = 0; i < when.size(); ++i) {
         std::string k = *when.at(i)["k"].text();
         auto it = rows.find(k);
-        if ((it == rows.end() ? 0 : it->second.stamp) != *when.at(i)["stamp"].count()) failed.push_back(k);
+        if ((it == rows.end() ? 0 : it->second.mod_revision) != *when.at(i)["stamp"].count())
+            failed.push_back(k);
     }
     for (size_t i = 0; i < writes.size(); ++i) {
         uint64_t lease = writes.at(i)["mooring"].count_or(0);
@@ -127,23 +128,23 @@
     if (!failed.empty()) {
         p.map(2).key("failed").list(failed.size());
         for (const auto& k : failed) p.text(k);
-        p.key("tide").count(tide);
+        p.key("tide").count(revision);
         return packed(409, p);
     }
-    if (writes.size() > 0) ++tide;
+    if (writes.size() > 0) ++revision;
     for (size_t i = 0; i < writes.size(); ++i) {
         Node w = writes.at(i);
         ++puts;
         if (auto k = w["put"].text()) {
-            rows[*k] = {repack(w["data"]), tide, w["mooring"].count_or(0)};
-            events_.push_back({*k, false, rows[*k].data, tide});
+            rows[*k] = {repack(w["data"]), revision, w["mooring"].count_or(0)};
+            events_.push_back({*k, false, rows[*k].data, revision});
         } else {
             rows.erase(*w["drop"].text());
-            events_.push_back({*w["drop"].text(), true, "", tide});
+            events_.push_back({*w["drop"].text(), true, "", revision});
         }
     }
     news_.notify();
-    p.map(1).key("tide").count(tide);
+    p.map(1).key("tide").count(revision);
     return packed(200, p);
 }
 
@@ -186,15 +187,15 @@
             expire();
             std::vector<const Event*> found;
             for (const auto& e : events_)
-                if (e.stamp > from && e.key.rfind(prefix, 0) == 0) found.push_back(&e);
+                if (e.mod_revision > from && e.key.rfind(prefix, 0) == 0) found.push_back(&e);
             if (!away() && (!found.empty() || loop_.now() >= end)) {
-                p.map(2).key("tide").count(tide).key("news").list(found.size());
+                p.map(2).key("tide").count(revision).key("news").list(found.size());
                 for (auto* e : found) {
                     p.map(e->drop ? 2 : 3)
                         .key(e->drop ? "drop" : "put")
                         .text(e->key)
                         .key("stamp")
-                        .count(e->stamp);
+                        .count(e->mod_revision);
                     if (!e->drop) p.key("data").raw(e->data);
                 }
                 co_return packed(200, p);
@@ -211,16 +212,22 @@
         if (more) found.resize(page);
         p.map(3).key("rows").list(found.size());
         for (auto& [k, row] : found)
-            p.map(3).key("k").text(k).key("data").raw(row->data).key("stamp").count(row->stamp);
-        p.key("has_next").flag(more).key("tide").count(tide);
+            p.map(3).key("k").text(k).key("data").raw(row->data).key("stamp").count(row->mod_revision);
+        p.key("has_next").flag(more).key("tide").count(revision);
         co_return packed(200, p);
     }
     auto it = rows.find(r.path.substr(6));
     if (it == rows.end()) {
-        p.map(1).key("tide").count(tide);
+        p.map(1).key("tide").count(revision);
         co_return packed(404, p);
     }
-    p.map(4).key("k").text(it->first).key("data").raw(it->second.data).key("stamp").count(it->second.stamp);
+    p.map(4)
+        .key("k")
+        .text(it->first)
+        .key("data")
+        .raw(it->second.data)
+        .key("stamp")
+        .count(it->second.mod_revision);
     p.key("mooring").count(it->second.lease);
     co_return packed(200, p);
 }
@@ -231,7 +238,7 @@
         p.map(1).key("error").text("trouble");
         co_return packed(503, p);
     }
-    if (r.path == "/flavors") co_return Response{200, Cloud::pack_flavors(flavors), 0, ""};
+    if (r.path == "/flavors") co_return Response{200, Cloud::pack_machine_types(machine_types), 0, ""};
     if (r.path == "/hosts/delete") {
         auto m = Message::parse(r.body);
         for (size_t i = 0; i < m->root()["hosts"].size(); ++i) {
@@ -248,8 +255,15 @@
     }
     p.map(2).key("hosts").list(machines.size());
     for (const auto& [name, m] : machines) {
-        p.map(7).key("ref").text(name).key("addr").text(m.addr).key("flavor").text(m.flavor).key("cove").text(
-            m.zone);
+        p.map(7)
+            .key("ref")
+            .text(name)
+            .key("addr")
+            .text(m.addr)
+            .key("flavor")
+            .text(m.machine_type)
+            .key("cove")
+            .text(m.zone);
         p.key("driftwood").flag(m.spot).key("phase").text("running").key("age_s").number(100);
     }
     p.key("has_next").flag(false);
@@ -261,7 +275,15 @@
     static const char* causes[] = {"",      "done",    "stopped", "mates_gone", "incomplete",
                                    "error", "no_room", "busy",    "unknown"};
     Packer p;
-    p.map(10).key("host").text(name).key("addr").text(addr).key("flavor").text(flavor).key("cove").text(zone);
+    p.map(10)
+        .key("host")
+        .text(name)
+        .key("addr")
+        .text(addr)
+        .key("flavor")
+        .text(machine_type)
+        .key("cove")
+        .text(zone);
     p.key("driftwood")
         .flag(spot)
         .key("tenure")
@@ -293,11 +315,11 @@
     uint64_t e = m->root()["epoch"].count_or(0);
     if (e < epoch) return;  // dropped
     epoch = e;
-    Node orders = m->root()["orders"];
-    for (size_t i = 0; i < orders.size(); ++i) {
-        std::string verb = *orders.at(i)["verb"].text();
-        auto name = *TaskName::parse(*orders.at(i)["piece"].text());
-        uint64_t attempt = *orders.at(i)["try"].count();
+    Node commands = m->root()["orders"];
+    for (size_t i = 0; i < commands.size(); ++i) {
+        std::string verb = *commands.at(i)["verb"].text();
+        auto name = *TaskName::parse(*commands.at(i)["piece"].text());
+        uint64_t attempt = *commands.at(i)["try"].count();
         auto it = std::find_if(tasks.begin(), tasks.end(),
                                [&](const ReportedTask& t) { return t.name == name && t.attempt == attempt; });
         if (verb == "launch" && it == tasks.end())
@@ -310,7 +332,7 @@
     }
 }
 
-Task<int> FakeWorker::hello(Loop& loop, Address node) {
+Task<int> FakeWorker::send_report(Loop& loop, Address node) {
     HttpClient http(loop, node, 1);
     std::string body = report();
     Answer a = co_await http.call("POST", "/hello", body, 4.0);
@@ -353,8 +375,8 @@
     return p.take();
 }
 
-Flavor small_flavor() {
-    Flavor f;
+MachineType small_machine_type() {
+    MachineType f;
     f.name = "g2";
     f.cpus = 16;
     f.gpus = 2;
@@ -371,13 +393,13 @@
 Site::Site(int n) {
     settings.idle_return_s = settings.calm_s = 3600;  // the scripts decide when a machine goes
     setup_log(std::getenv("LOG_LEVEL") ? std::getenv("LOG_LEVEL") : "error", "test");
-    cloud.flavors = {small_flavor()};
+    cloud.machine_types = {small_machine_type()};
     for (int i = 0; i < n; ++i) {
         Config c;
         c.label = "node-" + std::to_string(i);
         c.zone = "a";
         c.listen = address(10 + i, 8080);
-        c.back = address(10 + i, 8081);
+        c.peer_listen = address(10 + i, 8081);
         c.cloud = address(1, 8443);
         c.state = address(10 + i, 2379);
         state.open(i, c.state);
@@ -399,7 +421,7 @@
         c.list_lag_s = 6;
         c.sockets = 200;
         for (int k = 0; k < n; ++k)
-            if (k != i) c.siblings.push_back({"node-" + std::to_string(k), "a", address(10 + k, 8081)});
+            if (k != i) c.peers.push_back({"node-" + std::to_string(k), "a", address(10 + k, 8081)});
         configs.push_back(c);
     }
     nodes.resize(static_cast<size_t>(n));
@@ -450,12 +472,12 @@
     return out;
 }
 
-int Site::hello(FakeWorker& w, int node) {
+int Site::send_report(FakeWorker& w, int node) {
     int status = -1;
     bool done = false;
     Scope scope(loop);
     auto go = [](Loop& l, Address at, FakeWorker& x, int& s, bool& d) -> Task<void> {
-        s = co_await x.hello(l, at);
+        s = co_await x.send_report(l, at);
         d = true;
     };
     scope.spawn(go(loop, configs[static_cast<size_t>(node)].listen, w, status, done), "hello");
@@ -466,7 +488,8 @@
 void Site::settle(FakeWorker& w) {
     for (int i = 0; i < 20; ++i) {
         int l = leader();
-        if (l >= 0 && hello(w, l) == 200 && w.epoch == nodes[static_cast<size_t>(l)]->election().epoch())
+        if (l >= 0 && send_report(w, l) == 200 &&
+            w.epoch == nodes[static_cast<size_t>(l)]->election().epoch())
             return;
         run(0.5);
     }
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -16,11 +16,11 @@
 namespace hareshore::test {
 
 // Loopback addresses of this test process alone, so that tests can run side by side.
-inline Address address(int host, uint16_t port) {
+inline Address address(int machine, uint16_t port) {
     auto pid = static_cast<uint32_t>(getpid());
     Address a;
     std::string text = "127." + std::to_string(1 + (pid >> 8) % 254) + "." + std::to_string(pid & 255) + "." +
-                       std::to_string(host) + ":" + std::to_string(port);
+                       std::to_string(machine) + ":" + std::to_string(port);
     EXPECT_TRUE(Address::parse(text, a));
     return a;
 }
@@ -42,10 +42,10 @@
 
     struct Row {
         std::string data;
-        uint64_t stamp = 0, lease = 0;
+        uint64_t mod_revision = 0, lease = 0;
     };
     std::map<std::string, Row> rows;
-    uint64_t tide = 1;
+    uint64_t revision = 1;
     bool down = false;
     bool silent = false;    // requests get no answer, as behind a cut
     std::set<int> refused;  // controllers that alone get 503; their watches wait
@@ -80,7 +80,7 @@
         std::string key;
         bool drop;
         std::string data;
-        uint64_t stamp;
+        uint64_t mod_revision;
     };
     static std::string query(const Request& r, const std::string& name);
     void expire();
@@ -97,8 +97,8 @@
   public:
     FakeCloud(Loop& loop, Address at)
         : server_(loop, at, 20, [this](Request r) { return handle(std::move(r)); }) {}
-    std::vector<Flavor> flavors;
-    std::map<std::string, Machine> machines;
+    std::vector<MachineType> machine_types;
+    std::map<std::string, ListedMachine> machines;
     std::vector<std::string> deleted;
     bool down = false;
     int rentals = 0;
@@ -114,7 +114,7 @@
 
 // A worker's side of the protocol, driven by the test.
 struct FakeWorker {
-    std::string name = "vm-000001", addr = "127.0.0.1:9", flavor = "g2", zone = "a";
+    std::string name = "vm-000001", addr = "127.0.0.1:9", machine_type = "g2", zone = "a";
     bool spot = false;
     uint64_t session = 1, seq = 0, epoch = 0;
     std::vector<ReportedTask> tasks;
@@ -123,7 +123,7 @@
     std::string report();
     bool deaf = false;  // its reports arrive, the answers to them do not
     // Reports to a node and carries out what it answers; the status.
-    Task<int> hello(Loop& loop, Address node);
+    Task<int> send_report(Loop& loop, Address node);
     void carry_out(const std::string& body);
     ReportedTask* find(const std::string& task);
 };
@@ -147,7 +147,7 @@
     }
     int leader() const;  // -1: none
     Answer call(int node, std::string method, std::string path, std::string body = "");
-    int hello(FakeWorker& w, int node);
+    int send_report(FakeWorker& w, int node);
     // Reports to whoever leads until it is answered 200 with this epoch known.
     void settle(FakeWorker& w);
 
@@ -160,6 +160,6 @@
     std::vector<std::unique_ptr<Controller>> nodes;
 };
 
-Flavor small_flavor();
+MachineType small_machine_type();
 
 }  // namespace hareshore::test
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -43,7 +43,7 @@
     r.spec.memory_gb = 64;
     r.spec.image = "img-07";
     r.spec.image_gb = 6.2;
-    r.spec.flavors = {"g8", "g2"};
+    r.spec.machine_types = {"g8", "g2"};
     r.spec.zone = "zone a";
     r.spec.one_zone = true;
     r.spec.spot = true;
@@ -61,10 +61,10 @@
 
 bool same(const JobRecord& a, const JobRecord& b) {
     auto bound = [](const auto& x, const auto& y) {
-        return x.first == y.first && x.second.attempt == y.second.attempt && x.second.host == y.second.host &&
-               x.second.zone == y.second.zone;
+        return x.first == y.first && x.second.attempt == y.second.attempt &&
+               x.second.machine == y.second.machine && x.second.zone == y.second.zone;
     };
-    return a.spec == b.spec && a.done == b.done && a.withdrawn == b.withdrawn &&
+    return a.spec == b.spec && a.done == b.done && a.cancelled == b.cancelled &&
            a.next_attempt == b.next_attempt && a.accepted_wall == b.accepted_wall &&
            std::equal(a.live.begin(), a.live.end(), b.live.begin(), b.live.end(), bound);
 }
@@ -80,7 +80,7 @@
     r.spec.team = "team";
     r.spec.zone = "";
     r.spec.one_zone = false;
-    r.spec.flavors = {};
+    r.spec.machine_types = {};
     r.spec.cpus = r.spec.memory_gb = 0.01;
     r.spec.gpus = 0;
     r.spec.tasks = tasks;
@@ -101,8 +101,8 @@
 std::vector<FakeWorker> workers_of(const JobRecord& r) {
     std::map<std::string, FakeWorker> by_name;
     for (const auto& [task, b] : r.live) {
-        FakeWorker& w = by_name[b.host];
-        w.name = b.host;
+        FakeWorker& w = by_name[b.machine];
+        w.name = b.machine;
         w.zone = b.zone;
         w.tasks.push_back({{r.spec.id, task}, b.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
     }
@@ -133,7 +133,7 @@
 
 }  // namespace
 
-TEST(Form1, IsWhatTheProductionVersionWritesAndReads) {
+TEST(Format1, IsWhatTheProductionVersionWritesAndReads) {
     std::string bytes = from_hex(kRecordBytes);
     auto read = JobRecord::unpack(bytes);
     ASSERT_TRUE(read);
@@ -142,12 +142,12 @@
     std::string final = from_hex(kFinalBytes);
     auto end = FinalRecord::unpack(final);
     ASSERT_TRUE(end);
-    EXPECT_TRUE(end->withdrawn);
+    EXPECT_TRUE(end->cancelled);
     EXPECT_EQ(end->done, 6u);
     EXPECT_EQ(end->pack(), final);
 }
 
-TEST(Form2, HoldsWhatForm1Holds) {
+TEST(Format2, HoldsWhatFormat1Holds) {
     std::mt19937 rng(5);
     auto below = [&](uint32_t n) { return static_cast<uint32_t>(rng() % n); };
     for (int i = 0; i < 400; ++i) {
@@ -160,27 +160,27 @@
         for (uint32_t n = 0; n < std::min(r.spec.tasks, 200u); ++n) {
             if (below(10) < density) r.done.add(below(r.spec.tasks));
             uint32_t task = below(r.spec.tasks);
-            std::string host = machine_name(below(2000));
-            if (below(20) == 0) host = i % 2 ? "metal" : "rack-" + std::to_string(below(40)) + "-x";
-            if (below(30) == 0) host = "vm-" + std::to_string(1u << below(31)) + "0000000";
+            std::string machine = machine_name(below(2000));
+            if (below(20) == 0) machine = i % 2 ? "metal" : "rack-" + std::to_string(below(40)) + "-x";
+            if (below(30) == 0) machine = "vm-" + std::to_string(1u << below(31)) + "0000000";
             if (below(3) == 0 && !r.done.has(task))
-                r.live[task] = {1 + below(static_cast<uint32_t>(r.next_attempt)), host,
+                r.live[task] = {1 + below(static_cast<uint32_t>(r.next_attempt)), machine,
                                 below(2) ? "a" : "é\"b"};
         }
         std::string packed = r.pack(2);
         auto again = JobRecord::unpack(packed);
         ASSERT_TRUE(again);
         EXPECT_TRUE(same(*again, r));
-        EXPECT_FALSE(newer_form(packed));
+        EXPECT_FALSE(newer_record_format(packed));
         EXPECT_GE(json_size(packed), json_text(packed).size()) << "counted at most, never at least";
         EXPECT_GE(json_size(r.pack(1)), json_text(r.pack(1)).size());
-        // A reader of form 1 must not take its tasks for free: it cannot read the done ranges.
+        // A reader of format 1 must not take its tasks for free: it cannot read the done ranges.
         auto text = Message::parse(packed)->root()["done"].text();
         EXPECT_FALSE(Ranges::parse(*text, r.spec.tasks));
     }
 }
 
-TEST(Form2, HoldsAnArraySpreadOverAFleetInTwoKibibytes) {
+TEST(Format2, HoldsAnArraySpreadOverAFleetInTwoKibibytes) {
     std::mt19937 rng(6);
     size_t most = 0;
     for (int i = 0; i < 200; ++i) {
@@ -198,7 +198,7 @@
     EXPECT_LE(most, 2048u);
 }
 
-TEST(Form2, RefusesWhatItWouldNotWrite) {
+TEST(Format2, RefusesWhatItWouldNotWrite) {
     for (const char* bad : {"", "A", "=A", "=AAAA", "=gA", "=gAA", "=*A", "=_", "=AAAAB", "=9999999999999A"})
         EXPECT_FALSE(parse_compact_ranges(bad, 60)) << bad;
     EXPECT_TRUE(parse_compact_ranges("=", 60));
@@ -220,11 +220,12 @@
 }
 
 // However large a job is and however its tasks come and go, its record fits, and it goes on until it is done.
-TEST(Form2, AJobOfAnySizeFitsItsRecordAndIsDoneInTheEnd) {
+TEST(Format2, AJobOfAnySizeFitsItsRecordAndIsDoneInTheEnd) {
     for (uint32_t tasks : {30u, 1000u, 1025u, 100'000u}) {
         std::mt19937 rng(tasks);
         Config config;
-        config.value_bytes = 32 * 1024;  // as long as form 1 is written, starts are bounded for form 2, too
+        config.value_bytes =
+            32 * 1024;  // as long as format 1 is written, starts are bounded for format 2, too
         config.next_value_bytes = 2048;
         JobTable jobs;
         Cluster cluster;
@@ -236,33 +237,33 @@
         for (uint32_t n = 0; n + 10'000 < tasks; ++n) r.done.add(n);
         Job& j = jobs.load(r, 5, 0, 0);
         size_t most_live = 0, steps = 0;
-        std::vector<Host> hosts(600);
-        for (auto& h : hosts) {
+        std::vector<Machine> machines(600);
+        for (auto& h : machines) {
             h.name = machine_name(static_cast<uint32_t>(rng() % 100'000));
             h.zone = rng() % 2 ? "lujan-zone" : "uco-zone";
         }
-        hosts[0].name = "a machine whose name follows no pattern at all";
-        uint64_t form = 1;
+        machines[0].name = "a machine whose name follows no pattern at all";
+        uint64_t record_format = 1;
         while (!j.over() && steps < 400'000) {
             ++steps;
-            if (steps == 3000) form = 2;
+            if (steps == 3000) record_format = 2;
             auto choice = rng() % 10;
-            const Host* h = &hosts[rng() % hosts.size()];
-            const Host* on[] = {h};
-            if (choice < 7 && !j.pending.empty() && j.room_in_record(config, form, on)) {
+            const Machine* h = &machines[rng() % machines.size()];
+            const Machine* on[] = {h};
+            if (choice < 7 && !j.pending.empty() && j.room_in_record(config, record_format, on)) {
                 jobs.bind(j, *j.pending.first(), *h, j.next_attempt++, 0);
             } else if (j.live.empty()) {
                 // Nothing runs: then one task at least may start, wherever.
-                ASSERT_TRUE(j.room_in_record(config, form, on)) << steps << ' ' << j.record_bytes(2);
+                ASSERT_TRUE(j.room_in_record(config, record_format, on)) << steps << ' ' << j.record_bytes(2);
                 continue;
             } else {
                 // One ends, done more often than not, or a machine goes with all that is on it.
                 auto it = std::next(j.live.begin(), static_cast<long>(rng() % j.live.size()));
-                std::string host = it->second.host;
+                std::string machine = it->second.machine;
                 if (choice < 9 && (tasks < 2000 || steps % 400 != 0)) {
-                    Host& x = cluster.ensure(host, 0);
+                    Machine& x = cluster.ensure(machine, 0);
                     Report report;
-                    report.host = host;
+                    report.machine = machine;
                     report.seq = x.seq + 1;
                     report.tasks = {{{"job-1", it->first},
                                      it->second.attempt,
@@ -271,14 +272,14 @@
                                      false}};
                     jobs.apply(cluster, x, report, false, 0);
                 } else {
-                    jobs.host_gone(host, 0);
+                    jobs.machine_gone(machine, 0);
                 }
             }
             most_live = std::max(most_live, j.live.size());
             if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
             JobRecord now = j.record();
             ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
-            if (form == 1) {
+            if (record_format == 1) {
                 ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
             }
             ASSERT_LE(json_size(now.pack(2)), j.record_bytes(2) + 16);
@@ -290,8 +291,8 @@
     }
 }
 
-// Until every sibling is known to run this version, records are written as the production version reads them.
-TEST(Upgrade, WritesTheOldFormWhileASiblingMayBeOld) {
+// Until every peer is known to run this version, records are written as the production version reads them.
+TEST(Upgrade, WritesTheOldRecordFormatWhileAPeerMayBeOld) {
     Site s(2);
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
@@ -301,11 +302,11 @@
     EXPECT_EQ(form_of(s, "j/job-1"), 1u);
     FakeWorker w;
     s.settle(w);
-    s.hello(w, 0);
+    s.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
     EXPECT_EQ(form_of(s, "j/job-1"), 1u);
     EXPECT_TRUE(Message::parse(s.state.rows.at("j/job-1").data)->root()["live"].is_list());
-    // The sibling runs this version: then form 2 is in force for both, and each change is written in it.
+    // The peer runs this version: then format 2 is in force for both, and each change is written in it.
     s.start(1);
     ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
     s.run(3);
@@ -318,12 +319,12 @@
     EXPECT_EQ(record->live.size(), 1u) << "it is still on its machine";
 }
 
-TEST(Upgrade, ALeaderWithoutOldSiblingsPutsTheFormOnceAndStaysWithIt) {
+TEST(Upgrade, ALeaderWithoutOldPeersPutsTheRecordFormatOnceAndStaysWithIt) {
     Site s;
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    uint64_t stamp = s.state.rows.at("form").stamp;
-    EXPECT_EQ(unpack_form(s.state.rows.at("form").data), 2u);
+    uint64_t mod_revision = s.state.rows.at("form").mod_revision;
+    EXPECT_EQ(unpack_record_format(s.state.rows.at("form").data), 2u);
     s.run(1);
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(form_of(s, "j/job-1"), 2u);
@@ -331,25 +332,25 @@
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
     s.run(5);
-    EXPECT_EQ(s.state.rows.at("form").stamp, stamp);
+    EXPECT_EQ(s.state.rows.at("form").mod_revision, mod_revision);
 }
 
 // What the production version kept in more than the later limits allow is read, and each change of it fits:
-// ends of tasks, a withdrawal, and its end in one transaction.
+// ends of tasks, a cancellation, and its end in one transaction.
 TEST(Upgrade, TakesOverLargeRecordsUnderTheLowerLimits) {
     for (size_t ops : {2u, 4u}) {
         Site s;
-        JobRecord ended = large_record("job-1", 150, 12), withdrawn = large_record("job-2", 150, 10);
-        for (auto& [task, b] : withdrawn.live) b.host = "vm-0009" + b.host.substr(7);
+        JobRecord ended = large_record("job-1", 150, 12), cancelled = large_record("job-2", 150, 10);
+        for (auto& [task, b] : cancelled.live) b.machine = "vm-0009" + b.machine.substr(7);
         ASSERT_GT(json_text(ended.pack(1)).size(), 2048u);
         keep(s, "j/job-1", ended.pack(1));
-        keep(s, "j/job-2", withdrawn.pack(1));
+        keep(s, "j/job-2", cancelled.pack(1));
         lower_limits(s, 2048, ops);
         s.start(0);
         ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
         s.run(2);
         EXPECT_EQ(form_of(s, "j/job-1"), 1u) << "its next change replaces it, nothing before";
-        auto one = workers_of(ended), two = workers_of(withdrawn);
+        auto one = workers_of(ended), two = workers_of(cancelled);
         for (auto& w : one) s.settle(w);
         for (auto& w : two) s.settle(w);
         for (const auto& w : one)
@@ -366,7 +367,7 @@
                     t.phase = TaskPhase::kExited;
                     t.cause = ExitCause::kDone;
                 }
-                s.hello(w, 0);
+                s.send_report(w, 0);
             }
             s.run(2);
             if (odd) {
@@ -375,7 +376,7 @@
             }
         }
         for (int i = 0; i < 3; ++i)
-            for (auto& w : two) s.hello(w, 0);
+            for (auto& w : two) s.send_report(w, 0);
         s.run(2);
         EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "done");
         EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
@@ -384,8 +385,8 @@
     }
 }
 
-// What an earlier version let grow beyond even form 2's room is not sent. Until it fits, the record says of
-// ended tasks that they are live, which is safe; a withdrawal leaves out what it does not need.
+// What an earlier version let grow beyond even format 2's room is not sent. Until it fits, the record says of
+// ended tasks that they are live, which is safe; a cancellation leaves out what it does not need.
 TEST(Upgrade, AChangeThatDoesNotFitIsKeptUntilItDoes) {
     Site s;
     JobRecord r = large_record("job-1", 150, 12), w = large_record("job-2", 400, 12);
@@ -408,9 +409,9 @@
             t.phase = TaskPhase::kExited;
             t.cause = ExitCause::kDone;
         }
-        s.hello(workers[i], 0);
+        s.send_report(workers[i], 0);
         s.run(1);
-        s.hello(workers[i], 0);
+        s.send_report(workers[i], 0);
         bool written = form_of(s, "j/job-1") == 2;
         EXPECT_EQ(written, workers[i].tasks.empty()) << "an exit is forgotten once it is kept";
         if (i == 0) {
@@ -441,8 +442,8 @@
     s.state.value_bytes = json_text(s.state.rows.at("j/job-2").data).size();
     FakeWorker w;
     s.settle(w);
-    s.hello(w, 0);
-    s.hello(w, 0);
+    s.send_report(w, 0);
+    s.send_report(w, 0);
     s.run(10);
     EXPECT_TRUE(w.find("job-1/0"));
     EXPECT_FALSE(w.find("job-2/0")) << "not committed, so not launched";
@@ -454,7 +455,7 @@
     EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "pending");
 }
 
-// Ten tasks are bound in one round: their records go out in as many transactions as it takes.
+// Ten tasks are bound in one scheduling pass: their records go out in as many transactions as it takes.
 TEST(Upgrade, SendsNoMoreChangesAtOnceThanTheLaterLimitAllows) {
     for (size_t ops : {2u, 4u}) {
         Site s;
@@ -473,13 +474,13 @@
                     .status,
                 201);
         s.run(1);
-        for (int i = 0; i < 4; ++i) s.hello(w, 0);
+        for (int i = 0; i < 4; ++i) s.send_report(w, 0);
         EXPECT_EQ(w.tasks.size(), 10u);
         for (auto& t : w.tasks) {
             t.phase = TaskPhase::kExited;
             t.cause = ExitCause::kDone;
         }
-        for (int i = 0; i < 4; ++i) s.hello(w, 0);
+        for (int i = 0; i < 4; ++i) s.send_report(w, 0);
         s.run(3);
         for (int i = 0; i < 10; ++i)
             EXPECT_EQ(s.state.rows.count("f/job-" + std::to_string(i)), 1u) << "ends, two changes each";
@@ -492,7 +493,7 @@
     // Accepted by an earlier version: it stays known.
     JobRecord known = production_record();
     known.spec.id = "job-9";
-    known.spec.flavors.assign(40, std::string(100, 'x'));
+    known.spec.machine_types.assign(40, std::string(100, 'x'));
     keep(s, "j/job-9", known.pack(1));
     lower_limits(s, 2048, 4);
     s.start(0);
@@ -537,18 +538,18 @@
 
 // A record of a later version: its tasks are left alone, its machine gets nothing, its user is asked to come
 // again.
-TEST(Upgrade, DecidesNothingOnARecordOfANewerForm) {
+TEST(Upgrade, DecidesNothingOnARecordOfANewerRecordFormat) {
     Site s;
     JobRecord r = large_record("job-7", 1, 1);
     std::string packed = r.pack(2);
     packed.back() = 3;  // "v", packed last
-    ASSERT_TRUE(newer_form(packed));
+    ASSERT_TRUE(newer_record_format(packed));
     keep(s, "j/job-7", packed);
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
     s.run(1);
     FakeWorker w;
-    w.name = r.live.at(0).host;
+    w.name = r.live.at(0).machine;
     w.tasks = {{{"job-7", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false},
                {{"job-7", 5}, 9, TaskPhase::kExited, ExitCause::kDone, false}};
     s.settle(w);
@@ -556,19 +557,19 @@
     EXPECT_EQ(s.call(0, "POST", "/v2/runs/job-7/withdraw").status, 503);
     EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
     EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
-    for (int i = 0; i < 3; ++i) s.hello(w, 0);
+    for (int i = 0; i < 3; ++i) s.send_report(w, 0);
     ASSERT_EQ(w.tasks.size(), 2u) << "neither forgotten";
     ASSERT_TRUE(w.find("job-7/0"));
     EXPECT_EQ(w.find("job-7/0")->phase, TaskPhase::kRunning) << "nor halted";
     EXPECT_EQ(s.state.rows.at("j/job-7").data, packed);
     FakeWorker other;
     s.settle(other);
-    s.hello(other, 0);
+    s.send_report(other, 0);
     EXPECT_TRUE(other.find("job-8/0")) << "the others are served";
 }
 
-TEST(Upgrade, DoesNotLeadOverANewerForm) {
-    for (const std::string& kept : {pack_form(3), Packer().text("not a form").take()}) {
+TEST(Upgrade, DoesNotLeadOverANewerRecordFormat) {
+    for (const std::string& kept : {pack_record_format(3), Packer().text("not a form").take()}) {
         Site s;
         keep(s, "form", kept);
         s.start(0);
