--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -7,23 +7,25 @@
 namespace hareshore::constants {
 
 // --- limits of the protocol -------------------------------------------------------------------------
-inline constexpr size_t kBodyLimit = 64 * 1024;    // bytes; the protocol's limit for request bodies
-inline constexpr uint32_t kMaxTasks = 100'000;     // tasks per job; the protocol's limit
-inline constexpr int kRentAtMost = 50;             // machines per rental request; the protocol's limit
-inline constexpr size_t kDeleteAtMost = 100;       // names per deletion request; the protocol's limit
-inline constexpr int kListPage = 500;              // machines per page; the protocol's limit
+inline constexpr size_t kBodyLimit = size_t{64} * 1024;  // bytes; the protocol's limit for request bodies
+inline constexpr uint32_t kMaxTasks = 100'000;           // tasks per job; the protocol's limit
+inline constexpr int kRentAtMost = 50;                   // machines per rental request; the protocol's limit
+inline constexpr size_t kDeleteAtMost = 100;             // names per deletion request; the protocol's limit
+inline constexpr int kListPage = 500;                    // machines per page; the protocol's limit
 inline constexpr size_t kStatePage = 200;          // items per page when records are read at a take-over
-inline constexpr uint64_t kMaxCount = 1ull << 53;  // largest count that every peer can represent exactly
+inline constexpr uint64_t kMaxCount = 1ULL << 53;  // largest count that every peer can represent exactly
 
 // --- network ----------------------------------------------------------------------------------------
-inline constexpr size_t kHeadLimit = 8 * 1024;      // bytes of request line and headers; ours are < 300
-inline constexpr size_t kDrainLimit = 1024 * 1024;  // bytes of an oversized body read past before closing
-inline constexpr size_t kAnswerLimit = 8 * 1024 * 1024;  // bytes of one answer of state service or cloud, and
-inline constexpr size_t kAnswerShare = 16;               //   no more than this part of the memory: parsed, it
-                                                         //   takes several times as much
-inline constexpr size_t kAnswerLeast = 1024 * 1024;      // a page of records has 512 KiB
-inline constexpr size_t kReadChunk = 8 * 1024;           // bytes per read; most messages fit into one
-inline constexpr int kNesting = 16;                      // levels of MessagePack nesting; ours need 4
+inline constexpr size_t kHeadLimit = size_t{8} * 1024;  // bytes of request line and headers; ours are < 300
+inline constexpr size_t kDrainLimit =
+    size_t{1024} * 1024;  // bytes of an oversized body read past before closing
+inline constexpr size_t kAnswerLimit =
+    size_t{8} * 1024 * 1024;                // bytes of one answer of state service or cloud, and
+inline constexpr size_t kAnswerShare = 16;  //   no more than this part of the memory: parsed, it
+                                            //   takes several times as much
+inline constexpr size_t kAnswerLeast = size_t{1024} * 1024;  // a page of records has 512 KiB
+inline constexpr size_t kReadChunk = size_t{8} * 1024;       // bytes per read; most messages fit into one
+inline constexpr int kNesting = 16;                          // levels of MessagePack nesting; ours need 4
 inline constexpr int kBacklog =
     4096;  // connections waiting for accept: a fleet comes at once to a new leader
 inline constexpr double kIdleConnection_s = 75.0;  // a connection without a request this long is closed
@@ -71,7 +73,7 @@
 inline constexpr size_t kPlacementFixed = 40;  // JSON bytes of a placement at most, its names apart
 inline constexpr double kRecordFormatEvery_s =
     2.0;  // the format of the records is asked for, until it is the newest
-inline constexpr size_t kTxnBytes = 48 * 1024;  // bytes of records in one transaction (limit 64 KiB)
+inline constexpr size_t kTxnBytes = size_t{48} * 1024;  // bytes of records in one transaction (limit 64 KiB)
 
 // --- peers ---------------------------------------------------------------------------------------
 inline constexpr double kHeartbeat_s = 1.0;       // interval of the heartbeat between controllers
@@ -81,12 +83,13 @@
 inline constexpr size_t kAnnouncementsKept =
     1024;  // cancellations told to users that a new connection to a peer begins
            // with; more than are told within cancel_s, and they fit into a frame
-inline constexpr size_t kOutbox = 2 * 1024 * 1024;  // bytes waiting on a link: reports of a zone in a second
-inline constexpr size_t kCutWitnesses = 2;          // workers that come back before their zone counts as cut
-inline constexpr size_t kFrameLimit = 128 * 1024;   // bytes of a frame between controllers
-inline constexpr size_t kPointed = 10'000;          // workers whose redirection is remembered
-inline constexpr double kRelay_s = 3.0;             // a relayed report must be answered by then (worker: 4 s)
-inline constexpr double kRelayAfter_s = 25.0;       // a worker back this soon after a redirection is relayed
+inline constexpr size_t kOutbox =
+    size_t{2} * 1024 * 1024;                // bytes waiting on a link: reports of a zone in a second
+inline constexpr size_t kCutWitnesses = 2;  // workers that come back before their zone counts as cut
+inline constexpr size_t kFrameLimit = size_t{128} * 1024;  // bytes of a frame between controllers
+inline constexpr size_t kPointed = 10'000;                 // workers whose redirection is remembered
+inline constexpr double kRelay_s = 3.0;        // a relayed report must be answered by then (worker: 4 s)
+inline constexpr double kRelayAfter_s = 25.0;  // a worker back this soon after a redirection is relayed
 inline constexpr double kResignQuiet_s =
     7.0;  // a leader that no worker reached for this long resigns if others hear them
 inline constexpr size_t kResignMachines = 3;    // with fewer machines their silence says little
