--- a/src/fleet/plan.cc
+++ b/src/fleet/plan.cc
@@ -57,7 +57,7 @@
         for (const auto& [name, h] : cluster_.machines) {
             if (h->deleting) continue;
             const MachineType* f = cluster_.machine_type(h->machine_type);
-            bool cut = plan_.cut.count(h->zone) > 0;
+            bool cut = plan_.cut.contains(h->zone);
             Seconds patience = cut ? constants::kCutPatience * in_.config.lease_s : silent_after();
             if (h->phase == MachinePhase::kFailed) {
                 give_back(*h, "it failed");
@@ -89,7 +89,7 @@
     // and was returned at once for a silence that was the cut's.
     Seconds quiet(const Machine& h) const {
         auto cut = in_.cut_at.find(h.zone);
-        Seconds since = cut == in_.cut_at.end() || plan_.cut.count(h.zone) ? -1e9 : cut->second;
+        Seconds since = cut == in_.cut_at.end() || plan_.cut.contains(h.zone) ? -1e9 : cut->second;
         return in_.now - std::max({h.last_report, in_.leading_since, since});
     }
 
@@ -124,7 +124,7 @@
     Seconds unheard_patience(bool cut) const { return (cut ? 2 : 1) * in_.config.lease_s; }
 
     bool leaving(const Machine& h) const {
-        return h.deleting || h.condemned || h.emptying || h.leaves_at >= 0 || plan_.reasons.count(h.name) > 0;
+        return h.deleting || h.condemned || h.emptying || h.leaves_at >= 0 || plan_.reasons.contains(h.name);
     }
 
     void collect() {
@@ -135,7 +135,7 @@
             // machine takes up the epoch or the cloud lists it, it is no room to count on.
             if (h->reported && !h->current && !h->listed) continue;
             if (h->unheard_since >= 0) continue;
-            if (plan_.cut.count(h->zone) && late(*h)) continue;
+            if (plan_.cut.contains(h->zone) && late(*h)) continue;
             Slot s;
             s.machine = h.get();
             s.kind = {h->machine_type, h->zone, h->spot};
@@ -179,7 +179,7 @@
     }
 
     bool refused(const Kind& k) const {
-        if (plan_.cut.count(k.zone)) return true;
+        if (plan_.cut.contains(k.zone)) return true;
         auto it = in_.refused_until.find(k);
         return it != in_.refused_until.end() && in_.now < it->second;
     }
@@ -202,6 +202,7 @@
         }
         std::sort(out.begin(), out.end());
         std::vector<Kind> list;
+        list.reserve(out.size());
         for (auto& [price, n, kind] : out) list.push_back(kind);
         return list;
     }
--- a/src/jobs/table.cc
+++ b/src/jobs/table.cc
@@ -267,7 +267,8 @@
 std::vector<Job*> JobTable::take_dirty(size_t most_ops, size_t most_bytes, uint64_t record_format) {
     std::vector<Job*> out;
     std::vector<std::string> rest;
-    size_t ops = 0, bytes = 0;
+    size_t ops = 0;
+    size_t bytes = 0;
     bool full = false;
     for (auto& id : dirty_) {
         Job* j = find(id);
@@ -386,7 +387,7 @@
     }
 }
 
-void JobTable::stop(Job& job, uint32_t task, Seconds, bool skip_saving) {
+void JobTable::stop(Job& job, uint32_t task, Seconds /*now*/, bool skip_saving) {
     Seconds grace = job.spec.save_s + constants::kSaveSpare_s;
     // A replica has nothing to save: its successor is waited for.
     if (job.spec.service()) grace = 0;
@@ -551,6 +552,7 @@
     }
 }
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split by event
 bool JobTable::apply(Cluster& cluster, Machine& machine, const Report& r, bool absence, Seconds now) {
     bool news = false;
     std::map<std::pair<TaskName, uint64_t>, MachineTask> before;
@@ -632,7 +634,7 @@
     if (absence) {
         auto tasks = on_machine(machine.name);
         for (const auto& [job, task, placement] : tasks) {
-            if (present.count({job->spec.id, task})) continue;
+            if (present.contains({job->spec.id, task})) continue;
             auto it = job->live.find(task);
             if (it == job->live.end()) continue;
             Placement& p = it->second;
@@ -710,7 +712,7 @@
         if (job->cancelled) continue;
         const std::string& id = job->spec.id;
         Placement& p = job->live.at(task);
-        if (p.stopping || p.seen || present.count({{id, task}, p.attempt})) continue;
+        if (p.stopping || p.seen || present.contains({{id, task}, p.attempt})) continue;
         if (!p.inherited && job->committed < p.version) continue;
         if (job->spec.gang() && job->broken) continue;
         out.push_back({CommandKind::kLaunch, {id, task}, p.attempt, 0});
--- a/src/jobs/table.h
+++ b/src/jobs/table.h
@@ -171,7 +171,7 @@
     // Nothing is decided about it: its tasks are neither stopped nor forgotten, and a machine that has one is
     // not used.
     void quarantine(const std::string& id);
-    bool quarantined(const std::string& id) const { return quarantined_.count(id) > 0; }
+    bool quarantined(const std::string& id) const { return quarantined_.contains(id); }
 
     // Takes in a machine's report; `absence` says that what it lacks is proven not to be there.
     // Returns whether anything changed that matters to others (room, phases).
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -129,7 +129,7 @@
     if (it != finished_.end() && c.mod_revision <= it->second) return;  // an echo from before its end
     Job& job = jobs_.load(*record, c.mod_revision, loop_.now(), loop_.wall());
     // Read before it was cancelled, and told of since.
-    if (!job.cancelled && cancellation_notices_.count(job.spec.id)) jobs_.cancel(job, loop_.now());
+    if (!job.cancelled && cancellation_notices_.contains(job.spec.id)) jobs_.cancel(job, loop_.now());
     for (const auto& [task, p] : job.live) {
         Machine& h = cluster_.ensure(p.machine, loop_.now());
         if (h.zone.empty()) h.zone = p.zone;
@@ -163,6 +163,7 @@
 
 // One transaction at a time, each conditioned on the leadership key and on the records' mod revisions, so
 // that a late copy of it can change nothing.
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): one batch; to be split
 Task<void> Leader::commit() {
     Seconds pause = 0;
     uint64_t record_format = record_format_.in_force();
@@ -231,7 +232,7 @@
                 j->mod_revision = r.revision;
                 j->committed = j->inflight;
                 for (const auto& [task, p] : j->live) machines.insert(p.machine);
-                if (final_ids.count(id)) finished(id, r.revision);
+                if (final_ids.contains(id)) finished(id, r.revision);
             }
             for (const auto& h : machines) wake(h);
             continue;
@@ -349,7 +350,7 @@
     Seconds began = loop_.now();
     while (!loaded_ && !stopped_)
         if (co_await loop_.wait(ready_, began + hold) == Wake::kTimeout) co_return no;
-    if (stopped_ || gone_.count(r.machine)) co_return no;
+    if (stopped_ || gone_.contains(r.machine)) co_return no;
 
     std::string name = r.machine;
     Machine* h = &cluster_.ensure(name, loop_.now());
@@ -564,7 +565,7 @@
         auto list = co_await cloud_.list();
         if (list) {
             for (const auto& m : *list) {
-                if (gone_.count(m.name)) continue;
+                if (gone_.contains(m.name)) continue;
                 Machine& h = cluster_.ensure(m.name, loop_.now());
                 if (!h.listed) {
                     h.listed = true;
@@ -661,7 +662,7 @@
         h->deleting = true;
         log::info("machine {} returned: {}", name, plan.reasons.at(name));
         names.push_back(name);
-        if (plan.silent.count(name)) silent.insert(name);
+        if (plan.silent.contains(name)) silent.insert(name);
         if (names.size() == constants::kDeleteAtMost) send();
     }
     send();
@@ -682,7 +683,7 @@
                                             rental.kind.spot, rental.number);
         if (r.result == Rent::kRented || r.result == Rent::kNoCapacity) {
             for (const auto& name : r.machines) {
-                if (gone_.count(name)) continue;
+                if (gone_.contains(name)) continue;
                 Machine& h = cluster_.ensure(name, loop_.now());
                 if (h.reported) continue;
                 h.machine_type = rental.kind.machine_type;
@@ -715,7 +716,7 @@
         if (!perhaps)
             std::erase_if(names, [&](const std::string& name) {
                 Machine* h = cluster_.machine(name);
-                if (!h || !silent.count(name) || h->last_report <= decided) return false;
+                if (!h || !silent.contains(name) || h->last_report <= decided) return false;
                 if (holds_cancelled(name)) return false;
                 log::info("machine {}: heard again, kept", name);
                 h->deleting = false;
@@ -736,7 +737,7 @@
         Removal r = co_await cloud_.remove(asked);
         if (r == Removal::kDone) {
             gone(asked);
-            std::erase_if(names, [&](const std::string& name) { return gone_.count(name) > 0; });
+            std::erase_if(names, [&](const std::string& name) { return gone_.contains(name); });
             continue;
         }
         perhaps = perhaps || r == Removal::kUnknown;
@@ -823,8 +824,13 @@
 void Leader::log_fleet() {
     if (loop_.now() - fleet_logged_ < constants::kWhyLog_s) return;
     fleet_logged_ = loop_.now();
-    size_t booting = 0, spot = 0, idle = 0, waiting = 0, jobs = 0;
-    double gpus = 0, free = 0;
+    size_t booting = 0;
+    size_t spot = 0;
+    size_t idle = 0;
+    size_t waiting = 0;
+    size_t jobs = 0;
+    double gpus = 0;
+    double free = 0;
     for (const auto& [name, h] : cluster_.machines) {
         const MachineType* f = cluster_.machine_type(h->machine_type);
         booting += !h->reported;
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -59,7 +59,7 @@
         if (!job->waiting()) continue;
         Queued e;
         e.job = job.get();
-        e.entitled = entitled.count(job.get()) > 0;
+        e.entitled = entitled.contains(job.get());
         e.first = job->spec.service() && job->spec.rank == Rank::kProduction;
         e.starved = in.now - job->accepted > in.settings.begin_bound_s && job->live.empty() &&
                     job->done.empty() && !job->blamed;
@@ -68,10 +68,10 @@
         q.push_back(e);
     }
     std::sort(q.begin(), q.end(), [](const Queued& a, const Queued& b) {
-        auto key = [](const Queued& q) {
-            if (q.starved) return std::tuple(false, false, false, 0, 0, false, q.job->accepted);
-            return std::tuple(true, !q.first, !q.entitled, -static_cast<int>(q.job->spec.rank), q.lost,
-                              !q.aged, q.job->accepted);
+        auto key = [](const Queued& queued) {
+            if (queued.starved) return std::tuple(false, false, false, 0, 0, false, queued.job->accepted);
+            return std::tuple(true, !queued.first, !queued.entitled, -static_cast<int>(queued.job->spec.rank),
+                              queued.lost, !queued.aged, queued.job->accepted);
         };
         auto x = key(a), y = key(b);
         return x != y ? x < y : a.job->spec.id < b.job->spec.id;
@@ -184,7 +184,7 @@
 
     // A job keeps away from machines it failed on, unless it is blamed itself.
     static bool avoids(const Job& job, const Machine& h) {
-        return !job.blamed && job.failed_on.count(h.name) > 0;
+        return !job.blamed && job.failed_on.contains(h.name);
     }
 
     void bind(Job& job, uint32_t task, Machine& h, uint64_t attempt) {
@@ -586,9 +586,9 @@
         if (in_.now - victim.accepted > in_.settings.begin_bound_s && victim.done.empty() &&
             victim.live.size() == 1)
             return false;
-        bool guarded = entitled_.count(&victim) > 0 && !q.entitled && !q.first;
+        bool guarded = entitled_.contains(&victim) && !q.entitled && !q.first;
         if (victim.spec.rank < q.job->spec.rank && !guarded) return true;
-        return q.entitled && victim.spec.team != q.job->spec.team && entitled_.count(&victim) == 0;
+        return q.entitled && victim.spec.team != q.job->spec.team && !entitled_.contains(&victim);
     }
 
     // What stopping a task costs, in GPU seconds: the progress since its last checkpoint, or what its start
@@ -782,7 +782,8 @@
         uint32_t missing = left;
         // Machines that have the image first, then those where least is lost. Steps of one machine are
         // taken in order, so that at most as many are passed over as are taken.
-        auto first_steps = steps.begin() + static_cast<long>(std::min<size_t>(steps.size(), 2 * left));
+        auto first_steps =
+            steps.begin() + static_cast<long>(std::min<size_t>(steps.size(), size_t{2} * left));
         std::partial_sort(steps.begin(), first_steps, steps.end(),
                           [&](const Step& a, const Step& b) { return a.key(job) < b.key(job); });
         steps.erase(first_steps, steps.end());
