--- a/src/base/ranges.cc
+++ b/src/base/ranges.cc
@@ -49,7 +49,8 @@
 bool Ranges::add(uint32_t n) {
     if (has(n)) return false;
     auto next = map_.upper_bound(n);
-    uint32_t a = n, b = n;
+    uint32_t a = n;
+    uint32_t b = n;
     if (next != map_.begin()) {
         auto before = std::prev(next);
         if (before->second + 1 == n) {
--- a/src/config/config.cc
+++ b/src/config/config.cc
@@ -60,7 +60,7 @@
     c.peer_listen = address(at("back"), "back");
     c.cloud = address(at("endpoints.cloud"), "endpoints.cloud");
     c.state = address(at("endpoints.state"), "endpoints.state");
-    if (auto* list = at("siblings").as_array()) {
+    if (const auto* list = at("siblings").as_array()) {
         for (size_t i = 0; i < list->size(); ++i) {
             View s(list->get(i));
             std::string f = "siblings[" + std::to_string(i) + "].";
@@ -68,11 +68,11 @@
                                address(s["addr"], f + "addr")});
         }
     }
-    auto* zones = at("facts.zones").as_array();
+    const auto* zones = at("facts.zones").as_array();
     if (!zones || zones->empty()) fail("facts.zones", "a list of zones is needed");
     for (const auto& z : *zones) c.zones.push_back(need_text(View(&z), "facts.zones"));
     c.skew_s = number(at("facts.skew_ms"), "facts.skew_ms", 0, 1e7) / 1000.0;
-    auto* teams = at("facts.teams").as_array();
+    const auto* teams = at("facts.teams").as_array();
     if (!teams) fail("facts.teams", "a list of teams is needed");
     for (size_t i = 0; i < teams->size(); ++i) {
         View t(teams->get(i));
@@ -86,7 +86,7 @@
         team.gpus_max = amount("gpus_max");
         c.teams.push_back(team);
     }
-    if (auto* aims = at("facts.objectives").as_array()) {
+    if (const auto* aims = at("facts.objectives").as_array()) {
         for (size_t i = 0; i < aims->size(); ++i) {
             View o(aims->get(i));
             std::string kind = o["kind"].value_or(std::string());
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -20,9 +20,10 @@
 }
 
 struct Field {
-    const char* name;
-    double low, high;
-    void (*set)(Settings&, double);
+    const char* name = nullptr;
+    double low = 0;
+    double high = 0;
+    void (*set)(Settings&, double) = nullptr;
     bool whole = false;
 };
 
@@ -71,7 +72,8 @@
 // error can name its line, and each is read by sfsexp.
 Settings Settings::parse(const std::string& text) {
     Settings s;
-    size_t line = 1, i = 0;
+    size_t line = 1;
+    size_t i = 0;
     while (i < text.size()) {
         char c = text[i];
         if (c == '\n') ++line;
@@ -93,7 +95,8 @@
         sexp_t* e = parse_sexp(record_format.data(), record_format.size());
         bool pair = e && e->ty == SEXP_LIST && e->list && e->list->ty == SEXP_VALUE && e->list->next &&
                     e->list->next->ty == SEXP_VALUE && !e->list->next->next;
-        std::string name = pair ? e->list->val : "", value = pair ? e->list->next->val : "";
+        std::string name = pair ? e->list->val : "";
+        std::string value = pair ? e->list->next->val : "";
         if (e) destroy_sexp(e);
         if (!pair) throw ConfigError(where + "expected (name value)");
         apply(s, name.c_str(), value.c_str(), where);
--- a/src/fleet/cluster.cc
+++ b/src/fleet/cluster.cc
@@ -136,15 +136,15 @@
     }
 }
 
-bool Cluster::within_limit(const Config& config, const JobSpec& s, uint32_t n, TeamUse kept) const {
-    const Team* t = config.team(s.team);
+bool Cluster::within_limit(const Config& config, const JobSpec& spec, uint32_t tasks, TeamUse kept) const {
+    const Team* t = config.team(spec.team);
     if (!t) return false;
-    auto it = teams.find(s.team);
+    auto it = teams.find(spec.team);
     TeamUse use = it == teams.end() ? TeamUse{} : it->second;
     use.cpus += kept.cpus;
     use.gpus += kept.gpus;
-    if (t->cpus_max > 0 && use.cpus + n * s.cpus > t->cpus_max + kEps) return false;
-    return !(t->gpus_max > 0 && use.gpus + n * s.gpus > t->gpus_max + kEps);
+    if (t->cpus_max > 0 && use.cpus + tasks * spec.cpus > t->cpus_max + kEps) return false;
+    return !(t->gpus_max > 0 && use.gpus + tasks * spec.gpus > t->gpus_max + kEps);
 }
 
 }  // namespace hareshore
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -8,6 +8,7 @@
 struct Kind {
     std::string machine_type, zone;
     bool spot = false;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
     auto operator<=>(const Kind&) const = default;
 };
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -7,8 +7,8 @@
 namespace {
 
 struct AnswerCollector {
-    http_parser parser;
-    http_parser_settings settings;
+    http_parser parser{};
+    http_parser_settings settings{};
     Answer answer;
     bool complete = false;
     size_t limit;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Task<Answer> HttpClient::exchange(Stream& stream, const std::string& out, Seconds until, bool& keep) {
+Task<Answer> HttpClient::exchange(Stream& stream, const std::string& out, Seconds until, bool& keep) const {
     AnswerCollector c(answer_limit_);
     keep = false;
     bool written = co_await stream.write(out, until);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -21,7 +21,7 @@
     Task<Answer> call(std::string method, std::string path, std::string body, Seconds timeout);
 
   private:
-    Task<Answer> exchange(Stream& stream, const std::string& out, Seconds until, bool& keep);
+    Task<Answer> exchange(Stream& stream, const std::string& out, Seconds until, bool& keep) const;
 
     Loop& loop_;
     Address to_;
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -62,7 +62,7 @@
 }
 
 bool Stream::stale() {
-    char c;
+    char c = 0;
     ssize_t n = recv(file_->fd(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
     return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
--- a/src/http/pack.cc
+++ b/src/http/pack.cc
@@ -73,6 +73,7 @@
 size_t json_text_size(std::string_view text) {
     size_t n = 2;
     for (unsigned char c : text) {
+        // NOLINTNEXTLINE(bugprone-branch-clone): one branch for each class of bytes, in order
         if (c == '"' || c == '\\') {
             n += 2;
         } else if (c < 0x20 || c == 0x7f) {
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -11,8 +11,8 @@
 
 // Collects one request; http_parser calls back into it.
 struct Collector {
-    http_parser parser;
-    http_parser_settings settings;
+    http_parser parser{};
+    http_parser_settings settings{};
     Request request;
     std::string url;
     size_t head = 0;
--- a/src/jobs/compact.cc
+++ b/src/jobs/compact.cc
@@ -57,7 +57,7 @@
 }  // namespace
 
 void put_quantity(std::string& text, uint64_t n) {
-    constexpr uint64_t kMore = 1u << kBits;
+    constexpr uint64_t kMore = 1U << kBits;
     while (n >= kMore) {
         text += kDigits[(n & (kMore - 1)) | kMore];
         n >>= kBits;
@@ -66,13 +66,13 @@
 }
 
 std::optional<uint64_t> take_quantity(std::string_view& text) {
-    constexpr uint64_t kMore = 1u << kBits;
+    constexpr uint64_t kMore = 1U << kBits;
     uint64_t n = 0;
     for (unsigned shift = 0; !text.empty() && shift < 60; shift += kBits) {
         int8_t v = kValues[static_cast<uint8_t>(text.front())];
         if (v < 0) return std::nullopt;
         text.remove_prefix(1);
-        auto digit = static_cast<uint64_t>(v);
+        uint64_t digit = static_cast<uint8_t>(v);
         n |= (digit & (kMore - 1)) << shift;
         if (digit < kMore) return digit == 0 && shift > 0 ? std::nullopt : std::optional(n);
     }
@@ -100,7 +100,8 @@
         auto run = gap ? take_quantity(text) : std::nullopt;
         // Ranges that touch would have been one.
         if (!run || *gap >= limit || *run >= limit || (next > 0 && *gap == 0)) return std::nullopt;
-        uint64_t first = next + *gap, last = first + *run;
+        uint64_t first = next + *gap;
+        uint64_t last = first + *run;
         if (last >= limit) return std::nullopt;
         r.append(static_cast<uint32_t>(first), static_cast<uint32_t>(last));
         next = last + 1;
@@ -128,7 +129,8 @@
     std::sort(rows.begin(), rows.end(), [](const Row& a, const Row& b) {
         return std::tie(a.entry, a.number, a.task) < std::tie(b.entry, b.number, b.task);
     });
-    int64_t last_task = 0, last_skew = 0;
+    int64_t last_task = 0;
+    int64_t last_skew = 0;
     for (size_t i = 0; i < rows.size();) {
         size_t end = i;
         while (end < rows.size() && rows[end].entry == rows[i].entry) ++end;
@@ -154,7 +156,8 @@
 std::optional<std::map<uint32_t, Bound>> parse_compact_live(const CompactLive& from, uint32_t tasks) {
     std::map<uint32_t, Bound> live;
     std::string_view text = from.text;
-    int64_t task = 0, skew = 0;
+    int64_t task = 0;
+    int64_t skew = 0;
     for (const auto& entry : from.names) {
         auto rows = take_quantity(text);
         if (!rows || *rows == 0 || *rows > tasks) return std::nullopt;
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -61,6 +61,7 @@
     uint32_t task = 0;
     std::string text() const { return job + '/' + std::to_string(task); }
     static std::optional<TaskName> parse(const std::string& text);
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
     auto operator<=>(const TaskName&) const = default;
 };
 
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -1,5 +1,6 @@
 // What a user asked for. Names are the field's usual ones; the wire's are in users/.
 #pragma once
+#include <algorithm>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -32,10 +33,8 @@
     bool allows(const std::string& machine_type, const std::string& in_zone, bool is_spot) const {
         if (is_spot && !spot) return false;
         if (!zone.empty() && zone != in_zone) return false;
-        if (machine_types.empty()) return true;
-        for (const auto& f : machine_types)
-            if (f == machine_type) return true;
-        return false;
+        return machine_types.empty() ||
+               std::find(machine_types.begin(), machine_types.end(), machine_type) != machine_types.end();
     }
     bool operator==(const JobSpec&) const = default;
 };
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -25,7 +25,7 @@
 
 std::optional<Frame> Reader::next() {
     if (bad_ || buffer_.size() < sizeof(Head)) return std::nullopt;
-    Head h;
+    Head h{};
     std::memcpy(&h, buffer_.data(), sizeof h);
     bool known = h.kind >= 1 && h.kind <= static_cast<uint16_t>(Kind::kCancellationNotice);
     if (h.magic != kMagic || h.version != kVersion || !known || h.length > constants::kFrameLimit) {
@@ -40,7 +40,7 @@
 
 std::optional<Heartbeat> unpack_heartbeat(std::string_view payload) {
     if (payload.size() != sizeof(Heartbeat)) return std::nullopt;
-    Heartbeat b;
+    Heartbeat b{};
     std::memcpy(&b, payload.data(), sizeof b);
     return b;
 }
@@ -55,7 +55,7 @@
 
 std::string label_of(const Heartbeat& heartbeat) {
     const char* label = reinterpret_cast<const char*>(&heartbeat);
-    return std::string(label, strnlen(label, extended(heartbeat) ? sizeof heartbeat.label : kLabelRoom));
+    return {label, strnlen(label, extended(heartbeat) ? sizeof heartbeat.label : kLabelRoom)};
 }
 
 void set_label(Heartbeat& heartbeat, std::string_view label) {
@@ -76,7 +76,7 @@
 }
 
 std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload) {
-    CancellationNoticeHead h;
+    CancellationNoticeHead h{};
     if (payload.size() < sizeof h) return std::nullopt;
     std::memcpy(&h, payload.data(), sizeof h);
     payload.remove_prefix(sizeof h);
@@ -84,9 +84,9 @@
     for (uint16_t i = 0; i < h.count; ++i) {
         if (payload.empty()) return std::nullopt;
         auto n = static_cast<uint8_t>(payload[0]);
-        if (payload.size() < 1u + n) return std::nullopt;
+        if (payload.size() < 1U + n) return std::nullopt;
         w.jobs.emplace_back(payload.substr(1, n));
-        payload.remove_prefix(1u + n);
+        payload.remove_prefix(1U + n);
     }
     return payload.empty() ? std::optional(std::move(w)) : std::nullopt;
 }
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -60,7 +60,7 @@
     for (size_t i = 0; i < peers_.size(); ++i) scope_.spawn(dial(i), "peer link");
 }
 
-void Peers::send(Link& link, std::string frame) {
+void Peers::send(Link& link, const std::string& frame) {
     // A link that does not drain is cut off; nothing on it is worth keeping for later.
     if (!link.open || link.outbox.size() + frame.size() > constants::kOutbox) return link.close();
     link.outbox += frame;
@@ -108,21 +108,21 @@
     news_.notify();
 }
 
-Task<void> Peers::dial(size_t i) {
+Task<void> Peers::dial(size_t peer) {
     while (true) {
-        auto stream = co_await connect_to(loop_, peers_[i].who.addr, loop_.now() + constants::kConnect_s);
+        auto stream = co_await connect_to(loop_, peers_[peer].who.addr, loop_.now() + constants::kConnect_s);
         if (stream) {
             auto link = std::make_shared<Link>(loop_, std::move(stream));
-            links_[i] = link;
+            links_[peer] = link;
             scope_.spawn(write_all(link), "peer writer");
-            scope_.spawn(read_all(link, i), "peer reader");
+            scope_.spawn(read_all(link), "peer reader");
             while (link->open) {
                 peer::Heartbeat b = heartbeat_now();
                 b.asked_us = static_cast<uint64_t>(loop_.now() * 1e6);
                 send(*link, peer::pack(peer::Kind::kHeartbeat, next_heartbeat_++, incarnation_, b));
                 co_await loop_.sleep(constants::kHeartbeat_s);
             }
-            links_[i] = nullptr;
+            links_[peer] = nullptr;
         }
         co_await loop_.sleep(constants::kHeartbeat_s);
     }
@@ -188,7 +188,7 @@
 Task<void> Peers::serve(int fd) {
     auto link = std::make_shared<Link>(loop_, std::make_unique<Stream>(loop_, fd));
     scope_.spawn(write_all(link), "peer writer");
-    co_await read_all(link, peers_.size());
+    co_await read_all(link);
 }
 
 Task<void> Peers::write_all(std::shared_ptr<Link> link) {
@@ -202,7 +202,7 @@
     }
 }
 
-Task<void> Peers::read_all(std::shared_ptr<Link> link, size_t) {
+Task<void> Peers::read_all(std::shared_ptr<Link> link) {
     peer::Reader reader;
     char chunk[constants::kReadChunk];
     while (link->open) {
@@ -240,7 +240,7 @@
                 // The answer to an earlier process's relay would give one worker another's commands.
                 auto it = f->incarnation == incarnation_ ? calls_.find(f->id) : calls_.end();
                 if (it == calls_.end()) continue;  // or too late
-                peer::RelayAnswerHead h;
+                peer::RelayAnswerHead h{};
                 std::memcpy(&h, f->payload.data(), sizeof h);
                 it->second->answer =
                     Response{h.status, f->payload.substr(sizeof h), 0, "application/msgpack"};
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -60,14 +60,14 @@
     Task<void> dial(size_t peer);
     Task<void> accept_all();
     Task<void> serve(int fd);
-    Task<void> read_all(std::shared_ptr<Link> link, size_t peer);
+    Task<void> read_all(std::shared_ptr<Link> link);
     Task<void> write_all(std::shared_ptr<Link> link);
     Task<void> answer_relay(std::shared_ptr<Link> link, uint32_t id, uint64_t incarnation, std::string body);
     void heard(const peer::Frame& frame, const peer::Heartbeat& heartbeat);
     peer::Heartbeat heartbeat_now();
     void send_cancellations(Link& link);
     void receive_cancellations(const peer::CancellationNotice& w);
-    static void send(Link& link, std::string frame);
+    static void send(Link& link, const std::string& frame);
 
     Loop& loop_;
     HeartbeatSource heartbeat_;
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -39,8 +39,8 @@
 
     // Nothing if the report is malformed.
     static std::optional<Report> parse(std::string_view body);
-    bool newer_than(uint64_t session_, uint64_t seq_) const {
-        return session > session_ || (session == session_ && seq > seq_);
+    bool newer_than(uint64_t other_session, uint64_t other_seq) const {
+        return session > other_session || (session == other_session && seq > other_seq);
     }
 };
 
