--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -21,7 +21,8 @@
     std::set<uint32_t> s;
     for (uint32_t n = 10; n < 50; n += 1 + n % 3) half.add(n);
     for (int i = 0; i < 4000; ++i) {
-        uint32_t n = i < 2000 ? rng() % 60 : 10 + rng() % 8;
+        auto random = static_cast<uint32_t>(rng());
+        uint32_t n = i < 2000 ? random % 60 : 10 + random % 8;
         if (rng() % 2) {
             EXPECT_EQ(r.add(n), s.insert(n).second);
         } else {
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -318,12 +318,12 @@
     Node commands = m->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
-        auto name = *TaskName::parse(*commands.at(i)["piece"].text());
+        auto task = *TaskName::parse(*commands.at(i)["piece"].text());
         uint64_t attempt = *commands.at(i)["try"].count();
         auto it = std::find_if(tasks.begin(), tasks.end(),
-                               [&](const ReportedTask& t) { return t.name == name && t.attempt == attempt; });
+                               [&](const ReportedTask& t) { return t.name == task && t.attempt == attempt; });
         if (verb == "launch" && it == tasks.end())
-            tasks.push_back({name, attempt, TaskPhase::kRunning, ExitCause::kNone, false});
+            tasks.push_back({task, attempt, TaskPhase::kRunning, ExitCause::kNone, false});
         if (verb == "halt" && it != tasks.end()) {
             it->phase = TaskPhase::kExited;
             it->cause = ExitCause::kStopped;
