--- /dev/null
+++ b/tests/compatibility_test.cc
@@ -0,0 +1,518 @@
+// What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
+// frames between controllers. A name in the code that changes must not move a byte of it, since processes of
+// both versions serve side by side on the same data.
+#include <algorithm>
+#include <cstring>
+
+#include "jobs/record.h"
+#include "peer/frames.h"
+#include "standins.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+namespace {
+
+// Origin: commit 9b35ad5, the version that deploy/service.toml names as production. Its library was built
+// from a checkout of that commit, linked with a small program beside its tests and run; what it printed
+// stands here unchanged. Records, final records, heartbeats, the relay and the cancellations were packed by
+// its functions of the contents below. The keys `record_format`, `leader` and `term` were read from the state
+// service's stand-in after one of its controllers had been elected for epoch 41, and the answer to the relay
+// is what that controller sent back on its back channel.
+constexpr const char* kArrayFormat1 =
+    "de001aa26964aa6a6f622d303030373331a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472"
+    "616e6b02a57461736b7340a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727392a26738a26732a47a6f6e65a161a86f6e655f7a6f6e65c3a5"
+    "6170617274c2a473706f74c3aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a56475"
+    "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65ad302d322c352c392d31302c3430a46e"
+    "6578744da46c69766593af33203820766d2d3030303030332061b03420323020766d2d3030303233312061b0313120373620"
+    "7261636b2d342d782061a17601";
+constexpr const char* kArrayFormat2 =
+    "de001ca26964aa6a6f622d303030373331a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472"
+    "616e6b02a57461736b7340a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727392a26738a26732a47a6f6e65a161a86f6e655f7a6f6e65c3a5"
+    "6170617274c2a473706f74c3aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a56475"
+    "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65a93d4143434144426441a46e6578744d"
+    "a57a6f6e657391a161a5686f73747392a9307261636b2d342d78a436766d2da46c697665ae424157694543445033446b4843"
+    "57a17602";
+constexpr const char* kGangFormat1 =
+    "de001aa26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
+    "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727392a26738a26732a47a6f6e65a0a86f6e655f7a6f6e65c2a561"
+    "70617274c3a473706f74c2aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a5647565"
+    "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a0a46e65787403a46c69766594af3020322076"
+    "6d2d3030303031302061af31203220766d2d3030303031312061af32203220766d2d3030303331302062af33203220766d2d"
+    "3030303331322062a17601";
+constexpr const char* kGangFormat2 =
+    "de001ca26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
+    "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727392a26738a26732a47a6f6e65a0a86f6e655f7a6f6e65c2a561"
+    "70617274c3a473706f74c2aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a5647565"
+    "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a13da46e65787403a57a6f6e657392a161a162"
+    "a5686f73747391a436766d2da46c697665ae4555414543434233534342464342a17602";
+constexpr const char* kServiceFormat1 =
+    "de001aa26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
+    "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727390a47a6f6e65a0a86f6e655f7a6f6e65c2a56170617274c3a4"
+    "73706f74c3aa657374696d6174655f7300ac636865636b706f696e745f7300a6736176655f7300a56475655f73ffa26174cb"
+    "41dac3e366100000a977697468647261776ec2a4646f6e65a0a46e65787429a46c69766594af30203120766d2d3030303130"
+    "302061b03120343020766d2d3030303230312062af32203320766d2d3030303130302061b03520333920766d2d3030303230"
+    "322062a17601";
+constexpr const char* kServiceFormat2 =
+    "de001ca26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
+    "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
+    "696d6167655f6762cb4018cccccccccccda7666c61766f727390a47a6f6e65a0a86f6e655f7a6f6e65c2a56170617274c3a4"
+    "73706f74c3aa657374696d6174655f7300ac636865636b706f696e745f7300a6736176655f7300a56475655f73ffa26174cb"
+    "41dac3e366100000a977697468647261776ec2a4646f6e65a13da46e65787429a57a6f6e657392a161a162a5686f73747391"
+    "a436766d2da46c697665b0456f474143414541724742734344494aa17602";
+constexpr const char* kDoneFinal =
+    "84a26964aa6a6f622d303030373334a977697468647261776ec2a57461736b73ce00011170a4646f6e65ce00011170";
+constexpr const char* kCancelledFinal =
+    "84a26964aa6a6f622d303030373335a977697468647261776ec3a57461736b7310a4646f6e6506";
+constexpr const char* kRecordFormatValue = "81a17602";
+constexpr const char* kLeaderValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+constexpr const char* kTermValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+constexpr const char* kHeartbeatFrame =
+    "4852485202000100747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
+    "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+constexpr const char* kHeartbeatAnswerFrame =
+    "4852485202000200747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
+    "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+constexpr const char* kRelayFrame =
+    "4852485202000300747372716700000088878685848382818aa4686f7374a9766d2d303030303031a461646472ad31302e31"
+    "2e302e393a39303030a6666c61766f72a26732a4636f7665a161a96472696674776f6f64c2a674656e75726501a47469636b"
+    "01a565706f636829a97761726e696e675f73c0a670696563657390";
+constexpr const char* kRelayAnswerFrame =
+    "485248520200040074737271120000008887868584838281c80082a565706f636829a66f726465727390";
+constexpr const char* kCancellationsFrame =
+    "4852485202000500000000001f000000181716151413121118171615141312110201000002000a6a6f622d30303037333205"
+    "6a6f622d39";
+
+// What the stored values hold. Every field has a value of its own, so that two that are exchanged show.
+JobSpec base_spec() {
+    JobSpec spec;
+    spec.id = "job-000731";
+    spec.job_class = "train";
+    spec.team = "vision";
+    spec.shape = Shape::kArray;
+    spec.rank = Rank::kHigh;
+    spec.tasks = 64;
+    spec.cpus = 8;
+    spec.gpus = 1.5;
+    spec.memory_gb = 64;
+    spec.image = "img-07";
+    spec.image_gb = 6.2;
+    spec.machine_types = {"g8", "g2"};
+    spec.zone = "a";
+    spec.one_zone = true;
+    spec.apart = false;
+    spec.spot = true;
+    spec.estimate_s = 240;
+    spec.checkpoint_s = 30;
+    spec.save_s = 4;
+    spec.due_s = 900;
+    return spec;
+}
+
+JobRecord array_record() {
+    JobRecord record;
+    record.spec = base_spec();
+    record.accepted_wall = 1796181234.125;
+    for (uint32_t task : {0u, 1u, 2u, 5u, 9u, 10u, 40u}) record.done.add(task);
+    record.next_attempt = 77;
+    record.live[3] = {8, "vm-000003", "a"};
+    record.live[4] = {20, "vm-000231", "a"};
+    record.live[11] = {76, "rack-4-x", "a"};
+    return record;
+}
+
+JobRecord gang_record() {
+    JobRecord record;
+    record.spec = base_spec();
+    record.spec.id = "job-000732";
+    record.spec.shape = Shape::kGang;
+    record.spec.rank = Rank::kIdle;
+    record.spec.tasks = 4;
+    record.spec.zone = "";
+    record.spec.one_zone = false;
+    record.spec.apart = true;
+    record.spec.spot = false;
+    record.spec.due_s = std::nullopt;
+    record.accepted_wall = 1796181300.5;
+    record.cancelled = true;
+    record.next_attempt = 3;
+    record.live[0] = {2, "vm-000010", "a"};
+    record.live[1] = {2, "vm-000011", "a"};
+    record.live[2] = {2, "vm-000310", "b"};
+    record.live[3] = {2, "vm-000312", "b"};
+    return record;
+}
+
+JobRecord service_record() {
+    JobRecord record;
+    record.spec = base_spec();
+    record.spec.id = "job-000733";
+    record.spec.job_class = "serve";
+    record.spec.team = "search";
+    record.spec.shape = Shape::kService;
+    record.spec.rank = Rank::kProduction;
+    record.spec.tasks = 6;
+    record.spec.machine_types = {};
+    record.spec.zone = "";
+    record.spec.one_zone = false;
+    record.spec.apart = true;
+    record.spec.estimate_s = 0;
+    record.spec.checkpoint_s = 0;
+    record.spec.save_s = 0;
+    record.spec.due_s = std::nullopt;
+    record.accepted_wall = 1796181400.25;
+    record.next_attempt = 41;
+    record.live[0] = {1, "vm-000100", "a"};
+    record.live[1] = {40, "vm-000201", "b"};
+    record.live[2] = {3, "vm-000100", "a"};
+    record.live[5] = {39, "vm-000202", "b"};
+    return record;
+}
+
+FinalRecord done_final() {
+    return {"job-000734", false, 70'000, 70'000};
+}
+
+FinalRecord cancelled_final() {
+    return {"job-000735", true, 16, 6};
+}
+
+peer::Heartbeat full_heartbeat() {
+    peer::Heartbeat heartbeat{};
+    peer::set_label(heartbeat, "node-2");
+    heartbeat.record_format = 2;
+    heartbeat.cancellations_announced = 0x01020304;
+    heartbeat.incarnation = 0x1112131415161718;
+    heartbeat.asked_us = 0x2122232425262728;
+    heartbeat.epoch = 0x3132333435363738;
+    heartbeat.leads = 1;
+    heartbeat.ready = 0;
+    heartbeat.reports_received = 0x4142;
+    heartbeat.state_age_ms = 0x51525354;
+    heartbeat.quiet_ms = 0x61626364;
+    return heartbeat;
+}
+
+peer::CancellationNotice cancellations() {
+    return {0x1112131415161718, 258, {"job-000732", "job-9"}};
+}
+
+constexpr uint32_t kFrameId = 0x71727374;
+constexpr uint64_t kAskerIncarnation = 0x8182838485868788;
+constexpr uint64_t kStoredEpoch = 41;
+
+// A frame's bytes come whole; the report in it is of a worker without tasks.
+std::string relay_frame() {
+    FakeWorker worker;
+    worker.addr = "10.1.0.9:9000";
+    worker.epoch = kStoredEpoch;
+    return peer::pack(peer::Kind::kRelay, kFrameId, kAskerIncarnation, worker.report());
+}
+
+std::string term_of(const std::string& node, uint64_t epoch) {
+    Packer packer;
+    packer.map(2).key("node").text(node).key("epoch").count(epoch);
+    return packer.take();
+}
+
+// Sends a frame on the back channel and collects the answer's bytes.
+Task<void> exchange_frame(Loop& loop, Address to, std::string frame, std::string& answer) {
+    auto stream = co_await connect_to(loop, to, loop.now() + 1);
+    if (!stream) co_return;
+    co_await stream->write(frame, loop.now() + 1);
+    char chunk[4096];
+    ssize_t count = co_await stream->read(chunk, sizeof chunk, loop.now() + 3);
+    if (count > 0) answer.assign(chunk, static_cast<size_t>(count));
+}
+
+// The only controller of a deployment, elected for the term after the stored one.
+void lead_after(Site& site, uint64_t last_epoch) {
+    Txn txn;
+    txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
+    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.state.rows.count("form") == 1; }));
+    site.run(1);
+}
+
+std::string from_hex(std::string_view hex) {
+    std::string bytes;
+    for (size_t i = 0; i + 1 < hex.size(); i += 2)
+        bytes += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
+    return bytes;
+}
+
+// Compared as text, so that a failure shows which byte moved.
+std::string to_hex(std::string_view bytes) {
+    std::string hex;
+    for (unsigned char byte : bytes) hex += fmt::format("{:02x}", byte);
+    return hex;
+}
+
+void expect_same(const JobRecord& read, const JobRecord& expected) {
+    EXPECT_TRUE(read.spec == expected.spec);
+    EXPECT_EQ(read.accepted_wall, expected.accepted_wall);
+    EXPECT_EQ(read.cancelled, expected.cancelled);
+    EXPECT_EQ(read.done, expected.done);
+    EXPECT_EQ(read.next_attempt, expected.next_attempt);
+    ASSERT_EQ(read.live.size(), expected.live.size());
+    for (const auto& [task, placement] : expected.live) {
+        ASSERT_TRUE(read.live.count(task)) << task;
+        EXPECT_EQ(read.live.at(task).attempt, placement.attempt) << task;
+        EXPECT_EQ(read.live.at(task).machine, placement.machine) << task;
+        EXPECT_EQ(read.live.at(task).zone, placement.zone) << task;
+    }
+}
+
+struct StoredRecord {
+    const char* name;
+    const char* form1;
+    const char* form2;
+    JobRecord record;
+};
+
+std::vector<StoredRecord> stored_records() {
+    return {{"array", kArrayFormat1, kArrayFormat2, array_record()},
+            {"gang", kGangFormat1, kGangFormat2, gang_record()},
+            {"service", kServiceFormat1, kServiceFormat2, service_record()}};
+}
+
+// The single frame that the bytes hold.
+peer::Frame only_frame(const std::string& bytes) {
+    peer::Reader reader;
+    reader.feed(bytes);
+    auto frame = reader.next();
+    EXPECT_TRUE(frame);
+    EXPECT_FALSE(reader.next());
+    EXPECT_FALSE(reader.bad());
+    return frame.value_or(peer::Frame{});
+}
+
+void store(Site& site, const std::string& key, std::string value) {
+    Txn txn;
+    txn.expect(key, 0).put(key, std::move(value));
+    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
+}
+
+}  // namespace
+
+TEST(ProductionBytes, RecordsAreRead) {
+    for (const auto& stored : stored_records()) {
+        SCOPED_TRACE(stored.name);
+        for (const char* hex : {stored.form1, stored.form2}) {
+            auto read = JobRecord::unpack(from_hex(hex));
+            ASSERT_TRUE(read);
+            expect_same(*read, stored.record);
+        }
+    }
+}
+
+TEST(ProductionBytes, RecordsAreWritten) {
+    for (const auto& stored : stored_records()) {
+        SCOPED_TRACE(stored.name);
+        EXPECT_EQ(to_hex(stored.record.pack(1)), stored.form1);
+        EXPECT_EQ(to_hex(stored.record.pack(2)), stored.form2);
+    }
+}
+
+// The version pinned before, 64db79f, reads the done ranges as format 1 has them and refuses a record of
+// which it can't. Of one in format 2 it must not read them, not even as none, or it would take the tasks for
+// free.
+TEST(ProductionBytes, RecordsOfFormat2AreRefusedByTheRuleOfTheVersionBefore) {
+    for (const auto& stored : stored_records()) {
+        SCOPED_TRACE(stored.name);
+        auto message = Message::parse(from_hex(stored.form2));
+        ASSERT_TRUE(message);
+        auto done = message->root()["done"].text();
+        ASSERT_TRUE(done);
+        EXPECT_FALSE(Ranges::parse(*done, stored.record.spec.tasks));
+        auto form1 = Message::parse(from_hex(stored.form1));
+        ASSERT_TRUE(form1);
+        EXPECT_TRUE(Ranges::parse(*form1->root()["done"].text(), stored.record.spec.tasks));
+    }
+}
+
+TEST(ProductionBytes, FinalRecordsAreReadAndWritten) {
+    const std::pair<const char*, FinalRecord> stored[] = {{kDoneFinal, done_final()},
+                                                          {kCancelledFinal, cancelled_final()}};
+    for (const auto& [hex, expected] : stored) {
+        SCOPED_TRACE(expected.id);
+        auto read = FinalRecord::unpack(from_hex(hex));
+        ASSERT_TRUE(read);
+        EXPECT_EQ(read->id, expected.id);
+        EXPECT_EQ(read->cancelled, expected.cancelled);
+        EXPECT_EQ(read->tasks, expected.tasks);
+        EXPECT_EQ(read->done, expected.done);
+        EXPECT_EQ(to_hex(expected.pack()), hex);
+    }
+}
+
+TEST(ProductionBytes, KeysOfAnElectionAreWritten) {
+    Site site;
+    lead_after(site, kStoredEpoch - 1);
+    ASSERT_EQ(site.leader(), 0);
+    EXPECT_EQ(to_hex(site.state.rows.at("leader").data), kLeaderValue);
+    EXPECT_EQ(to_hex(site.state.rows.at("term").data), kTermValue);
+    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+}
+
+TEST(ProductionBytes, TheLeadersKeyIsRead) {
+    Site site(2);
+    store(site, "leader", from_hex(kLeaderValue));
+    site.start(1);
+    ASSERT_TRUE(site.until([&] { return site.nodes[1]->election().leader() == "node-0"; }));
+    EXPECT_EQ(site.nodes[1]->election().known_epoch(), kStoredEpoch);
+    EXPECT_FALSE(site.nodes[1]->election().leading());
+}
+
+TEST(ProductionBytes, TheTermIsReadAndNotUsedAgain) {
+    Site site;
+    store(site, "term", from_hex(kTermValue));
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
+    EXPECT_EQ(site.nodes[0]->election().epoch(), kStoredEpoch + 1);
+}
+
+// The key is there, so records are written in format 2 also while nothing is known of the other controller.
+TEST(ProductionBytes, TheRecordFormatIsReadAndKept) {
+    Site site(2);
+    store(site, "form", from_hex(kRecordFormatValue));
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
+    site.run(1);
+    ASSERT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    auto record = Message::parse(site.state.rows.at("j/job-1").data);
+    ASSERT_TRUE(record);
+    EXPECT_EQ(record->root()["v"].count_or(0), 2u);
+    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+}
+
+TEST(ProductionBytes, RecordsAreTakenOverFromTheStateService) {
+    Site site;
+    store(site, "j/job-000731", from_hex(kArrayFormat2));
+    store(site, "j/job-000733", from_hex(kServiceFormat1));
+    store(site, "f/job-000734", from_hex(kDoneFinal));
+    store(site, "f/job-000735", from_hex(kCancelledFinal));
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
+    site.run(1);
+    auto phase = [&](const std::string& id) {
+        auto answer = Message::parse(site.call(0, "GET", "/v2/runs/" + id).body);
+        return answer ? answer->root()["phase"].text_or("") : "";
+    };
+    EXPECT_EQ(phase("job-000731"), "running");
+    EXPECT_EQ(phase("job-000733"), "running");
+    EXPECT_EQ(phase("job-000734"), "done");
+    EXPECT_EQ(phase("job-000735"), "withdrawn");
+    EXPECT_EQ(to_hex(site.state.rows.at("j/job-000731").data), kArrayFormat2) << "unchanged until it changes";
+}
+
+TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
+    const std::pair<peer::Kind, const char*> stored[] = {
+        {peer::Kind::kHeartbeat, kHeartbeatFrame}, {peer::Kind::kHeartbeatAnswer, kHeartbeatAnswerFrame}};
+    for (const auto& [kind, hex] : stored) {
+        peer::Frame frame = only_frame(from_hex(hex));
+        EXPECT_EQ(frame.kind, kind);
+        EXPECT_EQ(frame.id, kFrameId);
+        EXPECT_EQ(frame.incarnation, kAskerIncarnation);
+        auto read = peer::unpack_heartbeat(frame.payload);
+        ASSERT_TRUE(read);
+        const peer::Heartbeat expected = full_heartbeat();
+        EXPECT_EQ(peer::label_of(*read), "node-2");
+        EXPECT_TRUE(peer::extended(*read));
+        EXPECT_EQ(read->record_format, expected.record_format);
+        EXPECT_EQ(read->announced, expected.announced);
+        EXPECT_EQ(read->incarnation, expected.incarnation);
+        EXPECT_EQ(read->asked_us, expected.asked_us);
+        EXPECT_EQ(read->epoch, expected.epoch);
+        EXPECT_EQ(read->leads, expected.leads);
+        EXPECT_EQ(read->ready, expected.ready);
+        EXPECT_EQ(read->reports_received, expected.reports_received);
+        EXPECT_EQ(read->state_age_ms, expected.state_age_ms);
+        EXPECT_EQ(read->quiet_ms, expected.quiet_ms);
+        EXPECT_EQ(to_hex(peer::pack(kind, kFrameId, kAskerIncarnation, expected)), hex);
+    }
+}
+
+TEST(ProductionBytes, RelaysAreReadAndWritten) {
+    peer::Frame frame = only_frame(from_hex(kRelayFrame));
+    EXPECT_EQ(frame.kind, peer::Kind::kRelay);
+    EXPECT_EQ(frame.id, kFrameId);
+    EXPECT_EQ(frame.incarnation, kAskerIncarnation);
+    auto report = Report::parse(frame.payload);
+    ASSERT_TRUE(report);
+    EXPECT_EQ(report->machine, "vm-000001");
+    EXPECT_EQ(report->epoch, kStoredEpoch);
+    EXPECT_EQ(to_hex(relay_frame()), kRelayFrame);
+}
+
+TEST(ProductionBytes, RelaysAreAnswered) {
+    Site site;
+    lead_after(site, kStoredEpoch - 1);
+    std::string answer;
+    Scope scope(site.loop);
+    scope.spawn(exchange_frame(site.loop, site.configs[0].peer_listen, from_hex(kRelayFrame), answer),
+                "relay");
+    site.run(4);
+    EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
+    peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
+    EXPECT_EQ(frame.kind, peer::Kind::kRelayAnswer);
+    EXPECT_EQ(frame.id, kFrameId);
+    EXPECT_EQ(frame.incarnation, kAskerIncarnation);
+    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHead));
+    peer::RelayAnswerHead head;
+    std::memcpy(&head, frame.payload.data(), sizeof head);
+    EXPECT_EQ(head.status, 200);
+    auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
+    ASSERT_TRUE(body);
+    EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredEpoch);
+}
+
+TEST(ProductionBytes, CancellationsAreReadAndWritten) {
+    const peer::CancellationNotice expected = cancellations();
+    peer::Frame frame = only_frame(from_hex(kCancellationsFrame));
+    EXPECT_EQ(frame.kind, peer::Kind::kCancellationNotice);
+    EXPECT_EQ(frame.id, 0u);
+    EXPECT_EQ(frame.incarnation, expected.incarnation);
+    auto read = peer::unpack_cancellation_notice(frame.payload);
+    ASSERT_TRUE(read);
+    EXPECT_EQ(read->incarnation, expected.incarnation);
+    EXPECT_EQ(read->first, expected.first);
+    EXPECT_EQ(read->jobs, expected.jobs);
+    EXPECT_EQ(
+        to_hex(peer::pack(peer::Kind::kCancellationNotice, 0, expected.incarnation, peer::pack(expected))),
+        kCancellationsFrame);
+}
+
+// The names that README.md documents, each with what it sets.
+TEST(OperatorSettings, HaveTheDocumentedNames) {
+    Settings settings = Settings::parse(
+        "(hold-s 1)(similar-age-s 2)(age-bound-s 3)(begin-bound-s 4)(min-machines 5)(max-machines 6)"
+        "(min-idle-machines 7)(idle-return-s 8)(calm-s 9)(preempt-after-s 11)");
+    EXPECT_EQ(settings.hold_s, 1);
+    EXPECT_EQ(settings.similar_age_s, 2);
+    EXPECT_EQ(settings.age_bound_s, 3);
+    EXPECT_EQ(settings.begin_bound_s, 4);
+    EXPECT_EQ(settings.min_machines, 5);
+    EXPECT_EQ(settings.max_machines, 6);
+    EXPECT_EQ(settings.min_idle_machines, 7);
+    EXPECT_EQ(settings.idle_return_s, 8);
+    EXPECT_EQ(settings.calm_s, 9);
+    EXPECT_EQ(settings.preempt_after_s, 11);
+}
+
+TEST(OperatorSettings, RefuseUnknownNames) {
+    for (const char* unknown : {"hold", "hold_s", "Hold-s", "hold-seconds", "max-machine", "preempt-after"}) {
+        try {
+            Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)");
+            FAIL() << unknown << " was accepted";
+        } catch (const ConfigError& error) {
+            EXPECT_EQ(std::string(error.what()), "line 2: unknown setting " + std::string(unknown));
+        }
+    }
+}
