--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -132,6 +132,7 @@
         if (auto it = kept_limit_.find(s.team); it != kept_limit_.end()) {
             for (const auto& k : it->second) {
                 if (!k.starved && k.rank <= s.rank) continue;
+                if (!s.service() && in_.now + s.estimate_s < k.lent_until) continue;
                 kept.cpus += k.use.cpus;
                 kept.gpus += k.use.gpus;
             }
@@ -210,8 +211,7 @@
             if (q.job->spec.gang() && q.job->spec.tasks > 1) {
                 serve_singles(std::exchange(singles, {}));
                 if (may_start(*q.job)) place_gang(q);
-                make_room(q);
-                keep_limit(q);
+                keep_limit(q, make_room(q));
             } else {
                 singles.push_back(q);
             }
@@ -227,7 +227,7 @@
             if (q.job->spec.gang() && may_start(*q.job) && !within_limit(q.job->spec, 1)) {
                 q.job->why = Wait::kTeamLimit;
                 make_limit(q, 1);
-                keep_limit(q);
+                keep_limit(q, std::nullopt);
             }
         Amount least = least_of(jobs);
         for (Machine* h : in_.askers)
@@ -433,17 +433,18 @@
 
     // What comes free of a team's limit is kept for its gang that waits for it, from the team's work of lower
     // priority; the team's small jobs would else take each piece, and the gang would not start while they
-    // keep coming. Once it starves, it is kept from all, also while machines are lacking: given back to the
-    // work that was stopped for it, that would be stopped and started again in each scheduling pass. Not
-    // before, since limit that is kept is not used. Comes last of what is done for the gang, which would else
-    // count it twice.
-    void keep_limit(const Queued& q) {
+    // keep coming. Once it starves, it is kept from all. It stays kept while machines are lacking: given back
+    // to the team's other work, it would be lacking when the machines come free. Until then it is lent, as
+    // the machines are, to work that is expected to end before `room_at`, when there is room for all of the
+    // gang. Comes last of what is done for the gang, which would else count it twice.
+    void keep_limit(const Queued& q, std::optional<Seconds> room_at) {
         const Job& job = *q.job;
-        bool waits = job.why == Wait::kTeamLimit || (q.starved && job.why == Wait::kGangRoom);
-        if (job.pending.empty() || !waits) return;
+        bool lacks_room = job.why == Wait::kGangRoom && (q.starved || room_at);
+        if (job.pending.empty() || !(job.why == Wait::kTeamLimit || lacks_room)) return;
         double n = job.pending.size();
+        Seconds lent_until = q.starved ? in_.now : room_at.value_or(in_.now);
         kept_limit_[job.spec.team].push_back(
-            {job.spec.rank, q.starved, {n * job.spec.cpus, n * job.spec.gpus}});
+            {job.spec.rank, q.starved, {n * job.spec.cpus, n * job.spec.gpus}, lent_until});
     }
 
     // A gang that starves for want of its team's limit: the team's own lower work yields.
@@ -665,26 +666,27 @@
         return o;
     }
 
-    void make_room(const Queued& q) {
+    // Returns when all tasks of a gang are expected to have room, if room is kept for it.
+    std::optional<Seconds> make_room(const Queued& q) {
         Job& job = *q.job;
-        if (job.pending.empty() || !may_start(job)) return;
+        if (job.pending.empty() || !may_start(job)) return std::nullopt;
         // The queue's head decides; looking at all of a long queue would cost its length times the machines.
-        if (++sought_ > constants::kRoomJobs) return;
+        if (++sought_ > constants::kRoomJobs) return std::nullopt;
         if (job.spec.service()) {
             make_room_for_replicas(q);
-            return;
+            return std::nullopt;
         }
         bool gang = job.spec.gang();
-        if (gang && !job.live.empty() && (job.started || job.broken)) return;
+        if (gang && !job.live.empty() && (job.started || job.broken)) return std::nullopt;
         uint32_t n = job.pending.size();
         if (!gang) {
             // An array takes room from others only for what its team is guaranteed.
-            if (!q.entitled) return;
+            if (!q.entitled) return std::nullopt;
             // No more than its team's limit lets it use; what is stopped beyond that is stopped for nothing.
             n = most_within_limit(job.spec, n);
-            if (n == 0) return;
+            if (n == 0) return std::nullopt;
         } else if (!within_limit(job.spec, n)) {
-            return;
+            return std::nullopt;
         }
         const std::vector<Offer>& offers = offers_of(q);
         std::vector<std::string> zones = job.spec.one_zone ? in_.config.zones : std::vector<std::string>{""};
@@ -699,8 +701,10 @@
         if (stop) {
             stop_for(job, best.victims);
         }
-        if (!gang) return;
-        keep(job, best.keep, best.whole ? in_.now : best.at);
+        if (!gang) return std::nullopt;
+        Seconds room_at = best.whole ? in_.now : best.at;
+        keep(job, best.keep, room_at);
+        return room_at;
     }
 
     // Replicas that have no room on any machine, as far as zones allow, get that of lower work at once.
@@ -824,6 +828,7 @@
         Rank rank;
         bool starved;
         TeamUse use;
+        Seconds lent_until;  // to work that is expected to end before
     };
     std::map<std::string, std::vector<KeptLimit>> kept_limit_;  // for gangs that wait for their team's limit
     std::vector<Machine*> usable_;
