--- /dev/null
+++ b/tests/poll_rate_test.cc
@@ -0,0 +1,109 @@
+// Polls beyond the rate of the state service: they must not cost the leader its lease.
+#include <gtest/gtest.h>
+
+#include "base/bucket.h"
+#include "standins.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+namespace {
+
+constexpr double kStateRps = 30;
+constexpr int kUsers = 60;  // together they ask ten times as often as the state service answers
+constexpr Seconds kPollPause_s = 0.2;
+
+// A state service that answers 429 above its rate, whatever the request.
+struct RateLimitedState {
+    Loop& loop;
+    FakeState& state;
+    Bucket rate{kStateRps, kStateRps};
+    int refused = 0;
+    HttpServer server;
+
+    RateLimitedState(Loop& l, FakeState& behind, Address at)
+        : loop(l), state(behind), server(l, at, 200, [this](Request r) { return pass(std::move(r)); }) {}
+    Task<Response> pass(Request r) {
+        if (!rate.take(1, loop.now())) {
+            ++refused;
+            co_return Response{429, "", 0, "application/msgpack"};
+        }
+        co_return co_await state.handle(std::move(r));
+    }
+};
+
+struct PollRate : testing::Test {
+    Site site{1};
+    std::unique_ptr<RateLimitedState> limited;
+
+    PollRate() {
+        site.configs[0].state = address(20, 2379);
+        site.configs[0].state_rps = kStateRps;
+        limited = std::make_unique<RateLimitedState>(site.loop, site.state, address(20, 2379));
+        site.start(0);
+        EXPECT_TRUE(site.until([&] { return site.leader() == 0; }));
+        site.run(3);
+        EXPECT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    }
+    ~PollRate() override {
+        users.cancel();
+        site.kill(0);
+        limited->server.stop();
+    }
+    // One of the users: polls an unfinished job again and again.
+    Task<void> poll_job() {
+        HttpClient http(site.loop, site.configs[0].listen, 1);
+        while (true) {
+            Answer answer = co_await http.call("GET", "/v2/runs/job-1", "", 2.0);
+            EXPECT_NE(answer.status, 404);
+            ++(answer.status == 200 ? answered : refused);
+            co_await site.loop.sleep(kPollPause_s);
+        }
+    }
+    void start_polling() {
+        for (int i = 0; i < kUsers; ++i) users.spawn(poll_job(), "user");
+    }
+    // The time for which nobody led.
+    Seconds run_without_leader(Seconds seconds) {
+        Seconds without = 0;
+        for (Seconds end = site.loop.now() + seconds; site.loop.now() < end;) {
+            Seconds before = site.loop.now();
+            site.run(0.1);
+            if (site.leader() < 0) without += site.loop.now() - before;
+        }
+        return without;
+    }
+    int answered = 0, refused = 0;
+    Scope users{site.loop};
+};
+
+TEST_F(PollRate, TheLeaderKeepsItsLease) {
+    start_polling();
+    EXPECT_EQ(run_without_leader(40), 0);
+    EXPECT_GT(limited->refused, 0) << "the rate was reached";
+    EXPECT_GT(answered, 40 * kStateRps / 3) << "polls still have their share of the rate";
+    EXPECT_GT(refused, answered);
+}
+
+TEST_F(PollRate, JobsAreStillAcceptedAndCancelled) {
+    start_polling();
+    site.run(5);
+    int accepted = 0, cancelled = 0;
+    for (int i = 2; i < 12; ++i) {
+        std::string id = "job-" + std::to_string(i);
+        accepted += site.call(0, "POST", "/v2/runs", job_body(id)).status == 201;
+        cancelled += site.call(0, "POST", "/v2/runs/" + id + "/withdraw").status == 200;
+        site.run(1);
+    }
+    EXPECT_GE(accepted, 9);
+    EXPECT_GE(cancelled, 9);
+}
+
+TEST_F(PollRate, PollsWithinTheRateAreAnswered) {
+    for (int i = 0; i < 100; ++i) {
+        EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 200);
+        site.run(0.2);
+    }
+}
+
+}  // namespace
