--- a/src/users/service.cc
+++ b/src/users/service.cc
@@ -75,9 +75,48 @@
     }
 }
 
+void UserService::keep_answered(const std::string& id, JobPhase phase) {
+    auto [it, added] = answered_.try_emplace(id);
+    it->second.cancelled |= phase == JobPhase::kCancelled;
+    if (!added) return;
+    answered_command_.push_back(id);
+    if (answered_command_.size() > constants::kFinalCache) {
+        answered_.erase(answered_command_.front());
+        answered_command_.pop_front();
+    }
+}
+
+UserService::Known UserService::known_from(const FinalRecord& final) {
+    Known k;
+    k.reply = Reply::kOk;
+    k.final = true;
+    k.phase = final.cancelled ? JobPhase::kCancelled : JobPhase::kDone;
+    k.done = final.done;
+    return k;
+}
+
+UserService::Known UserService::no_older_than_answered(const std::string& id, Known read) const {
+    if (read.final) return read;
+    if (auto final = finals_.find(id); final != finals_.end()) return known_from(final->second);
+    auto answered = answered_.find(id);
+    if (answered == answered_.end()) return read;
+    if (read.reply == Reply::kAbsent) return Known{};  // read before it was accepted: to be asked again
+    if (read.reply == Reply::kOk && answered->second.cancelled) {
+        read.record.cancelled = true;
+        read.phase = JobPhase::kCancelled;
+    }
+    return read;
+}
+
+// A slow read may be older than what another question about the job was answered meanwhile.
+Task<UserService::Known> UserService::read(std::string id, Seconds until) {
+    Known k = co_await read_records(id, until);
+    co_return no_older_than_answered(id, std::move(k));
+}
+
 // The current state of a job. Records move only from the live key to the final one, so this order of
 // reading cannot miss one.
-Task<UserService::Known> UserService::read(std::string id, Seconds until) {
+Task<UserService::Known> UserService::read_records(std::string id, Seconds until) {
     Known k;
     auto cached = finals_.find(id);
     std::optional<FinalRecord> final;
@@ -115,14 +154,11 @@
         if (!final) co_return k;
         keep_final(id, *final);
     }
-    k.reply = Reply::kOk;
-    k.final = true;
-    k.phase = final->cancelled ? JobPhase::kCancelled : JobPhase::kDone;
-    k.done = final->done;
-    co_return k;
+    co_return known_from(*final);
 }
 
 Response UserService::answer_known(const std::string& id, const Known& k, bool counts) {
+    keep_answered(id, k.phase);
     if (k.phase == JobPhase::kCancelled) {
         last_cancellation_ = loop_.now();
         on_cancellation_(id);
@@ -165,7 +201,12 @@
     if (r.reply == Reply::kOk) {
         log::debug("job {} accepted, class {}, {} tasks, image {}, team {}", spec.id, spec.job_class,
                    spec.tasks, spec.image, spec.team);
-        co_return Response{201, pack_phase(spec.id, JobPhase::kPending), 0, "application/msgpack"};
+        // Of a commit whose answer was slow, other questions may have been answered already.
+        Known accepted;
+        accepted.reply = Reply::kOk;
+        Response created = answer_known(spec.id, no_older_than_answered(spec.id, std::move(accepted)), false);
+        created.status = 201;
+        co_return created;
     }
     if (r.reply == Reply::kConflict) {
         Known k = co_await read(spec.id, until);
--- a/src/users/service.h
+++ b/src/users/service.h
@@ -38,6 +38,11 @@
     Task<Response> query(std::string id);
     Task<Response> cancel(std::string id);
     Task<Known> read(std::string id, Seconds until);
+    Task<Known> read_records(std::string id, Seconds until);
+    static Known known_from(const FinalRecord& final);
+    // What was read of a job, or what this node has answered meanwhile if that is newer.
+    Known no_older_than_answered(const std::string& id, Known read) const;
+    void keep_answered(const std::string& id, JobPhase phase);
     // Why the job's record could not be written under the limits of the state service, now or later.
     std::string never_recorded(const JobRecord& record) const;
     bool state_away() const;
@@ -57,6 +62,12 @@
     std::set<std::string> unreadable_;  // records whose unreadable format was logged
     std::unordered_map<std::string, FinalRecord> finals_;
     std::deque<std::string> finals_order_;
+    // Jobs that users were told here are accepted, and whether they were told that they are cancelled.
+    struct Answered {
+        bool cancelled = false;
+    };
+    std::unordered_map<std::string, Answered> answered_;
+    std::deque<std::string> answered_command_;
 };
 
 }  // namespace hareshore
