--- a/tests/fault_scenario.cc
+++ b/tests/fault_scenario.cc
@@ -4,6 +4,12 @@
 
 namespace hareshore::test {
 
+namespace {
+
+constexpr Seconds kLong_s = 1e6;
+
+}  // namespace
+
 std::string packed_flag(bool b) {
     Packer p;
     return p.flag(b).take();
@@ -16,10 +22,12 @@
 
 Task<Response> Gate::pass(FakeState& state, Request r) {
     if (delay > 0) co_await loop.sleep(delay);
+    if (request_delay) co_await loop.sleep(request_delay(r));
+    Seconds after = answer_delay ? answer_delay(r) : 0;
     while (mode == kSilent) co_await loop.sleep(0.2);
     if (mode == kRefuse) co_return Response{503, "", 0, ""};
-    std::string path = r.path;
     Response answer = co_await state.handle(std::move(r));
+    if (after > 0) co_await loop.sleep(after);
     // A watch that was open when its node came to be refused stays open.
     while (mode != kOpen) co_await loop.sleep(0.2);
     co_return answer;
@@ -54,16 +62,37 @@
 Task<void> Wire::pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into,
                       std::shared_ptr<bool> open) {
     char chunk[4096];
+    peer::Reader reader;
     while (*open) {
         ssize_t n = co_await from->read(chunk, sizeof chunk, loop.now() + 0.5);
         if (n == -2) continue;
         while (cut) co_await loop.sleep(0.1);
-        if (n <= 0 || !co_await into->write({chunk, static_cast<size_t>(n)}, loop.now() + 1)) break;
+        if (n <= 0) break;
+        std::string bytes(chunk, static_cast<size_t>(n));
+        if (old_peer) bytes = as_old_peer(reader, bytes);
+        if (!bytes.empty() && !co_await into->write(bytes, loop.now() + 1)) break;
     }
     *open = false;
 }
 
-World::World(int nodes, int machines) : site(nodes), scope(site.loop) {
+std::string Wire::as_old_peer(peer::Reader& reader, std::string_view bytes) {
+    std::string out;
+    reader.feed(bytes);
+    while (auto frame = reader.next()) {
+        if (frame->kind == peer::Kind::kCancellationNotice) continue;
+        if (frame->kind == peer::Kind::kHeartbeat || frame->kind == peer::Kind::kHeartbeatAnswer) {
+            auto heartbeat = peer::unpack_heartbeat(frame->payload);
+            heartbeat->record_format = 0;
+            heartbeat->announced = 0;
+            out += peer::pack(frame->kind, frame->id, frame->incarnation, *heartbeat);
+        } else {
+            out += peer::pack(frame->kind, frame->id, frame->incarnation, frame->payload);
+        }
+    }
+    return out;
+}
+
+World::World(int nodes, int machines, int old_node) : site(nodes), scope(site.loop), old_node_(old_node) {
     for (int i = 0; i < nodes; ++i) {
         gates.push_back(std::make_unique<Gate>(site.loop, site.state, address(20 + i, 2379)));
         Config& c = site.configs[static_cast<size_t>(i)];
@@ -72,6 +101,7 @@
             int k = peer.label.back() - '0';
             Address at = address(100 + 10 * i + k, 8081);
             wires[{i, k}] = std::make_unique<Wire>(site.loop, at, peer.addr);
+            wires[{i, k}]->old_peer = i == old_node || k == old_node;
             peer.addr = at;
         }
         site.start(i);
@@ -91,6 +121,12 @@
 }
 
 void World::add_machine(const std::string& name, const std::string& zone) {
+    start_machine(name, zone);
+    const FakeWorker& w = fleet.back()->w;
+    site.cloud.machines[name] = {name, w.addr, w.machine_type, zone, false, MachinePhase::kRunning, 100};
+}
+
+void World::start_machine(const std::string& name, const std::string& zone) {
     fleet.push_back(std::make_unique<LiveMachine>());
     LiveMachine& m = *fleet.back();
     m.w.name = name;
@@ -100,10 +136,29 @@
     m.lease_from = site.loop.now();
     m.commands = std::make_unique<HttpServer>(site.loop, at, 20,
                                               [this, &m](Request r) { return ordered(m, std::move(r)); });
-    site.cloud.machines[name] = {name, m.w.addr, m.w.machine_type, zone, false, MachinePhase::kRunning, 100};
     scope.spawn(reporting(m), "machine");
 }
 
+void World::rent_machines(size_t most, Seconds boot_s) {
+    auto left = std::make_shared<size_t>(most);
+    site.cloud.rent = [this, left, boot_s](const std::string& zone, size_t number) {
+        std::vector<std::string> names;
+        for (; number > 0 && *left > 0; --number, --*left) {
+            std::string name = "vm-00030" + std::to_string(*left);
+            // Listed from the start; its address is learned from its reports.
+            site.cloud.machines[name] = {name, "", "g2", zone, false, MachinePhase::kBooting, 0};
+            scope.spawn(boot(name, zone, boot_s), "boot");
+            names.push_back(name);
+        }
+        return names;
+    };
+}
+
+Task<void> World::boot(std::string name, std::string zone, Seconds boot_s) {
+    co_await site.loop.sleep(boot_s);
+    if (site.cloud.machines.count(name)) start_machine(name, zone);
+}
+
 std::string World::ask(const std::string& method, const std::string& path, const std::string& body,
                        Seconds most) {
     Seconds end = site.loop.now() + most;
@@ -130,6 +185,14 @@
 
 std::string World::submit(const std::string& id, uint32_t tasks, Seconds run_s,
                           const std::function<void(std::map<std::string, std::string>&)>& change) {
+    prepare(id, tasks, run_s, change);
+    std::string phase = ask("POST", "/v2/runs", bodies[id]);
+    if (!phase.empty()) accepted.insert(id);
+    return phase;
+}
+
+void World::prepare(const std::string& id, uint32_t tasks, Seconds run_s,
+                    const std::function<void(std::map<std::string, std::string>&)>& change) {
     run_times[id] = run_s;
     bodies[id] = job_body(id, [&](auto& f) {
         Packer p;
@@ -138,9 +201,18 @@
         if (f["one_zone"] == packed_flag(true)) one_zone.insert(id);
         if (f["shape"].find("ensemble") != std::string::npos) gangs[id] = tasks;
     });
-    std::string phase = ask("POST", "/v2/runs", bodies[id]);
-    if (!phase.empty()) accepted.insert(id);
-    return phase;
+}
+
+void World::submit_service(const std::string& id, uint32_t replicas) {
+    constexpr Seconds kNever_s = 1e9;
+    Packer none;
+    none.number(0);
+    prepare(id, replicas, kNever_s, [&](auto& f) {
+        f["shape"] = packed_text("standing");
+        f["cards"] = f["expect_s"] = f["snapshot_s"] = f["flush_s"] = none.take();
+    });
+    services[id] = replicas;
+    EXPECT_NE(ask("POST", "/v2/runs", bodies[id]), "") << "the service is not accepted";
 }
 
 void World::cancel(const std::string& id, Seconds most) {
@@ -182,6 +254,14 @@
     return site.until([&] { return holder(job) != nullptr; }, most);
 }
 
+size_t World::replicas_up(const std::string& service) const {
+    size_t up = 0;
+    for (const auto& m : fleet)
+        for (const auto& t : m->w.tasks)
+            up += !m->gone && t.name.job == service && t.phase == TaskPhase::kRunning;
+    return up;
+}
+
 void World::outage(bool on) {
     site.state.down = on;
     if (!on) site.state.outage_is_over();
@@ -200,7 +280,16 @@
     if (site.state.down) outage(false);
     site.cloud.down = false;
     site.state.let_through = {};
-    for (auto& g : gates) g->mode = Gate::kOpen, g->delay = 0;
+    command_delay = {};
+    for (auto& g : gates) {
+        g->mode = Gate::kOpen;
+        g->delay = 0;
+        g->request_delay = g->answer_delay = {};
+    }
+    if (old_node_ >= 0) {
+        site.kill(old_node_);  // and returns as the new version
+        for (auto& [ends, wire] : wires) wire->old_peer = false;
+    }
     for (auto& [ends, wire] : wires) wire->cut = false;
     for (auto& m : fleet) m->hung = m->mute = m->deaf = m->cut = false;
     for (size_t i = 0; i < site.nodes.size(); ++i)
@@ -223,6 +312,11 @@
         EXPECT_FALSE(holder(id)) << id << " is over and still on a machine";
     }
     EXPECT_EQ(site.call(leader(), "GET", "/v2/runs/job-999").status, 404) << "invented";
+    for (const auto& [id, replicas] : services) {
+        EXPECT_TRUE(site.until([&] { return replicas_up(id) == replicas; }, 90)) << id << " lacks replicas";
+        cancel(id);
+        EXPECT_TRUE(site.until([&] { return !holder(id); }, 10)) << id << " is withdrawn and still there";
+    }
 }
 
 Task<void> World::reporting(LiveMachine& m) {
@@ -275,12 +369,34 @@
     while (m.hung || m.deaf || m.cut || m.gone) co_await site.loop.sleep(0.1);
     auto q = Message::parse(r.body);
     if (!q) co_return Response{400, "", 0, ""};
-    if (q->root()["epoch"].count_or(0) < m.w.epoch || q->root()["tenure"].count_or(0) != m.w.session)
-        co_return Response{409, m.w.report(), 0, "application/msgpack"};
+    if (Seconds delay = command_delay ? command_delay(m) : 0; delay > 0) {
+        scope.spawn(carry_out_late(m, r.body, delay), "late command");
+        while (true) co_await site.loop.sleep(kLong_s);
+    }
+    if (!takes(m, r.body)) co_return Response{409, m.w.report(), 0, "application/msgpack"};
     carry_out(m, r.body);
     co_return Response{200, m.w.report(), 0, "application/msgpack"};
 }
 
+bool World::takes(const LiveMachine& m, const std::string& command) {
+    auto message = Message::parse(command);
+    return message->root()["epoch"].count_or(0) >= m.w.epoch &&
+           message->root()["tenure"].count_or(0) == m.w.session;
+}
+
+// The command was held up on its way: what counts is the machine's state when it arrives.
+Task<void> World::carry_out_late(LiveMachine& m, std::string command, Seconds delay) {
+    co_await site.loop.sleep(delay);
+    while (m.hung) co_await site.loop.sleep(0.1);
+    if (m.gone || !takes(m, command)) {
+        ++late_commands_refused;
+        co_return;
+    }
+    ++late_commands_carried_out;
+    carry_out(m, command);
+    ++m.w.seq;  // its answer is numbered like a report, and lost
+}
+
 void World::carry_out(LiveMachine& m, const std::string& body) {
     std::set<std::pair<std::string, uint64_t>> before;
     for (const auto& t : m.w.tasks) before.insert({t.name.text(), t.attempt});
@@ -354,7 +470,7 @@
                         done.insert(t.name.job);
                     continue;
                 }
-                ++gpus;
+                if (!services.count(t.name.job)) ++gpus;
                 if (one_zone.count(t.name.job) &&
                     zone_of.emplace(t.name.job, m->w.zone).first->second != m->w.zone)
                     ADD_FAILURE() << name << " is not in its job's zone";
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -5,6 +5,7 @@
 
 #include <memory>
 
+#include "peer/frames.h"
 #include "standins.h"
 
 namespace hareshore::test {
@@ -17,6 +18,8 @@
     enum Mode { kOpen, kRefuse, kSilent };
     Mode mode = kOpen;
     Seconds delay = 0;
+    // Called for each request, if set: how much longer it takes before, and after, it is carried out.
+    std::function<Seconds(const Request&)> request_delay, answer_delay;
     Loop& loop;
     HttpServer server;
 
@@ -28,6 +31,9 @@
 // A link between two controllers, one way of dialling; cut, what is sent waits.
 struct Wire {
     bool cut = false;
+    // One of the two is of the version before cancellation notices and record format 2: it neither sends nor
+    // takes notices, and says of itself none of what came with them.
+    bool old_peer = false;
     Loop& loop;
     Address to;
     File listener;
@@ -37,6 +43,8 @@
     Task<void> accept_all();
     Task<void> join(std::shared_ptr<Stream> near);
     Task<void> pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into, std::shared_ptr<bool> open);
+    // What of these bytes an old peer would say or take.
+    static std::string as_old_peer(peer::Reader& reader, std::string_view bytes);
 };
 
 // A machine that does all that the protocol says of workers: it follows hints, its lease ends, it hangs.
@@ -52,10 +60,13 @@
 
 class World {
   public:
-    World(int nodes, int machines);
+    // `old_node`: a controller of the older version until calm(); -1: none.
+    World(int nodes, int machines, int old_node = -1);
     ~World();
 
     void add_machine(const std::string& name, const std::string& zone);
+    // From now on the cloud rents up to `most` machines; each is up after `boot_s`.
+    void rent_machines(size_t most, Seconds boot_s);
 
     // --- users ----------------------------------------------------------------------------------------
 
@@ -64,6 +75,11 @@
                     Seconds most = 60);
     std::string submit(const std::string& id, uint32_t tasks, Seconds run_s,
                        const std::function<void(std::map<std::string, std::string>&)>& change = {});
+    // Notes what a job is before it is submitted.
+    void prepare(const std::string& id, uint32_t tasks, Seconds run_s,
+                 const std::function<void(std::map<std::string, std::string>&)>& change = {});
+    // A service whose replicas take no GPU, so that the team's limit is left to the other jobs.
+    void submit_service(const std::string& id, uint32_t replicas);
     void cancel(const std::string& id, Seconds most = 60);
     void poll(const std::string& id);
     void said(const std::string& id, const std::string& phase);
@@ -73,6 +89,7 @@
     int leader();
     LiveMachine* holder(const std::string& job);
     bool starts(const std::string& job, Seconds most = 20);
+    size_t replicas_up(const std::string& service) const;
     void outage(bool on);
     void alone(int node, bool on);
     void apart(int node, bool on);
@@ -91,17 +108,25 @@
     std::map<std::string, std::set<uint32_t>> ended;
     std::set<std::string> done;
     std::set<std::string> one_zone;
+    std::map<std::string, uint32_t> services;  // and their replicas
     std::map<std::string, int> launches;
     std::map<std::string, size_t> gangs;                              // their tasks
     std::map<std::pair<std::string, uint64_t>, Seconds> complete_at;  // when an attempt was last complete
     bool double_reports = false;                                      // copies of old reports come again
     std::vector<std::string> starts_after_announced;
+    // Called for each direct command, if set: how late it is carried out; it then gets no answer. 0: at once.
+    std::function<Seconds(const LiveMachine&)> command_delay;
+    int late_commands_carried_out = 0, late_commands_refused = 0;
     size_t next_node = 0;
     Scope scope;
 
   private:
+    void start_machine(const std::string& name, const std::string& zone);
+    Task<void> boot(std::string name, std::string zone, Seconds boot_s);
     Task<void> reporting(LiveMachine& m);
     Task<Response> ordered(LiveMachine& m, Request r);
+    static bool takes(const LiveMachine& m, const std::string& command);
+    Task<void> carry_out_late(LiveMachine& m, std::string command, Seconds delay);
     void carry_out(LiveMachine& m, const std::string& body);
     // Whether the rest of a gang was complete, and lacks a task or has one on a machine that hangs.
     bool mates_gone(const ReportedTask& t, Seconds now);
@@ -110,6 +135,8 @@
     // Time passes on the machines, and the rules are looked at.
     Task<void> watch();
     Task<void> copy(std::string body, int node);
+
+    int old_node_;
 };
 
 }  // namespace hareshore::test
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -250,6 +250,14 @@
     }
     if (r.method == "POST") {
         ++rentals;
+        auto request = Message::parse(r.body);
+        std::vector<std::string> rented;
+        if (rent) rented = rent(request->root()["cove"].text_or(""), request->root()["number"].count_or(1));
+        if (!rented.empty()) {
+            p.map(1).key("hosts").list(rented.size());
+            for (const auto& name : rented) p.text(name);
+            co_return packed(200, p);
+        }
         p.map(1).key("error").text("no capacity");
         co_return packed(503, p);
     }
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -102,6 +102,8 @@
     std::vector<std::string> deleted;
     bool down = false;
     int rentals = 0;
+    // Rents machines and returns their names; none: there is no capacity, as without this.
+    std::function<std::vector<std::string>(const std::string& zone, size_t most)> rent;
     void stop() { server_.stop(); }
 
   private:
