--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -426,7 +426,7 @@
         EXPECT_EQ(peer::label_of(*read), "node-2");
         EXPECT_TRUE(peer::extended(*read));
         EXPECT_EQ(read->record_format, expected.record_format);
-        EXPECT_EQ(read->announced, expected.announced);
+        EXPECT_EQ(read->cancellations_announced, expected.cancellations_announced);
         EXPECT_EQ(read->incarnation, expected.incarnation);
         EXPECT_EQ(read->asked_us, expected.asked_us);
         EXPECT_EQ(read->epoch, expected.epoch);
--- a/tests/fault_scenario.cc
+++ b/tests/fault_scenario.cc
@@ -83,7 +83,7 @@
         if (frame->kind == peer::Kind::kHeartbeat || frame->kind == peer::Kind::kHeartbeatAnswer) {
             auto heartbeat = peer::unpack_heartbeat(frame->payload);
             heartbeat->record_format = 0;
-            heartbeat->announced = 0;
+            heartbeat->cancellations_announced = 0;
             out += peer::pack(frame->kind, frame->id, frame->incarnation, *heartbeat);
         } else {
             out += peer::pack(frame->kind, frame->id, frame->incarnation, frame->payload);
