--- /dev/null
+++ b/tests/bad_input_test.cc
@@ -0,0 +1,197 @@
+// Input that is refused: settings, by the program itself, and submissions.
+#include <sys/wait.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <fstream>
+
+#include "standins.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+namespace {
+
+struct Checked {
+    int status = -1;
+    std::string output;  // both streams
+};
+
+// What `hareshore --check` says of settings with these later limits in [facts.state].
+Checked check(const std::string& next) {
+    std::string path = testing::TempDir() + "/settings-" + std::to_string(getpid()) + ".toml";
+    std::ofstream(path) << R"(label = "n0"
+site = "a"
+client_listen = "10.0.0.1:8080"
+back = "10.0.0.1:8081"
+[endpoints]
+cloud = "10.2.0.2:8443"
+state = "10.2.0.1:2379"
+[facts]
+zones = ["a", "b"]
+skew_ms = 250.0
+[[facts.teams]]
+name = "t"
+[facts.workers]
+report_s = 3.0
+lease_s = 24.0
+gang_wait_s = 40.0
+gang_peer_s = 4.0
+cancel_s = 49.0
+[facts.state]
+rps = 80.0
+write_rps = 15.0
+value_kb = 8.0
+txn_ops = 12
+)" << next << "\n[facts.cloud]\nrps = 6.0\nlist_lag_s = 6.0\n";
+    Checked out;
+    std::string command = std::string(HARESHORE_PROGRAM) + " --check --config '" + path + "' 2>&1";
+    FILE* pipe = popen(command.c_str(), "r");
+    char chunk[512];
+    while (pipe && std::fgets(chunk, sizeof chunk, pipe)) out.output += chunk;
+    int ended = pipe ? pclose(pipe) : -1;
+    if (ended >= 0 && WIFEXITED(ended)) out.status = WEXITSTATUS(ended);
+    std::remove(path.c_str());
+    return out;
+}
+
+}  // namespace
+
+TEST(BadInput, LaterLimitsThatAreGivenInPartAreTaken) {
+    for (const char* next :
+         {"", "next = {}", "next = {value_kb = 2}", "next = {txn_ops = 4}", "next = {write_rps = 9.5}",
+          "next = {value_kb = 2.0, write_rps = 9}", "[facts.state.next]\ntxn_ops = 4\nanother = \"field\""}) {
+        Checked checked = check(next);
+        EXPECT_EQ(checked.status, 0) << next << ": " << checked.output;
+    }
+}
+
+// One line that names the field, and a status that says so.
+TEST(BadInput, LaterLimitsThatAreInvalidEndTheProgram) {
+    for (const char* field : {"value_kb", "txn_ops", "write_rps"})
+        for (const char* bad : {"0", "0.0", "-1", "\"4\"", "true", "[4]", "{}", "nan", "inf", "2026-01-01"}) {
+            Checked checked = check(std::string("next = {") + field + " = " + bad + "}");
+            EXPECT_GT(checked.status, 0) << field << ' ' << bad;
+            EXPECT_NE(checked.output.find(std::string("facts.state.next.") + field), std::string::npos)
+                << checked.output;
+            EXPECT_EQ(std::count(checked.output.begin(), checked.output.end(), '\n'), 1) << checked.output;
+        }
+    for (const char* bad : {"3", "0", "\"later\"", "true", "[]", "[[]]"}) {
+        Checked checked = check(std::string("next = ") + bad);
+        EXPECT_GT(checked.status, 0) << bad;
+        EXPECT_NE(checked.output.find("facts.state.next"), std::string::npos) << checked.output;
+        EXPECT_EQ(std::count(checked.output.begin(), checked.output.end(), '\n'), 1) << checked.output;
+    }
+}
+
+namespace {
+
+using FieldChange = std::function<void(std::map<std::string, std::string>&)>;
+
+const char* const kNeeded[] = {"ref",   "jobclass",  "owner",     "shape",      "rank",    "pieces",
+                               "vcpus", "cards",     "memory_gb", "bundle",     "size_gb", "one_zone",
+                               "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
+const char* const kOptional[] = {"flavors", "cove", "due_s"};
+
+void shape(std::map<std::string, std::string>& f, const char* name) {
+    f["shape"] = Packer().text(name).take();
+}
+
+}  // namespace
+
+// Whatever its shape: no field that is needed may be missing, null or of another type; those that may be null
+// may be missing.
+TEST(BadInput, SubmissionsNeedAllTheirFields) {
+    Site site;
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
+    site.run(1);
+    auto submit = [&](const std::string& id, const FieldChange& change) {
+        return site.call(0, "POST", "/v2/runs", job_body(id, change)).status;
+    };
+    int accepted = 0;
+    for (const char* name : {"sweep", "ensemble", "standing"}) {
+        for (const char* field : kNeeded) {
+            auto with = [&](std::string value) {
+                return submit("job-1", [&](auto& f) {
+                    shape(f, name);
+                    f[field] = std::move(value);
+                });
+            };
+            EXPECT_EQ(submit("job-1",
+                             [&](auto& f) {
+                                 shape(f, name);
+                                 f.erase(field);
+                             }),
+                      400)
+                << name << ' ' << field;
+            EXPECT_EQ(with(Packer().null().take()), 400) << name << ' ' << field;
+            EXPECT_EQ(with(Packer().list(0).take()), 400) << name << ' ' << field;
+        }
+        for (const char* field : kOptional) {
+            EXPECT_EQ(submit("job-1",
+                             [&](auto& f) {
+                                 shape(f, name);
+                                 f[field] = Packer().flag(true).take();
+                             }),
+                      400)
+                << name << ' ' << field;
+            EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
+                             [&](auto& f) {
+                                 shape(f, name);
+                                 f[field] = Packer().null().take();
+                             }),
+                      201)
+                << name << ' ' << field;
+        }
+    }
+    EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 404);
+}
+
+// One task that is too large for each machine that its job allows.
+TEST(BadInput, SubmissionsThatFitNoMachineAreRefusedForGood) {
+    Site site;
+    MachineType large = small_machine_type();
+    large.name = "g8";
+    large.gpus = 8;
+    large.cpus = 64;
+    site.cloud.machine_types = {small_machine_type(), large};
+    site.start(0);
+    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
+    site.run(1);
+    auto submit = [&](const std::string& id, const char* field, double amount,
+                      const char* machine_type = nullptr) {
+        return site
+            .call(0, "POST", "/v2/runs",
+                  job_body(id,
+                           [&](auto& f) {
+                               f[field] = Packer().number(amount).take();
+                               if (machine_type) f["flavors"] = Packer().list(1).text(machine_type).take();
+                           }))
+            .status;
+    };
+    EXPECT_EQ(submit("job-1", "vcpus", 65), 422);
+    EXPECT_EQ(submit("job-1", "cards", 9), 422);
+    EXPECT_EQ(submit("job-1", "memory_gb", 65), 422);
+    EXPECT_EQ(submit("job-1", "cards", 3, "g2"), 422) << "only the larger type has as many";
+    EXPECT_EQ(submit("job-1", "cards", 1, "g99"), 422) << "no such type";
+    EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(submit("job-2", "cards", 3, "g8"), 201);
+    EXPECT_EQ(submit("job-3", "cards", 3), 201);
+    EXPECT_EQ(submit("job-2", "cards", 3, "g2"), 200) << "known already";
+    // Types that are not known yet decide nothing; what is malformed stays so.
+    site.kill(0);
+    site.state.rows.erase("flavors");
+    site.cloud.down = true;
+    site.start(0);
+    site.run(3);
+    EXPECT_EQ(submit("job-4", "cards", 9), 503);
+    EXPECT_EQ(submit("job-4", "cards", -1), 400);
+    EXPECT_EQ(submit("job-2", "cards", 9), 200);
+    site.cloud.down = false;
+    int status = 0;
+    // The fake clock stands still while requests are under way, so that time has to pass between them.
+    for (Seconds end = site.loop.now() + 10; status != 422 && site.loop.now() < end; site.run(0.5))
+        status = submit("job-4", "cards", 9);
+    EXPECT_EQ(status, 422);
+}
