--- a/src/http/pack.cc
+++ b/src/http/pack.cc
@@ -72,11 +72,12 @@
 
 size_t json_text_size(std::string_view text) {
     size_t n = 2;
-    for (unsigned char c : text) {
-        // NOLINTNEXTLINE(bugprone-branch-clone): one branch for each class of bytes, in order
+    for (char byte : text) {
+        auto c = static_cast<unsigned char>(byte);
+        // One branch for each class of bytes, in order: hence two that add the same.
         if (c == '"' || c == '\\') {
             n += 2;
-        } else if (c < 0x20 || c == 0x7f) {
+        } else if (c < 0x20 || c == 0x7f) {  // NOLINT(bugprone-branch-clone): see above
             n += 6;
         } else if (c < 0x80) {
             n += 1;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -124,7 +124,6 @@
     std::map<Kind, Seconds> refused_until_;
     std::vector<Rental> on_order_;
     std::map<std::string, Seconds> cut_at_;  // when a zone was last taken for cut off
-    Seconds machine_types_read_ = -1e9;
     bool machine_types_kept_ = false;
 
     bool loaded_ = false, stopped_ = false;
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -126,10 +126,10 @@
 
 // A machine is about to be taken: what can save does so now, and replicas move at once. From a machine that
 // is only to be returned they move one by one (JobTable::move_replicas).
-void Leader::drain(Machine& h) {
-    auto tasks = jobs_.on_machine(h.name);
+void Leader::drain(Machine& machine) {
+    auto tasks = jobs_.on_machine(machine.name);
     for (const auto& r : tasks)
-        if (r.job->spec.service() ? h.leaves_at >= 0 : r.job->spec.checkpoint_s > 0)
+        if (r.job->spec.service() ? machine.leaves_at >= 0 : r.job->spec.checkpoint_s > 0)
             jobs_.stop(*r.job, r.task, loop_.now());
 }
 
--- a/src/loop/task.h
+++ b/src/loop/task.h
@@ -29,8 +29,8 @@
         bool await_ready() noexcept { return false; }
         template <class P>
         std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-            auto next = h.promise().next;
-            return next ? next : std::noop_coroutine();
+            auto continuation = h.promise().next;
+            return continuation ? continuation : std::noop_coroutine();
         }
         void await_resume() noexcept {}
     };
--- a/src/main.cc
+++ b/src/main.cc
@@ -6,7 +6,9 @@
 #include "config/config.h"
 #include "node.h"
 
-int main(int argc, char** argv) {
+namespace {
+
+int run(int argc, char** argv) {
     using namespace hareshore;
     CLI::App app{"hareshore, a cluster scheduler: one controller"};
     app.set_version_flag("--version", "hareshore " HARESHORE_VERSION);
@@ -18,23 +20,29 @@
     app.footer("LOG_LEVEL sets how much is logged to standard error: error, info (as if unset) or debug.");
     CLI11_PARSE(app, argc, argv);
 
+    Config config = Config::load(config_path);
+    Settings settings = settings_path.empty() ? Settings{} : Settings::load(settings_path);
+    if (check) {
+        std::cout << "settings of " << config.label << " are in order\n";
+        return 0;
+    }
+    const char* level = std::getenv("LOG_LEVEL");
+    if (!setup_log(level, config.label)) log::warn("LOG_LEVEL {} is unknown, taken as info", level);
+    SystemClock clock;
+    Loop loop(clock);
+    Controller controller(loop, config, settings);
+    log::info("hareshore {} in {}, {} peers", HARESHORE_VERSION, config.zone, config.peers.size());
+    loop.run();
+    return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
     try {
-        Config config = Config::load(config_path);
-        Settings settings = settings_path.empty() ? Settings{} : Settings::load(settings_path);
-        if (check) {
-            std::cout << "settings of " << config.label << " are in order\n";
-            return 0;
-        }
-        const char* level = std::getenv("LOG_LEVEL");
-        if (!setup_log(level, config.label)) log::warn("LOG_LEVEL {} is unknown, taken as info", level);
-        SystemClock clock;
-        Loop loop(clock);
-        Controller controller(loop, config, settings);
-        log::info("hareshore {} in {}, {} peers", HARESHORE_VERSION, config.zone, config.peers.size());
-        loop.run();
+        return run(argc, argv);
     } catch (const std::exception& e) {
         std::cerr << "hareshore: " << e.what() << '\n';
         return 1;
     }
-    return 0;
 }
--- a/src/node.cc
+++ b/src/node.cc
@@ -288,20 +288,21 @@
     return r;
 }
 
-Task<Response> Controller::handle(Request q) {
-    if (q.path == "/hello") {
-        if (q.method != "POST") co_return status(405);
-        co_return co_await handle_report(std::move(q.body));
+Task<Response> Controller::handle(Request request) {
+    if (request.path == "/hello") {
+        if (request.method != "POST") co_return status(405);
+        co_return co_await handle_report(std::move(request.body));
     }
-    if (q.path == "/ready") {
-        if (q.method != "GET") co_return status(405);
+    if (request.path == "/ready") {
+        if (request.method != "GET") co_return status(405);
         co_return status(ready() ? 200 : 503);
     }
-    if (q.path == "/operator" || q.path == "/operator/jobs" || q.path == "/operator/machines") {
-        if (q.method != "GET") co_return status(405);
-        co_return operator_page(q.path);
+    if (request.path == "/operator" || request.path == "/operator/jobs" ||
+        request.path == "/operator/machines") {
+        if (request.method != "GET") co_return status(405);
+        co_return operator_page(request.path);
     }
-    co_return co_await users_.handle(q);
+    co_return co_await users_.handle(request);
 }
 
 }  // namespace hareshore
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -68,10 +68,10 @@
     return heartbeat.label[sizeof heartbeat.label - 1] == 0;
 }
 
-std::string pack(const CancellationNotice& w) {
-    CancellationNoticeHead h{w.incarnation, w.first, static_cast<uint16_t>(w.jobs.size())};
+std::string pack(const CancellationNotice& notice) {
+    CancellationNoticeHead h{notice.incarnation, notice.first, static_cast<uint16_t>(notice.jobs.size())};
     std::string s(reinterpret_cast<const char*>(&h), sizeof h);
-    for (const auto& id : w.jobs) s.append(1, static_cast<char>(id.size())).append(id);
+    for (const auto& id : notice.jobs) s.append(1, static_cast<char>(id.size())).append(id);
     return s;
 }
 
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -102,7 +102,7 @@
     uint32_t first = 0;
     std::vector<std::string> jobs;
 };
-std::string pack(const CancellationNotice& cancelled);
+std::string pack(const CancellationNotice& notice);
 std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload);
 
 }  // namespace hareshore::peer
--- a/src/state/state.cc
+++ b/src/state/state.cc
@@ -43,7 +43,7 @@
     if (n.raw()) {
         msgpack::pack(b, *n.raw());
     }
-    return std::string(b.data(), b.size());
+    return {b.data(), b.size()};
 }
 
 Reply verdict(const Answer& a) {
--- a/src/users/service.cc
+++ b/src/users/service.cc
@@ -79,10 +79,10 @@
     auto [it, added] = answered_.try_emplace(id);
     it->second.cancelled |= phase == JobPhase::kCancelled;
     if (!added) return;
-    answered_command_.push_back(id);
-    if (answered_command_.size() > constants::kFinalCache) {
-        answered_.erase(answered_command_.front());
-        answered_command_.pop_front();
+    answered_order_.push_back(id);
+    if (answered_order_.size() > constants::kFinalCache) {
+        answered_.erase(answered_order_.front());
+        answered_order_.pop_front();
     }
 }
 
--- a/src/users/service.h
+++ b/src/users/service.h
@@ -67,7 +67,7 @@
         bool cancelled = false;
     };
     std::unordered_map<std::string, Answered> answered_;
-    std::deque<std::string> answered_command_;
+    std::deque<std::string> answered_order_;
 };
 
 }  // namespace hareshore
--- a/src/users/wire.cc
+++ b/src/users/wire.cc
@@ -24,7 +24,7 @@
 class Fields {
   public:
     explicit Fields(Node n) : n_(n) {}
-    std::string error;
+    const std::string& error() const { return error_; }
 
     std::string text(const char* f, size_t most) {
         auto v = n_[f].text();
@@ -67,12 +67,13 @@
         return amount(f);
     }
     void bad(const char* f) {
-        if (error.empty()) error = std::string(f) + " is missing or invalid";
+        if (error_.empty()) error_ = std::string(f) + " is missing or invalid";
     }
 
   private:
     static constexpr double kLargest = 1e12;  // far above any machine or duration, far below overflow
     Node n_;
+    std::string error_;
 };
 
 }  // namespace
@@ -131,7 +132,7 @@
     s.checkpoint_s = f.amount("snapshot_s");
     s.save_s = f.amount("flush_s");
     s.due_s = f.optional_amount("due_s");
-    if (!f.error.empty()) return f.error;
+    if (!f.error().empty()) return f.error();
     return s;
 }
 
