--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -88,6 +88,7 @@
         w.tasks.push_back({{r.spec.id, task}, b.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
     }
     std::vector<FakeWorker> out;
+    out.reserve(by_name.size());
     for (auto& [name, w] : by_name) out.push_back(std::move(w));
     return out;
 }
@@ -165,25 +166,25 @@
         for (auto& t : w.tasks)
             if (t.name.task % 2) exit_task(t, ExitCause::kDone);
     for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
-    EXPECT_EQ(format_of(s, "job-1"), 1u);
-    EXPECT_EQ(exits_kept(workers), 75u) << "not forgotten before what came of them is kept";
+    EXPECT_EQ(format_of(s, "job-1"), 1U);
+    EXPECT_EQ(exits_kept(workers), 75U) << "not forgotten before what came of them is kept";
     EXPECT_EQ(s.call(1, "POST", "/v2/runs/job-2/withdraw").status, 503) << "its user comes again";
     EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "running");
     EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
     EXPECT_EQ(s.call(1, "POST", "/v2/runs", job_body("job-4")).status, 201);
-    ASSERT_EQ(s.state.rows.count("form"), 0u);
+    ASSERT_EQ(s.state.rows.count("form"), 0U);
     int refused = s.state.invalid;
     EXPECT_LE(refused, 2) << "the leader's record once, the withdrawal once";
 
     lose_record_format = false;
     ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }, 5));
     EXPECT_TRUE(s.until([&] { return format_of(s, "job-1") == 2; }, 3)) << "though nothing of it changes";
-    EXPECT_EQ(stored(s, "job-1").done.size(), 75u);
-    EXPECT_EQ(stored(s, "job-1").live.size(), 75u);
+    EXPECT_EQ(stored(s, "job-1").done.size(), 75U);
+    EXPECT_EQ(stored(s, "job-1").live.size(), 75U);
     for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
-    EXPECT_EQ(exits_kept(workers), 0u);
+    EXPECT_EQ(exits_kept(workers), 0U);
     EXPECT_EQ(phase_of(s.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-    EXPECT_EQ(stored(s, "job-2").live.size(), 150u) << "none is free yet";
+    EXPECT_EQ(stored(s, "job-2").live.size(), 150U) << "none is free yet";
     EXPECT_FALSE(ran_twice(workers));
     EXPECT_EQ(s.state.invalid, refused) << "nothing was refused twice";
 }
@@ -206,8 +207,8 @@
         };
         s.start(0);
         s.start(1);
-        ASSERT_TRUE(
-            s.until([&] { return s.leader() >= 0 && (!record_format_put || s.state.rows.count("form")); }));
+        ASSERT_TRUE(s.until(
+            [&] { return s.leader() >= 0 && (!record_format_put || s.state.rows.contains("form")); }));
         int first = s.leader(), second = 1 - first;
         s.run(1);
         s.kill(first);
@@ -231,14 +232,14 @@
         ASSERT_EQ(s.leader(), second);
         for (int i = 0; i < kJobs; ++i) {
             std::string id = "job-" + std::to_string(i);
-            EXPECT_EQ(format_of(s, id), 2u);
+            EXPECT_EQ(format_of(s, id), 2U);
             EXPECT_LE(stored_bytes(s, id), kLaterValueBytes);
-            EXPECT_EQ(stored(s, id).done.size(), 35u);
-            EXPECT_EQ(stored(s, id).live.size(), 105u);
+            EXPECT_EQ(stored(s, id).done.size(), 35U);
+            EXPECT_EQ(stored(s, id).live.size(), 105U);
             EXPECT_GT(json_text(stored(s, id).pack(1)).size(), kLaterValueBytes) << "format 1 cannot hold it";
         }
         report_all(s, workers, second);
-        EXPECT_EQ(exits_kept(workers), 0u);
+        EXPECT_EQ(exits_kept(workers), 0U);
         EXPECT_FALSE(ran_twice(workers));
         if (record_format_put) {
             EXPECT_EQ(s.state.invalid, 0);
@@ -275,7 +276,7 @@
         report_all(s, workers, 0);
         EXPECT_NE(s.call(0, "POST", "/v2/runs/job-2/withdraw").status, 200);
         EXPECT_NE(s.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
-        ASSERT_GE(s.state.late.size(), 3u);
+        ASSERT_GE(s.state.late.size(), 3U);
         lose = false;
         limits_fall(s);
         // One that was not carried out comes after all, and is too large.
@@ -284,16 +285,16 @@
         EXPECT_GE(too_large, 2);
         s.run(3);
         report_all(s, workers, 0);
-        EXPECT_EQ(format_of(s, "job-1"), 1u);
-        EXPECT_EQ(exits_kept(workers), 50u) << "whether it is kept is not known";
+        EXPECT_EQ(format_of(s, "job-1"), 1U);
+        EXPECT_EQ(exits_kept(workers), 50U) << "whether it is kept is not known";
 
         s.start(1);
         ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
         EXPECT_TRUE(s.until([&] { return format_of(s, "job-1") == 2; }, 5));
-        EXPECT_EQ(stored(s, "job-1").done.size(), 50u);
-        EXPECT_EQ(stored(s, "job-1").live.size(), 100u);
+        EXPECT_EQ(stored(s, "job-1").done.size(), 50U);
+        EXPECT_EQ(stored(s, "job-1").live.size(), 100U);
         for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
-        EXPECT_EQ(exits_kept(workers), 0u);
+        EXPECT_EQ(exits_kept(workers), 0U);
         s.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
         EXPECT_EQ(phase_of(s.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(s.call(1, "POST", "/v2/runs", job_body("job-3")).status, 200)
@@ -327,12 +328,12 @@
                 EXPECT_GE(t.attempt, attempt) << t.name.text();
                 attempt = t.attempt;
             }
-        if (!s.state.rows.count("j/job-1")) return;
+        if (!s.state.rows.contains("j/job-1")) return;
         EXPECT_LE(stored_bytes(s, "job-1"), format_of(s, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
         EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 200);
     };
     for (int i = 0; i < 2; ++i) round();
-    EXPECT_EQ(format_of(s, "job-1"), 1u) << "nothing has changed yet";
+    EXPECT_EQ(format_of(s, "job-1"), 1U) << "nothing has changed yet";
     for (auto& w : workers)
         for (auto& t : w.tasks) {
             if (t.name.task % 3 == 0)
@@ -469,8 +470,8 @@
         s.run(1);
     }
     EXPECT_TRUE(open.empty()) << open.size() << " users gave up";
-    EXPECT_GT(returned, 0u) << "it was more than the rate";
-    for (const auto& x : burst) EXPECT_EQ(s.state.rows.count("j/" + x.id), 1u) << x.id;
+    EXPECT_GT(returned, 0U) << "it was more than the rate";
+    for (const auto& x : burst) EXPECT_EQ(s.state.rows.count("j/" + x.id), 1U) << x.id;
     ASSERT_TRUE(s.until([&] {
         return std::all_of(before.begin(), before.end(),
                            [&](const auto& x) { return s.state.rows.count("f/" + x.id) == 1; });
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -96,13 +96,13 @@
         std::string id = "job-" + std::to_string(++n);
         Job& j = add(id, 2, rule.set);
         Machine &first = machine("first"), &wrong = machine("wrong", rule.zone, rule.machine_type, rule.spot);
-        EXPECT_EQ(bound({&wrong}), 0u) << rule.what;
-        ASSERT_EQ(bound({&first}), 2u) << rule.what;
+        EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
+        ASSERT_EQ(bound({&first}), 2U) << rule.what;
         lose(first);
-        EXPECT_EQ(bound({&wrong}), 0u) << rule.what;
-        EXPECT_EQ(j.pending.size(), 2u);
+        EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
+        EXPECT_EQ(j.pending.size(), 2U);
         Machine& right = machine("right");
-        EXPECT_EQ(bound({&wrong, &right}), 2u) << rule.what;
+        EXPECT_EQ(bound({&wrong, &right}), 2U) << rule.what;
         for (const auto& [task, p] : j.live) EXPECT_EQ(p.machine, "right") << rule.what;
         jobs.erase(id);
         cluster.machines.clear();
@@ -113,9 +113,9 @@
 TEST_F(Rebinding, StaysInTheOneZoneOfTheOthers) {
     Job& j = add("job-1", 2, [](JobSpec& s) { s.one_zone = true; });
     Machine &x = machine("vm-1"), &y = machine("vm-2"), &other = machine("vm-3", "b");
-    ASSERT_EQ(bound({&x}), 2u);
+    ASSERT_EQ(bound({&x}), 2U);
     jobs.stop(j, 0, now);
-    EXPECT_EQ(bound({&other}), 0u) << "both may still be live";
+    EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
     // One has ended; the other is being stopped, and counts until it is gone.
     jobs.stop(j, 1, now);
     Report r;
@@ -124,7 +124,7 @@
     r.machine_type = "g2";
     r.session = 1;
     r.seq = 1;
-    for (uint32_t task : {0u, 1u}) {
+    for (uint32_t task : {0U, 1U}) {
         ReportedTask t;
         t.name.job = j.spec.id;
         t.name.task = task;
@@ -134,19 +134,19 @@
         r.tasks.push_back(t);
     }
     jobs.apply(cluster, x, r, true, now);
-    ASSERT_EQ(j.pending.size(), 1u);
-    EXPECT_EQ(bound({&other}), 0u);
-    EXPECT_EQ(bound({&y}), 1u);
+    ASSERT_EQ(j.pending.size(), 1U);
+    EXPECT_EQ(bound({&other}), 0U);
+    EXPECT_EQ(bound({&y}), 1U);
     EXPECT_EQ(j.live.at(0).zone, "a");
     // With none left any zone will do.
     lose(x);
     lose(y);
-    EXPECT_EQ(bound({&other}), 2u);
+    EXPECT_EQ(bound({&other}), 2U);
 }
 
 // At most half, rounded up, counted with predecessors that may still be live.
 TEST_F(Rebinding, PutsHalfRoundedUpIntoAZone) {
-    for (uint32_t replicas : {1u, 2u, 5u, 9u}) {
+    for (uint32_t replicas : {1U, 2U, 5U, 9U}) {
         uint32_t half = (replicas + 1) / 2;
         Job& j = add("job-1", replicas, [](JobSpec& s) { s.apart = true; });
         Machine &a = machine("vm-1"), &b = machine("vm-2", "b"), &again = machine("vm-3");
@@ -155,9 +155,9 @@
         // Those of `b` move: until their exit is known they are there, and there is no room in `a`.
         for (const auto& [task, p] : j.live)
             if (p.machine == "vm-2") jobs.stop(j, task, now);
-        EXPECT_EQ(bound({&a, &again}), 0u) << replicas;
+        EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
         lose(b);
-        EXPECT_EQ(bound({&a, &again}), 0u) << replicas;
+        EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
         EXPECT_EQ(j.pending.size(), replicas - half);
         Machine& b2 = machine("vm-4", "b");
         EXPECT_EQ(bound({&b2}), replicas - half) << replicas;
@@ -177,16 +177,16 @@
         auto amount = [&](JobSpec& s) { s.gpus = cpus ? 0 : 0.5; };
         Job& j = add("job-1", 4, amount);
         Machine &x = machine("vm-1"), &y = machine("vm-2");
-        ASSERT_EQ(bound({&x}), 4u);
+        ASSERT_EQ(bound({&x}), 4U);
         add("job-2", 1, amount, Shape::kArray);
         add("job-3", 1, amount);
         for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, now);
-        EXPECT_EQ(bound({&y}), 0u) << "stopping is not gone";
+        EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
         x.current = false;
         now += 500;
-        EXPECT_EQ(bound({&y}), 0u) << "nor is silence";
+        EXPECT_EQ(bound({&y}), 0U) << "nor is silence";
         lose(x);
-        EXPECT_EQ(bound({&y}), 4u) << "and then no more than the limit";
+        EXPECT_EQ(bound({&y}), 4U) << "and then no more than the limit";
         // An attempt that no placement accounts for still takes its part.
         MachineTask orphan;
         orphan.name = {"job-9", 0};
@@ -198,7 +198,7 @@
         Machine& z = machine("vm-3");
         z.tasks = {orphan};
         jobs.machine_gone("vm-2", now);
-        EXPECT_EQ(bound({&y}), 3u);
+        EXPECT_EQ(bound({&y}), 3U);
         for (const char* id : {"job-1", "job-2", "job-3"}) jobs.erase(id);
         cluster.machines.clear();
     }
@@ -285,7 +285,7 @@
     };
     s.settle(workers[0]);
     report(workers[0]);
-    ASSERT_EQ(live_tasks(workers[0]), 2u) << "no more fit";
+    ASSERT_EQ(live_tasks(workers[0]), 2U) << "no more fit";
     EXPECT_EQ(poll(), (State{"running", 0, 2}));
     s.settle(workers[1]);
     report(workers[1]);
@@ -310,7 +310,7 @@
     for (int i = 0; i < 2; ++i)
         for (auto& w : workers) report(w);
     s.run(1);
-    EXPECT_EQ(s.state.rows.count("f/job-1"), 1u);
+    EXPECT_EQ(s.state.rows.count("f/job-1"), 1U);
     EXPECT_EQ(repeated(), "withdrawn");
     EXPECT_EQ(poll(), (State{"withdrawn", 0, 0}));
 }
@@ -360,13 +360,13 @@
     for (int i = 0; i < 4; ++i) s.send_report(from, lead);
     ASSERT_EQ(live_tasks(from), kReplicas);
     s.settle(to);
-    ASSERT_EQ(live_tasks(to), 0u);
+    ASSERT_EQ(live_tasks(to), 0U);
 
     // The notice moves all of them at once.
     from.notice_s = 60;
     std::vector<ReportedTask> running = from.tasks;
     s.send_report(from, lead);
-    ASSERT_EQ(live_tasks(from), 0u) << "told to stop in the answer";
+    ASSERT_EQ(live_tasks(from), 0U) << "told to stop in the answer";
     bool exits_known = move == Move::kSuccessorsBound || move == Move::kSuccessorsLaunched;
     if (exits_known) {
         s.send_report(from, lead);
@@ -413,7 +413,7 @@
     ASSERT_GE(all_gone, 0) << "something is still there";
     EXPECT_LT(all_gone, announced + s.configs[0].cancel_s);
     EXPECT_EQ(state_of(s.call(lead, "GET", "/v2/runs/job-1")), (State{"withdrawn", 0, 0}));
-    EXPECT_EQ(s.state.rows.count("f/job-1"), 1u);
+    EXPECT_EQ(s.state.rows.count("f/job-1"), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ServiceMoves,
