--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -12,8 +12,8 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-Seconds SystemClock::wall() const {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+WallTime SystemClock::wall() const {
+    return {std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count()};
 }
 
 int SystemClock::wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,5 @@
-// Time as the controller sees it. Seconds of a steady clock are used for everything but due times.
+// The two clocks of a controller. All decisions use the steady clock; the wall clock only dates records,
+// which outlive the process whose steady clock they could refer to.
 #pragma once
 #include <cstdint>
 
@@ -6,13 +7,22 @@
 
 namespace hareshore {
 
+// A duration, or a point on the steady clock of this process.
 using Seconds = double;
 
+// A point on the wall clock. A type of its own, so that it cannot be mixed up with steady time.
+struct WallTime {
+    Seconds since_epoch = 0;
+
+    Seconds operator-(WallTime earlier) const { return since_epoch - earlier.since_epoch; }
+    bool operator==(const WallTime&) const = default;
+};
+
 class Clock {
   public:
     virtual ~Clock() = default;
-    virtual Seconds now() const = 0;   // steady
-    virtual Seconds wall() const = 0;  // time of day
+    virtual Seconds now() const = 0;  // steady
+    virtual WallTime wall() const = 0;
     // Waits for events of `epoll_fd` for up to `timeout` seconds (negative: without limit).
     virtual int wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) = 0;
 };
@@ -20,7 +30,7 @@
 class SystemClock : public Clock {
   public:
     Seconds now() const override;
-    Seconds wall() const override;
+    WallTime wall() const override;
     int wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) override;
 };
 
@@ -28,7 +38,7 @@
 class FakeClock : public Clock {
   public:
     Seconds now() const override { return now_; }
-    Seconds wall() const override { return 1.0e9 + now_; }
+    WallTime wall() const override { return {1.0e9 + now_}; }
     int wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) override;
     void advance(Seconds by) { now_ += by; }
 
--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -9,10 +9,10 @@
 // --- limits of the protocol -------------------------------------------------------------------------
 inline constexpr size_t kBodyLimit = size_t{64} * 1024;  // bytes; the protocol's limit for request bodies
 inline constexpr uint32_t kMaxTasks = 100'000;           // tasks per job; the protocol's limit
-inline constexpr int kRentAtMost = 50;                   // machines per rental request; the protocol's limit
-inline constexpr size_t kDeleteAtMost = 100;             // names per deletion request; the protocol's limit
+inline constexpr int kMachinesPerRental = 50;            // machines per rental request; the protocol's limit
+inline constexpr size_t kMachinesPerDeletion = 100;      // names per deletion request; the protocol's limit
 inline constexpr int kListPage = 500;                    // machines per page; the protocol's limit
-inline constexpr size_t kStatePage = 200;          // items per page when records are read at a take-over
+inline constexpr size_t kRecordsPage = 200;        // items per page when records are read at a take-over
 inline constexpr uint64_t kMaxCount = 1ULL << 53;  // largest count that every peer can represent exactly
 
 // --- network ----------------------------------------------------------------------------------------
@@ -64,16 +64,18 @@
 inline constexpr double kDrift = 0.001;      // clock drift allowed for: twice the protocol's 0.05%
 inline constexpr double kWatchWait_s = 3.0;  // one watch; bounds how old "no news" can be
 inline constexpr double kLeadWatch_s = 2.0;  // one watch of the leadership key; also shows that we are served
-inline constexpr double kAlone_s = 5.0;      // unserved this long while a peer is served: not ready
-inline constexpr double kCutOff_s = 10.0;    // without state service and peers this long: not ready
-inline constexpr double kAway_s = 4.0;       // no answer this long, though watches end every 2 s: it is away
+inline constexpr double kStoreRefused_s = 5.0;  // unserved this long while a peer is served: not ready
+inline constexpr double kIsolated_s = 10.0;     // without state service and peers this long: not ready
+inline constexpr double kStoreUnavailable_s =
+    4.0;  // no answer this long, though watches end every 2 s: it is away
 inline constexpr double kRetryPause_s = 0.25;      // pause after a failed call, doubled up to
 inline constexpr double kRetryPauseMax_s = 2.0;    //   this: a service that comes back is not stampeded
 inline constexpr double kElectionSpread_s = 0.25;  // candidates wait up to this so that few collide
-inline constexpr double kTokenSpare = 1e-6;        // tokens of a rate: far below one, far above rounding
-inline constexpr double kLeaderShare = 0.75;       // share of write_rps that the leader uses itself
-inline constexpr size_t kRecordLeast = 1024;  // bytes of value_kb: below, a common job's record does not fit
-inline constexpr size_t kRecordSpare =
+inline constexpr double kTokenRounding = 1e-6;     // tokens of a rate: far below one, far above rounding
+inline constexpr double kLeaderWriteShare = 0.75;  // share of write_rps that the leader uses itself
+inline constexpr size_t kSmallestRecordLimit =
+    1024;  // bytes of value_kb: below, a common job's record does not fit
+inline constexpr size_t kRecordReserve =
     200;  // bytes left free for one more placement on a machine of any name,
           //   so that a job whose record is full goes on one by one
 inline constexpr size_t kMachineDigits = 9;   // digits of a machine's number; more count as part of its name
@@ -95,71 +97,77 @@
            // with; more than are told within cancel_s, and they fit into a frame
 inline constexpr size_t kOutbox = size_t{2} * 1024 * 1024;  // bytes waiting on a link, at least
 inline constexpr size_t kOutboxPerSocket = 1024;            // and a relayed report for each socket
-inline constexpr size_t kCutWitnesses = 2;  // workers that come back before their zone counts as cut
+inline constexpr size_t kPartitionWitnesses = 2;  // workers that come back before their zone counts as cut
 inline constexpr size_t kFrameLimit = size_t{128} * 1024;  // bytes of a frame between controllers
-inline constexpr size_t kPointed = 10'000;                 // workers whose redirection is remembered
+inline constexpr size_t kRedirectionsKept = 10'000;        // workers whose redirection is remembered
 inline constexpr double kRelay_s = 3.0;        // a relayed report must be answered by then (worker: 4 s)
 inline constexpr double kRelayAfter_s = 25.0;  // a worker back this soon after a redirection is relayed
 inline constexpr double kResignQuiet_s =
     7.0;  // a leader that no worker reached for this long resigns if others hear them
-inline constexpr size_t kResignMachines = 3;    // with fewer machines their silence says little
-inline constexpr double kResignOut_s = 30.0;    // and does not stand again for this long
+inline constexpr size_t kResignMachines = 3;        // with fewer machines their silence says little
+inline constexpr double kResignStandDown_s = 30.0;  // and does not stand again for this long
 inline constexpr double kReportWindow_s = 5.0;  // reports of workers are counted over this for the heartbeat
 inline constexpr double kRelayFor_s = 45.0;     // then redirected again, to learn whether the cut is over
 
 // --- workers ----------------------------------------------------------------------------------------
-inline constexpr double kHoldReport_s =
+inline constexpr double kHoldHeartbeat_s =
     3.2;  // an idle worker's report is held; a worker gives up at 4 s (protocol)
 inline constexpr double kHoldRelayed_s = 2.0;   // a relayed one for less: kRelay_s holds for the whole way
 inline constexpr double kPassInterval_s = 0.1;  // between scheduling passes; reports in between share one
 inline constexpr double kHeldPass_s =
     0.25;  // a pass follows so soon while tasks are held for a better machine
-inline constexpr double kPassRest =
+inline constexpr double kPassRestFactor =
     4.0;  // a scheduling pass's time, times this, is left to answers before the next
 inline constexpr double kPassWait_s =
     0.8;  // a report is answered without its scheduling pass if that takes longer
-inline constexpr double kCommitLast_s = 0.4;   // a commit is waited for this much past a hold
-inline constexpr double kCommitWait_s = 1.2;   // an answer waits for its placements' commit
-inline constexpr double kRenewMargin_s = 2.0;  // taken off the renewal right for latency and drift
-inline constexpr size_t kReportPieces = 512;   // tasks in a report that are looked at
-inline constexpr double kCommandCall_s = 2.0;  // a direct command to a worker
-inline constexpr double kFreshReports = 2.0;   // a report older than this many report_s shows no room
+inline constexpr double kCommitLast_s = 0.4;    // a commit is waited for this much past a hold
+inline constexpr double kCommitWait_s = 1.2;    // an answer waits for its placements' commit
+inline constexpr double kRenewMargin_s = 2.0;   // taken off the renewal right for latency and drift
+inline constexpr size_t kHeartbeatTasks = 512;  // tasks in a report that are looked at
+inline constexpr double kCommandCall_s = 2.0;   // a direct command to a worker
+inline constexpr double kFreshHeartbeats =
+    2.0;  // a report older than this many heartbeat_interval_s shows no room
 
 // --- fleet ------------------------------------------------------------------------------------------
 inline constexpr double kCloudShare = 0.7;      // share of the cloud's rate that one controller uses
 inline constexpr double kLeaderSettle_s = 6.0;  // a new leader hears its workers before it rents
 inline constexpr double kFleetTick_s = 1.0;     // interval of the rental decision
-inline constexpr double kStoodStill_s = 1.5;    // a tick later than this: this process stood still
-inline constexpr double kCutPatience = 5.0;     // times lease_s: a zone that is cut off is given so long
-inline constexpr double kLeaseSpare_s = 2.0;    // past its time a lease has surely ended: latency, drift
-inline constexpr double kListEvery_s = 4.0;     // interval of reading the machine list
+inline constexpr double kProcessStall_s = 1.5;  // a tick later than this: this process stood still
+inline constexpr double kPartitionTimeoutLeases =
+    5.0;                                       // times lease_s: a zone that is cut off is given so long
+inline constexpr double kLeaseMargin_s = 2.0;  // past its time a lease has surely ended: latency, drift
+inline constexpr double kListEvery_s = 4.0;    // interval of reading the machine list
 inline constexpr double kMachineTypesEvery_s = 30.0;  // interval of reading the prices
 inline constexpr double kCloudCall_s = 6.0;           // a cloud call; answers take some 250 ms
-inline constexpr size_t kGone = 20'000;        // deleted machines that are remembered, against late reports
-inline constexpr double kNoCapacity_s = 12.0;  // a refused kind is not asked for again before this
-inline constexpr double kQuietReports = 2.2;   // after this many missed report_s a machine counts as quiet
-inline constexpr double kDetour_s = 5.0;  // a worker gives a node up after 4 s and asks the next 1 s later
-inline constexpr double kBootPatience = 3.0;  // times boot_s before a booting machine is given up
-inline constexpr double kBootExtra_s = 20.0;  // added to it: lists lag
-inline constexpr double kSaveSpare_s = 3.0;   // added to the time a task needs to save
-inline constexpr double kSkipSavingShare =
+inline constexpr size_t kDeletedMachinesKept =
+    20'000;  // deleted machines that are remembered, against late reports
+inline constexpr double kNoCapacityRetry_s = 12.0;  // a refused kind is not asked for again before this
+inline constexpr double kSilentAfterHeartbeats =
+    2.2;  // after this many missed heartbeat_interval_s a machine counts as quiet
+inline constexpr double kRetryOtherController_s =
+    5.0;  // a worker gives a node up after 4 s and asks the next 1 s later
+inline constexpr double kBootTimeoutFactor = 3.0;    // times boot_s before a booting machine is given up
+inline constexpr double kBootTimeoutExtra_s = 20.0;  // added to it: lists lag
+inline constexpr double kCheckpointMargin_s = 3.0;   // added to the time a task needs to save
+inline constexpr double kSkipCheckpointShare =
     4.0;  // stopped without saving if checkpoints come within this many saves
 inline constexpr double kOverdueShare =
     0.25;  // an overdue task is expected to take this share of its time again
-inline constexpr double kNoPlace_s = 3600.0;  // "not in sight" for places that nothing is known to free
-inline constexpr double kCalmIdle_s = 6.0;    // in a calm an idle machine is returned after two reports
-inline constexpr double kClaimFetch_s =
-    3.0;                                     // room is made for an image that takes longer than this to fetch
-inline constexpr double kClaimWait_s = 4.0;  // and waited for this long
-inline constexpr double kStartLead_s = 8.0;  // from a binding to the start: launch and a common image's fetch
+inline constexpr double kNoExpectedEnd_s = 3600.0;  // "not in sight" for places that nothing is known to free
+inline constexpr double kCalmIdle_s = 6.0;          // in a calm an idle machine is returned after two reports
+inline constexpr double kImagePreemptionFetch_s =
+    3.0;  // room is made for an image that takes longer than this to fetch
+inline constexpr double kImagePreemptionWait_s = 4.0;  // and waited for this long
+inline constexpr double kStartLatency_s =
+    8.0;  // from a binding to the start: launch and a common image's fetch
 inline constexpr double kStartCounts_s =
     30.0;  // a task stopped sooner after its start does not count as started
 inline constexpr double kLateShare =
     0.7;  // a job with less than this share of its estimate left will be late
-inline constexpr int kUnheardLaunches = 3;    // launches without effect that show a machine hears nothing
-inline constexpr double kMoveAfter_s = 35.0;  // a task is not moved before it ran this long
-inline constexpr double kMoveWorth_s = 40.0;  // nor when it is expected to end within this
-inline constexpr int kMachineErrors = 2;      // failed tasks of different jobs that condemn a machine
+inline constexpr int kUnansweredLaunches = 3;     // launches without effect that show a machine hears nothing
+inline constexpr double kMoveAfter_s = 35.0;      // a task is not moved before it ran this long
+inline constexpr double kMoveWorth_s = 40.0;      // nor when it is expected to end within this
+inline constexpr int kCordonAfterFailedJobs = 2;  // failed tasks of different jobs that condemn a machine
 inline constexpr double kStragglerFactor =
     2.5;  // a task that runs this many times as long as others of its job straggles
 inline constexpr double kStragglerLeast_s = 20.0;  // but not before it ran this long
@@ -167,7 +175,7 @@
     3;                                            // finished tasks of the same job that are needed to tell
 inline constexpr size_t kStragglerTasks = 2;      // straggling tasks that condemn a machine
 inline constexpr size_t kRoomJobs = 32;           // waiting jobs for which room is sought in one step
-inline constexpr int kJobMachines = 3;            // machines a job fails on before the job is blamed
+inline constexpr int kFailingAfterMachines = 3;   // machines a job fails on before the job is blamed
 inline constexpr double kJobBackoff_s = 10.0;     // first pause of a blamed job, doubled up to
 inline constexpr double kJobBackoffMax_s = 60.0;  //   this: a job must not wait 90 s beside room
 
@@ -185,6 +193,6 @@
                                                 // the time that the fetch takes
 
 // --- operator page ----------------------------------------------------------------------------------
-inline constexpr double kWhyLog_s = 15.0;  // a waiting job's reason is logged at most this often
+inline constexpr double kWaitLogInterval_s = 15.0;  // a waiting job's reason is logged at most this often
 
 }  // namespace hareshore::constants
--- a/src/base/bucket.h
+++ b/src/base/token_bucket.h
@@ -7,9 +7,9 @@
 
 namespace hareshore {
 
-class Bucket {
+class TokenBucket {
   public:
-    Bucket(double rate, double burst) : rate_(rate), burst_(burst), left_(burst) {}
+    TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), left_(burst) {}
     double left(Seconds now) {
         refill(now);
         return left_;
@@ -17,7 +17,7 @@
     // Takes n if there are as many.
     bool take(double n, Seconds now) {
         refill(now);
-        if (left_ + constants::kTokenSpare < n) return false;
+        if (left_ + constants::kTokenRounding < n) return false;
         left_ -= n;
         return true;
     }
@@ -25,8 +25,9 @@
     Seconds until(double n, Seconds now) {
         refill(now);
         // What rounding leaves out of a token is no reason to wait: so short a wait would not move the clock.
-        return left_ + constants::kTokenSpare >= std::min(n, burst_) ? 0
-                                                                     : (std::min(n, burst_) - left_) / rate_;
+        return left_ + constants::kTokenRounding >= std::min(n, burst_)
+                   ? 0
+                   : (std::min(n, burst_) - left_) / rate_;
     }
     // The peer says that the limit is exceeded: what was thought to be left is not there.
     void drain(Seconds now) {
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <vector>
 
-#include "base/bucket.h"
+#include "base/token_bucket.h"
 #include "http/client.h"
 
 namespace hareshore {
@@ -53,7 +53,7 @@
     Task<Answer> call(std::string method, std::string path, std::string body);
     Loop& loop_;
     HttpClient http_;
-    Bucket bucket_;
+    TokenBucket bucket_;
 };
 
 }  // namespace hareshore
--- a/src/config/config.cc
+++ b/src/config/config.cc
@@ -102,7 +102,7 @@
             if (!fresh) it->second = std::min(it->second, within);
         }
     }
-    c.report_s = pos("facts.workers.report_s");
+    c.heartbeat_interval_s = pos("facts.workers.report_s");
     c.lease_s = pos("facts.workers.lease_s");
     c.gang_wait_s = pos("facts.workers.gang_wait_s");
     c.gang_peer_s = pos("facts.workers.gang_peer_s");
@@ -117,7 +117,7 @@
         constexpr double kMost = 1e9;
         if (next["value_kb"])
             c.next_value_bytes = static_cast<size_t>(number(next["value_kb"], "facts.state.next.value_kb",
-                                                            constants::kRecordLeast / 1024.0, kMost) *
+                                                            constants::kSmallestRecordLimit / 1024.0, kMost) *
                                                      1024);
         if (next["txn_ops"])
             c.txn_ops = std::min(
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -33,7 +33,7 @@
     std::vector<std::string> zones;
     std::vector<Team> teams;
     Seconds skew_s = 0;
-    Seconds report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
+    Seconds heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
     double state_rps = 0, write_rps = 0;
     size_t value_bytes = 0, txn_ops = 0;
     // The state service will lower its limits at some moment after an upgrade, without notice
--- a/src/node.cc
+++ b/src/controller/controller.cc
@@ -1,4 +1,6 @@
-#include "node.h"
+#include "controller/controller.h"
+
+#include <fmt/format.h>
 
 #include <algorithm>
 
@@ -44,12 +46,12 @@
       users_(loop, config, state_, machine_types_, record_format_,
              [this](const std::string& id) {
                  peers_.announce_cancellation(id);
-                 note_cancellation(id);
+                 observe_cancellation(id);
              }),
       peers_(
           loop, config, [this] { return heartbeat(); },
           [this](std::string body) { return relayed(std::move(body)); },
-          [this](const std::string& id) { note_cancellation(id); }),
+          [this](const std::string& id) { observe_cancellation(id); }),
       server_(loop, config.listen, connection_limit(config),
               [this](Request r) { return handle(std::move(r)); }),
       scope_(loop) {
@@ -75,17 +77,16 @@
 peer::Heartbeat Controller::heartbeat() const {
     peer::Heartbeat b{};
     peer::set_label(b, config_.label);
-    b.epoch = election_.leading() ? election_.epoch() : election_.known_epoch();
+    b.fencing_token = election_.leading() ? election_.fencing_token() : election_.known_fencing_token();
     b.leads = election_.leading();
     b.ready = ready();
     auto ms = [&](Seconds since) {
         return static_cast<uint32_t>(std::clamp((loop_.now() - since) * 1000, 0.0, 4e9));
     };
-    b.reports_received =
-        static_cast<uint16_t>(std::count_if(report_times_.begin(), report_times_.end(), [&](Seconds t) {
-            return loop_.now() - t < constants::kReportWindow_s;
-        }));
-    b.state_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
+    b.worker_heartbeats_received = static_cast<uint16_t>(
+        std::count_if(worker_heartbeat_times_.begin(), worker_heartbeat_times_.end(),
+                      [&](Seconds t) { return loop_.now() - t < constants::kReportWindow_s; }));
+    b.store_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
     b.quiet_ms = ms(users_.last_cancellation());
     return b;
 }
@@ -104,8 +105,8 @@
 
 // A user is being told, here or by a peer, that the job is cancelled. Without a leader there is nothing to
 // do: one that begins later reads the records after this, and finds it there.
-void Controller::note_cancellation(const std::string& id) {
-    if (leader_) leader_->note_cancellation(id);
+void Controller::observe_cancellation(const std::string& id) {
+    if (leader_) leader_->observe_cancellation(id);
 }
 
 bool Controller::all_upgraded() const {
@@ -117,7 +118,8 @@
 bool Controller::no_other_leader() const {
     if (!election_.leading()) return false;
     for (const auto& p : peers_.peers())
-        if (loop_.now() - p.answered >= constants::kHeartbeatFresh_s || p.heartbeat.epoch > election_.epoch())
+        if (loop_.now() - p.answered >= constants::kHeartbeatFresh_s ||
+            p.heartbeat.fencing_token > election_.fencing_token())
             return false;
     return true;
 }
@@ -132,18 +134,19 @@
         if (age < 2 * constants::kHeartbeat_s) return false;
     } else {
         if (machine_types_.empty()) return false;
-        if (age < constants::kAlone_s) return true;
+        if (age < constants::kStoreRefused_s) return true;
     }
     // In an outage for all, users are better answered than turned away; refused alone, others serve them.
     bool company = peers_.peers().empty();
     for (const auto& p : peers_.peers()) {
         if (loop_.now() - p.heard >= constants::kHeartbeatFresh_s) continue;
         company = true;
-        if (p.heartbeat.ready && p.heartbeat.state_age_ms < constants::kAlone_s * 1000 / 2) return false;
+        if (p.heartbeat.ready && p.heartbeat.store_age_ms < constants::kStoreRefused_s * 1000 / 2)
+            return false;
     }
     // Without the state service and all peers this node is more likely cut off than they are all down:
     // a user who stays with it would ask in vain until the cut ends.
-    return company || age < constants::kCutOff_s;
+    return company || age < constants::kIsolated_s;
 }
 
 Task<void> Controller::follow_election() {
@@ -153,22 +156,26 @@
             if (loop_.now() - p.heard < constants::kHeartbeatFresh_s)
                 // One that does not lead confirms for the term all the same: the new leader itself may be
                 // behind a cut from here.
-                election_.heard(p.heartbeat.leads ? p.who.label : "", p.heartbeat.epoch);
-        resign_if_cut_off();
-        if (leader_ && (!election_.leading() || leader_->epoch() != election_.epoch())) {
+                election_.heard(p.heartbeat.leads ? p.who.label : "", p.heartbeat.fencing_token);
+        resign_if_isolated();
+        if (leader_ && (!election_.leading() || leader_->fencing_token() != election_.fencing_token())) {
             leader_->stop();
             leader_.reset();
         }
         if (!leader_ && election_.leading()) {
-            Leader::Term term{election_.epoch(), election_.mod_revision(), kLeaderKey};
-            uint64_t epoch = election_.epoch();
+            Leader::Term term{election_.fencing_token(), election_.mod_revision(), kLeaderKey};
+            uint64_t fencing_token = election_.fencing_token();
             leader_ = std::make_shared<Leader>(
                 loop_, config_, settings_, state_, cloud_, term, machine_types_,
                 [this](Seconds since) { return cancellations_known_until(since); },
-                [this, epoch] { return election_.epoch() == epoch && election_.confirmed(); },
-                [this, epoch] { return election_.epoch() == epoch && no_other_leader(); },
-                [this, epoch](const char* why) {
-                    if (election_.epoch() == epoch) election_.deposed(why);
+                [this, fencing_token] {
+                    return election_.fencing_token() == fencing_token && election_.confirmed();
+                },
+                [this, fencing_token] {
+                    return election_.fencing_token() == fencing_token && no_other_leader();
+                },
+                [this, fencing_token](const char* why) {
+                    if (election_.fencing_token() == fencing_token) election_.deposed(why);
                 },
                 record_format_, [this] { return all_upgraded(); });
             leader_->start();
@@ -177,16 +184,18 @@
 }
 
 // A leader that keeps the state service but hears no worker, while others hear them, is cut off from them.
-void Controller::resign_if_cut_off() {
+void Controller::resign_if_isolated() {
     if (!leader_ || !election_.leading() || leader_->loaded_for() < constants::kResignQuiet_s) return;
-    if (leader_->machines_reported() < constants::kResignMachines) return;
-    if (!report_times_.empty() && loop_.now() - report_times_.back() < constants::kResignQuiet_s) return;
+    if (leader_->machines_seen() < constants::kResignMachines) return;
+    if (!worker_heartbeat_times_.empty() &&
+        loop_.now() - worker_heartbeat_times_.back() < constants::kResignQuiet_s)
+        return;
     for (const auto& p : peers_.peers()) {
         if (loop_.now() - p.heard > constants::kHeartbeatFresh_s ||
-            p.heartbeat.reports_received < constants::kResignMachines)
+            p.heartbeat.worker_heartbeats_received < constants::kResignMachines)
             continue;
-        log::info("no worker reaches this node, but {} hears them", p.who.label);
-        election_.resign(constants::kResignOut_s);
+        log::info("resigning", {{"reason", "no_worker_reaches_this_node"}, {"peer", p.who.label}});
+        election_.resign(constants::kResignStandDown_s);
         return;
     }
 }
@@ -196,7 +205,7 @@
     // Later changes of prices concern only the leader, which reads them itself.
     while (machine_types_.empty()) {
         GetResult kept = co_await state_.get(kMachineTypesKey, constants::kStateCall_s);
-        if (kept.reply == Reply::kOk) {
+        if (kept.status == StoreStatus::kOk) {
             if (auto f = Cloud::unpack_machine_types(kept.entry.data)) machine_types_ = std::move(*f);
         }
         if (!machine_types_.empty()) break;
@@ -212,37 +221,37 @@
         co_await learn_record_format(state_, record_format_);
         if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
-    if (record_format_.newer()) election_.bar();
+    if (record_format_.newer()) election_.stop_standing();
 }
 
-Task<Response> Controller::handle_report(std::string body) {
-    auto report = Report::parse(body);
+Task<Response> Controller::handle_heartbeat(std::string body) {
+    auto report = WorkerHeartbeat::parse(body);
     if (!report) co_return status(400);
-    const ReportHead seen = report->head();  // the report itself is passed on
-    report_times_.push_back(loop_.now());
-    while (report_times_.size() > constants::kPointed ||
-           loop_.now() - report_times_.front() > constants::kReportWindow_s)
-        report_times_.pop_front();
+    const HeartbeatHeader seen = report->head();  // the report itself is passed on
+    worker_heartbeat_times_.push_back(loop_.now());
+    while (worker_heartbeat_times_.size() > constants::kRedirectionsKept ||
+           loop_.now() - worker_heartbeat_times_.front() > constants::kReportWindow_s)
+        worker_heartbeat_times_.pop_front();
     if (auto leader = leader_) {
-        Response r = co_await leader->handle_report(std::move(*report), constants::kHoldReport_s, true);
+        Response r = co_await leader->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
         if (r.status == 200) co_return r;
         if (leader_ == leader && election_.leading()) co_return r;
     }
     const std::string& to = election_.leader();
     if (to.empty() || to == config_.label)
         co_return Response{421, pack_redirect(""), 0, "application/msgpack"};
-    if (pointed_.size() > constants::kPointed) pointed_.clear();
-    Pointed& p = pointed_[seen.machine];
+    if (redirections_.size() > constants::kRedirectionsKept) redirections_.clear();
+    Redirection& p = redirections_[seen.machine];
     Seconds now = loop_.now();
     // A copy of the report that was pointed, or of an older one, does not show that its sender came back.
-    bool newer = seen.newer_than(p.session, p.seq);
+    bool newer = seen.newer_than(p.incarnation, p.sequence);
     bool back = p.leader == to && now - p.at < constants::kRelayAfter_s && newer;
     if (newer) {
-        p.session = seen.session;
-        p.seq = seen.seq;
+        p.incarnation = seen.incarnation;
+        p.sequence = seen.sequence;
     }
-    if (came_back_.size() > constants::kPointed) came_back_.clear();
-    if (back && p.relayed_since < 0) came_back_[seen.zone][seen.machine] = now;
+    if (returned_workers_.size() > constants::kRedirectionsKept) returned_workers_.clear();
+    if (back && p.relayed_since < 0) returned_workers_[seen.zone][seen.machine] = now;
     // Workers of a zone cut off from the leader are passed on without being pointed there first.
     back = back || (newer && zone_cut(seen.zone));
     if (back && (p.relayed_since < 0 || now - p.relayed_since < constants::kRelayFor_s)) {
@@ -261,23 +270,23 @@
 }
 
 bool Controller::zone_cut(const std::string& zone) {
-    auto& back = came_back_[zone];
+    auto& back = returned_workers_[zone];
     // As far as the first recent ones: asked for each report, a look at all workers of a large zone would
     // cost the square of their number.
     size_t recent = 0;
-    for (auto it = back.begin(); it != back.end() && recent < constants::kCutWitnesses;) {
+    for (auto it = back.begin(); it != back.end() && recent < constants::kPartitionWitnesses;) {
         bool old = loop_.now() - it->second > constants::kRelayAfter_s;
         if (!old) ++recent;
         it = old ? back.erase(it) : std::next(it);
     }
-    return recent >= constants::kCutWitnesses;
+    return recent >= constants::kPartitionWitnesses;
 }
 
 Task<Response> Controller::relayed(std::string body) {
-    auto report = Report::parse(body);
+    auto report = WorkerHeartbeat::parse(body);
     auto leader = leader_;
     if (!report || !leader) co_return status(421);
-    co_return co_await leader->handle_report(std::move(*report), constants::kHoldRelayed_s, false);
+    co_return co_await leader->handle_heartbeat(std::move(*report), constants::kHoldRelayed_s, false);
 }
 
 Response Controller::operator_page(const std::string& path) {
@@ -288,9 +297,9 @@
     } else if (path == "/operator/machines" && leader_) {
         r.body = leader_->machines_page();
     } else {
-        r.body =
-            fmt::format("{} leader {} epoch {}\n", config_.label,
-                        election_.leader().empty() ? "unknown" : election_.leader(), election_.known_epoch());
+        r.body = fmt::format("{} leader {} epoch {}\n", config_.label,
+                             election_.leader().empty() ? "unknown" : election_.leader(),
+                             election_.known_fencing_token());
     }
     return r;
 }
@@ -301,7 +310,7 @@
         // Its worker has given up and asks another node. A controller that has fallen so far behind would
         // else spend its share on answers that nobody reads, and never catch up.
         if (request.abandoned) co_return status(503);
-        co_return co_await handle_report(std::move(request.body));
+        co_return co_await handle_heartbeat(std::move(request.body));
     }
     if (request.path == "/ready") {
         if (request.method != "GET") co_return status(405);
--- a/src/node.h
+++ b/src/controller/controller.h
@@ -23,14 +23,14 @@
     Task<void> follow_election();
     Task<void> learn_machine_types();
     Task<void> follow_record_format();
-    Task<Response> handle_report(std::string body);
+    Task<Response> handle_heartbeat(std::string body);
     Task<Response> relayed(std::string body);
     Response operator_page(const std::string& path);
     bool ready() const;
-    void resign_if_cut_off();
+    void resign_if_isolated();
     peer::Heartbeat heartbeat() const;
     Seconds cancellations_known_until(Seconds since) const;
-    void note_cancellation(const std::string& id);
+    void observe_cancellation(const std::string& id);
     // Whether every peer has said that it knows the formats of this version.
     bool all_upgraded() const;
     bool no_other_leader() const;
@@ -39,7 +39,7 @@
     const Config& config_;
     const Settings& settings_;
     Seconds started_;
-    StateService state_;
+    StoreClient state_;
     Cloud cloud_;
     Election election_;
     std::vector<MachineType> machine_types_;
@@ -47,17 +47,18 @@
     UserService users_;
     std::shared_ptr<Leader> leader_;
     // When a worker was pointed to which leader: one that comes back could not reach it.
-    struct Pointed {
+    struct Redirection {
         std::string leader;
         Seconds at = 0;
         Seconds relayed_since = -1;
-        uint64_t session = 0, seq = 0;  // the report that was pointed: a late copy of it shows nothing
+        uint64_t incarnation = 0,
+                 sequence = 0;  // the report that was pointed: a late copy of it shows nothing
     };
-    std::unordered_map<std::string, Pointed> pointed_;
+    std::unordered_map<std::string, Redirection> redirections_;
     // Of each zone the workers that came back of late. One may be deaf; several speak for the others.
-    std::map<std::string, std::map<std::string, Seconds>> came_back_;
+    std::map<std::string, std::map<std::string, Seconds>> returned_workers_;
     bool zone_cut(const std::string& zone);
-    std::deque<Seconds> report_times_;  // when workers' reports came
+    std::deque<Seconds> worker_heartbeat_times_;  // when workers' reports came
     Peers peers_;
     HttpServer server_;
     Scope scope_;
--- a/src/fleet/plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -1,4 +1,4 @@
-#include "fleet/plan.h"
+#include "fleet/scaling_plan.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,30 +13,30 @@
 // A machine as the plan sees it: there, on its way, or to be rented.
 struct Slot {
     const Machine* machine = nullptr;  // null: not rented yet, or only ordered
-    Kind kind;
-    Amount free;
-    Amount whole;
-    Amount soon;         // expected to come free before a machine rented now would be up
+    MachineKind kind;
+    Resources free;
+    Resources whole;
+    Resources soon;      // expected to come free before a machine rented now would be up
     bool fresh = false;  // to be rented by this plan
     bool used = false;   // waiting work was put on it
 };
 
 class Planner {
   public:
-    Planner(const Cluster& c, const JobTable& j, const FleetInput& in) : cluster_(c), jobs_(j), in_(in) {}
+    Planner(const Cluster& c, const JobTable& j, const ScalingInput& in) : cluster_(c), jobs_(j), in_(in) {}
 
-    FleetPlan run() {
+    ScalingPlan run() {
         judge();
         collect();
         SchedulerInput m{in_.config, in_.settings, in_.now, {}};
-        auto queue = queue_order(jobs_, m, entitled_jobs(in_.config, jobs_));
+        auto queue = queue_order(jobs_, m, jobs_within_guarantee(in_.config, jobs_));
         least_ = least_of(queue);
         for (size_t i = 0; i < slots_.size(); ++i) open_.push_back(i);
         for (const auto& q : queue) cover(*q.job);
         reserve();
         give_back_idle();
         consolidate();
-        std::map<Kind, int> wanted;
+        std::map<MachineKind, int> wanted;
         for (const auto& s : slots_)
             if (s.fresh) ++wanted[s.kind];
         for (const auto& [kind, n] : wanted) plan_.rent.push_back({kind, n});
@@ -44,8 +44,8 @@
     }
 
   private:
-    void give_back(const Machine& h, std::string why, bool silent = false) {
-        plan_.give_back.push_back(h.name);
+    void scale_in(const Machine& h, std::string why, bool silent = false) {
+        plan_.scale_in.push_back(h.name);
         if (silent) plan_.silent.insert(h.name);
         plan_.reasons[h.name] = std::move(why);
     }
@@ -58,29 +58,30 @@
             if (h->deleting) continue;
             const MachineType* f = cluster_.machine_type(h->machine_type);
             bool cut = plan_.cut.contains(h->zone);
-            Seconds patience = cut ? constants::kCutPatience * in_.config.lease_s : silent_after();
+            Seconds patience = cut ? constants::kPartitionTimeoutLeases * in_.config.lease_s : silent_after();
             if (h->phase == MachinePhase::kFailed) {
-                give_back(*h, "it failed");
+                scale_in(*h, "it failed");
             } else if (h->phase == MachinePhase::kRunning && h->reported && !h->holding &&
                        quiet(*h) > patience) {
-                give_back(*h, "it is unreachable", true);
+                scale_in(*h, "it is unreachable", true);
             } else if (h->phase == MachinePhase::kRunning && !h->reported &&
                        quiet(*h) > patience + (cut ? 0 : in_.config.lease_s)) {
-                give_back(*h, "it never reported", true);
+                scale_in(*h, "it never reported", true);
             } else if (h->phase == MachinePhase::kBooting && f &&
-                       in_.now - h->born > constants::kBootPatience * f->boot_s + constants::kBootExtra_s &&
+                       in_.now - h->created_at >
+                           constants::kBootTimeoutFactor * f->boot_s + constants::kBootTimeoutExtra_s &&
                        quiet(*h) > silent_after()) {
-                give_back(*h, "it does not come up", true);
+                scale_in(*h, "it does not come up", true);
             } else if (h->phase == MachinePhase::kBooting && !f &&
                        quiet(*h) > patience + in_.config.lease_s) {
-                give_back(*h, "nothing is known of it",
-                          true);  // a record names it, the cloud does not list it
-            } else if (h->unheard_since >= 0 && in_.now - h->unheard_since > unheard_patience(cut)) {
-                give_back(*h, "its reports arrive, but it does not hear their answers");
-            } else if (h->emptying && h->idle()) {
-                give_back(*h, "its work was moved");
-            } else if (h->condemned && h->idle()) {
-                give_back(*h, h->why_condemned);
+                scale_in(*h, "nothing is known of it",
+                         true);  // a record names it, the cloud does not list it
+            } else if (h->unreachable_since && in_.now - *h->unreachable_since > unheard_patience(cut)) {
+                scale_in(*h, "its reports arrive, but it does not hear their answers");
+            } else if (h->draining && h->idle()) {
+                scale_in(*h, "its work was moved");
+            } else if (h->cordoned && h->idle()) {
+                scale_in(*h, h->cordon_reason);
             }
         }
     }
@@ -90,11 +91,11 @@
     Seconds quiet(const Machine& h) const {
         auto cut = in_.cut_at.find(h.zone);
         Seconds since = cut == in_.cut_at.end() || plan_.cut.contains(h.zone) ? -1e9 : cut->second;
-        return in_.now - std::max({h.last_report, in_.leading_since, since});
+        return in_.now - std::max({h.last_heartbeat, in_.leading_since, since});
     }
 
     bool late(const Machine& h) const {
-        return !h.holding && quiet(h) > constants::kQuietReports * in_.config.report_s;
+        return !h.holding && quiet(h) > constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s;
     }
 
     // When most of a zone's machines are quiet at once, the zone is likely cut off from this controller: they
@@ -109,7 +110,7 @@
             if (!up || h->phase == MachinePhase::kFailed) continue;
             auto& [quiet, known] = zones[h->zone];
             ++known;
-            if (late(*h) || h->unheard_since >= 0) ++quiet;
+            if (late(*h) || h->unreachable_since) ++quiet;
         }
         for (const auto& [zone, n] : zones)
             if (n.first >= 3 && n.first * 2 > n.second) plan_.cut.insert(zone);
@@ -117,14 +118,15 @@
 
     // A worker silent this long is unreachable: reports are missing, not only on a detour to another node.
     Seconds silent_after() const {
-        return constants::kQuietReports * in_.config.report_s + constants::kDetour_s;
+        return constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s +
+               constants::kRetryOtherController_s;
     }
 
     // What runs on such a machine ends with its lease; then nothing is lost by returning it.
     Seconds unheard_patience(bool cut) const { return (cut ? 2 : 1) * in_.config.lease_s; }
 
     bool leaving(const Machine& h) const {
-        return h.deleting || h.condemned || h.emptying || h.leaves_at >= 0 || plan_.reasons.contains(h.name);
+        return h.deleting || h.cordoned || h.draining || h.spot_reclaim_at || plan_.reasons.contains(h.name);
     }
 
     void collect() {
@@ -134,7 +136,7 @@
             // A report from before this epoch may be a late copy, even of a machine long deleted: until the
             // machine takes up the epoch or the cloud lists it, it is no room to count on.
             if (h->reported && !h->current && !h->listed) continue;
-            if (h->unheard_since >= 0) continue;
+            if (h->unreachable_since) continue;
             if (plan_.cut.contains(h->zone) && late(*h)) continue;
             Slot s;
             s.machine = h.get();
@@ -143,10 +145,10 @@
             s.free = h->free;
             for (const auto& [j, task, placement] : jobs_.on_machine(name)) {
                 const Placement& p = *placement;
-                if (!j->spec.service() && p.running_since >= 0 &&
-                    p.running_since + j->spec.estimate_s < in_.now + f->boot_s &&
-                    in_.now - p.running_since < 2 * j->spec.estimate_s)
-                    s.soon += Amount::of(j->spec);
+                if (!j->spec.service() && p.running_since &&
+                    *p.running_since + j->spec.estimate_s < in_.now + f->boot_s &&
+                    in_.now - *p.running_since < 2 * j->spec.estimate_s)
+                    s.soon += Resources::of(j->spec);
             }
             slots_.push_back(s);
             ++in_zone_[h->zone];
@@ -155,7 +157,7 @@
             for (int i = 0; i < r.number; ++i) add(r.kind, false);
     }
 
-    bool add(const Kind& kind, bool fresh) {
+    bool add(const MachineKind& kind, bool fresh) {
         const MachineType* f = cluster_.machine_type(kind.machine_type);
         if (!f) return false;
         int most = in_.settings.max_machines;
@@ -175,25 +177,25 @@
     // The cloud's capacity bounds a fleet; the requests on their way are bounded by what it can be asked for
     // in a second, however many tasks wait.
     size_t most_ordered() const {
-        return constants::kRentAtMost * static_cast<size_t>(std::max(1.0, in_.config.cloud_rps));
+        return constants::kMachinesPerRental * static_cast<size_t>(std::max(1.0, in_.config.cloud_rps));
     }
 
-    bool refused(const Kind& k) const {
+    bool refused(const MachineKind& k) const {
         if (plan_.cut.contains(k.zone)) return true;
         auto it = in_.refused_until.find(k);
         return it != in_.refused_until.end() && in_.now < it->second;
     }
 
     // Kinds that the job may run on, cheapest for its tasks first.
-    std::vector<Kind> kinds(const JobSpec& s) const {
-        std::vector<std::tuple<double, int, Kind>> out;
+    std::vector<MachineKind> kinds(const JobSpec& s) const {
+        std::vector<std::tuple<double, int, MachineKind>> out;
         for (const auto& f : cluster_.machine_types) {
-            Amount whole{f.cpus, f.gpus, f.memory_gb};
+            Resources whole{f.cpus, f.gpus, f.memory_gb};
             uint32_t k = whole.fits(s, constants::kMaxTasks);
             if (k == 0) continue;
             for (const auto& z : f.zones)
                 for (bool spot : {true, false}) {
-                    Kind kind{f.name, z, spot};
+                    MachineKind kind{f.name, z, spot};
                     if (!s.allows(f.name, z, spot) || refused(kind)) continue;
                     auto n = in_zone_.find(z);
                     out.emplace_back((spot ? f.spot_price : f.price) / k, n == in_zone_.end() ? 0 : n->second,
@@ -201,15 +203,15 @@
                 }
         }
         std::sort(out.begin(), out.end());
-        std::vector<Kind> list;
+        std::vector<MachineKind> list;
         list.reserve(out.size());
         for (auto& [price, n, kind] : out) list.push_back(kind);
         return list;
     }
 
-    static uint32_t put(Slot& s, const JobSpec& spec, uint32_t n, Amount Slot::*of = &Slot::free) {
+    static uint32_t put(Slot& s, const JobSpec& spec, uint32_t n, Resources Slot::*of = &Slot::free) {
         uint32_t k = (s.*of).fits(spec, n);
-        for (uint32_t i = 0; i < k; ++i) s.*of -= Amount::of(spec);
+        for (uint32_t i = 0; i < k; ++i) s.*of -= Resources::of(spec);
         if (k > 0) s.used = true;
         return k;
     }
@@ -229,7 +231,7 @@
         }
         if (!cluster_.within_limit(in_.config, s, n)) return;
         if (s.gang() && !job.live.empty()) return;
-        if (!s.one_zone || (s.tasks == 1)) {
+        if (!s.single_zone || (s.tasks == 1)) {
             // What must be apart counts on no more of a zone than it may use.
             ZoneRule rule(job);
             auto put_apart = [&](Slot& x) {
@@ -247,7 +249,7 @@
                     if (Slot& x = slots_[i];
                         n > 0 && x.machine && s.allows(x.kind.machine_type, x.kind.zone, x.kind.spot))
                         n -= put(x, s, n, &Slot::soon);
-            for (const Kind& kind : kinds(s)) {
+            for (const MachineKind& kind : kinds(s)) {
                 while (n > 0 && rule.room(kind.zone) > 0 && add(kind, true)) put_apart(slots_.back());
             }
             return;
@@ -270,8 +272,8 @@
                     x.kind.zone == zone && s.allows(x.kind.machine_type, zone, x.kind.spot))
                     have += x.free.fits(s, n);
             uint32_t lack = have >= n ? 0 : n - have;
-            bool rentable =
-                std::any_of(options.begin(), options.end(), [&](const Kind& k) { return k.zone == zone; });
+            bool rentable = std::any_of(options.begin(), options.end(),
+                                        [&](const MachineKind& k) { return k.zone == zone; });
             if (lack > 0 && !rentable) continue;
             if (lack < best_lack) {
                 best = zone;
@@ -283,7 +285,7 @@
             if (Slot& x = slots_[i];
                 n > 0 && x.kind.zone == best && s.allows(x.kind.machine_type, best, x.kind.spot))
                 n -= put(x, s, n);
-        for (const Kind& kind : options) {
+        for (const MachineKind& kind : options) {
             if (kind.zone != best) continue;
             while (n > 0 && add(kind, true)) n -= put(slots_.back(), s, n);
         }
@@ -302,7 +304,7 @@
             for (const MachineType& f : cluster_.machine_types) {
                 if (std::find(f.zones.begin(), f.zones.end(), zone) == f.zones.end()) continue;
                 for (bool spot : {true, false}) {
-                    Kind kind{f.name, zone, spot};
+                    MachineKind kind{f.name, zone, spot};
                     if ((spot && !in_.spot_allowed) || refused(kind)) continue;
                     while (lack > 0 && add(kind, true)) --lack;
                 }
@@ -325,8 +327,11 @@
             Seconds patience = calm() ? constants::kCalmIdle_s : in_.settings.idle_return_s;
             for (const Slot* s : idle) {
                 if (spare <= 0) break;
-                if (in_.now - std::max(s->machine->idle_since, in_.leading_since) < patience) continue;
-                give_back(*s->machine, "it was idle");
+                if (in_.now -
+                        std::max(s->machine->idle_since.value_or(in_.leading_since), in_.leading_since) <
+                    patience)
+                    continue;
+                scale_in(*s->machine, "it was idle");
                 --spare;
             }
         }
@@ -335,18 +340,18 @@
     // Whether a machine's work can be moved at little cost: everything on it can save, has run for a while
     // and is expected to go on for longer than the move takes.
     bool movable(const Machine& h) const {
-        if (h.placed == 0 || !h.usable) return false;
+        if (h.placed_tasks == 0 || !h.schedulable) return false;
         size_t tasks = 0;
         for (const auto& [j, task, placement] : jobs_.on_machine(h.name)) {
             const Placement& p = *placement;
             if (j->spec.gang() && j->spec.tasks > 1) return false;
-            if (j->spec.checkpoint_s <= 0 || p.stopping || p.running_since < 0) return false;
-            Seconds ran = in_.now - p.running_since;
+            if (j->spec.checkpoint_s <= 0 || p.stopping || !p.running_since) return false;
+            Seconds ran = in_.now - *p.running_since;
             if (ran < constants::kMoveAfter_s || j->spec.estimate_s - ran < constants::kMoveWorth_s)
                 return false;
             ++tasks;
         }
-        return tasks == h.placed;
+        return tasks == h.placed_tasks;
     }
 
     // No job has come for a while: what is idle now is not likely to be needed soon.
@@ -359,7 +364,7 @@
         for (const auto& [id, j] : jobs_.all())
             if (j->waiting()) return;
         for (const auto& [name, h] : cluster_.machines)
-            if (h->emptying) return;  // one at a time
+            if (h->draining) return;  // one at a time
         std::vector<const Slot*> from;
         for (const Slot& s : slots_)
             if (s.machine && movable(*s.machine)) from.push_back(&s);
@@ -370,8 +375,8 @@
         for (const Slot* s : from) {
             std::vector<Slot> others;
             for (const Slot& o : slots_)
-                if (&o != s && o.machine && o.machine->usable &&
-                    (o.machine->placed > 0 || (o.kind.spot && !s->kind.spot)))
+                if (&o != s && o.machine && o.machine->schedulable &&
+                    (o.machine->placed_tasks > 0 || (o.kind.spot && !s->kind.spot)))
                     others.push_back(o);
             bool all = true;
             for (const auto& r : jobs_.on_machine(s->machine->name)) {
@@ -379,25 +384,25 @@
                 bool put_it = false;
                 for (Slot& o : others)
                     if (!put_it && spec.allows(o.kind.machine_type, o.kind.zone, o.kind.spot) &&
-                        (!spec.one_zone || spec.tasks == 1) && !spec.apart)
+                        (!spec.single_zone || spec.tasks == 1) && !spec.spread_across_zones)
                         put_it = put(o, spec, 1) > 0;
                 all = all && put_it;
             }
             if (!all) continue;
-            plan_.empty_out.push_back(s->machine->name);
+            plan_.drain.push_back(s->machine->name);
             return;
         }
     }
 
     const Cluster& cluster_;
     const JobTable& jobs_;
-    const FleetInput& in_;
+    const ScalingInput& in_;
     std::vector<Slot> slots_;
     std::vector<size_t> open_;  // those with room for something that waits
-    Amount least_;              // what no waiting task asks less than
+    Resources least_;           // what no waiting task asks less than
     std::map<std::string, int> in_zone_;
     size_t ordered_ = 0;  // machines asked for and not rented yet, with those of this plan
-    FleetPlan plan_;
+    ScalingPlan plan_;
 };
 
 }  // namespace
@@ -406,8 +411,8 @@
                                                     const Config& config, Seconds now,
                                                     Seconds leading_since) {
     std::vector<std::string> out;
-    Seconds lease = config.lease_s * (1 + constants::kDrift) + constants::kLeaseSpare_s;
-    Seconds quiet = constants::kQuietReports * config.report_s;
+    Seconds lease = config.lease_s * (1 + constants::kDrift) + constants::kLeaseMargin_s;
+    Seconds quiet = constants::kSilentAfterHeartbeats * config.heartbeat_interval_s;
     // A new leader, and one that stood still, hears its workers first.
     if (now - leading_since <= quiet) return out;
     for (const auto& [id, job] : jobs.all()) {
@@ -419,7 +424,7 @@
             // Its user may have been told long before a leader that inherits it, or one that learns of it
             // late: then the machine's silence counts.
             bool unheard = job->cancelled_before && !h.reported;
-            if (unheard || now - h.last_report > lease || now - job->cancelled_at > lease)
+            if (unheard || now - h.last_heartbeat > lease || now - job->cancelled_at > lease)
                 out.push_back(h.name);
         }
     }
@@ -428,7 +433,7 @@
     return out;
 }
 
-FleetPlan plan_fleet(const Cluster& cluster, const JobTable& jobs, const FleetInput& in) {
+ScalingPlan plan_scaling(const Cluster& cluster, const JobTable& jobs, const ScalingInput& in) {
     return Planner(cluster, jobs, in).run();
 }
 
--- a/src/fleet/plan.h
+++ b/src/fleet/scaling_plan.h
@@ -5,34 +5,34 @@
 namespace hareshore {
 
 // A kind of machine that can be rented.
-struct Kind {
+struct MachineKind {
     std::string machine_type, zone;
     bool spot = false;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
-    auto operator<=>(const Kind&) const = default;
+    auto operator<=>(const MachineKind&) const = default;
 };
 
-struct Rental {
-    Kind kind;
+struct ScaleOutRequest {
+    MachineKind kind;
     int number = 0;
 };
 
-struct FleetPlan {
-    std::vector<Rental> rent;
-    std::vector<std::string> give_back;
+struct ScalingPlan {
+    std::vector<ScaleOutRequest> rent;
+    std::vector<std::string> scale_in;
     std::set<std::string> silent;                // of these: kept if they are heard in time
-    std::vector<std::string> empty_out;          // their tasks are to be moved, so that they can be returned
+    std::vector<std::string> drain;              // their tasks are to be moved, so that they can be returned
     std::map<std::string, std::string> reasons;  // by machine
     std::set<std::string> cut;                   // zones taken for cut off
 };
 
-struct FleetInput {
+struct ScalingInput {
     const Config& config;
     const Settings& settings;
     Seconds now = 0;
     Seconds leading_since = 0;
-    std::map<Kind, Seconds> refused_until;  // kinds without capacity
-    std::vector<Rental> on_order;           // asked for, not answered yet
+    std::map<MachineKind, Seconds> refused_until;  // kinds without capacity
+    std::vector<ScaleOutRequest> on_order;         // asked for, not answered yet
     bool cloud_up = true;
     bool spot_allowed = false;                // every job seen lately may use spot machines
     std::map<std::string, Seconds> cut_at{};  // when a plan last took a zone for cut off
@@ -46,6 +46,6 @@
 std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
                                                     const Config& config, Seconds now, Seconds leading_since);
 
-FleetPlan plan_fleet(const Cluster& cluster, const JobTable& jobs, const FleetInput& in);
+ScalingPlan plan_scaling(const Cluster& cluster, const JobTable& jobs, const ScalingInput& in);
 
 }  // namespace hareshore
--- a/src/jobs/compact.cc
+++ b/src/jobs/compact.cc
@@ -153,8 +153,9 @@
     return out;
 }
 
-std::optional<std::map<uint32_t, Bound>> parse_compact_live(const CompactLive& from, uint32_t tasks) {
-    std::map<uint32_t, Bound> live;
+std::optional<std::map<uint32_t, PlacementRecord>> parse_compact_live(const CompactLive& from,
+                                                                      uint32_t tasks) {
+    std::map<uint32_t, PlacementRecord> live;
     std::string_view text = from.text;
     int64_t task = 0;
     int64_t skew = 0;
@@ -177,7 +178,8 @@
                 return std::nullopt;
             auto name = join(entry, number);
             if (!name) return std::nullopt;
-            Bound b{static_cast<uint64_t>(task + skew), *name, from.zones[*place % from.zones.size()]};
+            PlacementRecord b{static_cast<uint64_t>(task + skew), *name,
+                              from.zones[*place % from.zones.size()]};
             if (!live.emplace(static_cast<uint32_t>(task), std::move(b)).second) return std::nullopt;
         }
     }
--- a/src/jobs/compact.h
+++ b/src/jobs/compact.h
@@ -12,7 +12,7 @@
 
 namespace hareshore {
 
-struct Bound;
+struct PlacementRecord;
 
 // Variable-length quantities: five bits a digit, the lowest first; the sixth bit says that more follow.
 void put_quantity(std::string& text, uint64_t n);
@@ -39,6 +39,7 @@
     std::string_view machine, zone;
 };
 CompactLive compact_live(const std::vector<LiveTask>& live);
-std::optional<std::map<uint32_t, Bound>> parse_compact_live(const CompactLive& from, uint32_t tasks);
+std::optional<std::map<uint32_t, PlacementRecord>> parse_compact_live(const CompactLive& from,
+                                                                      uint32_t tasks);
 
 }  // namespace hareshore
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -7,37 +7,37 @@
 
 namespace hareshore {
 
-const char* wait_text(Wait w) {
-    switch (w) {
-        case Wait::kNone:
+const char* wait_reason_text(WaitReason reason) {
+    switch (reason) {
+        case WaitReason::kNone:
             return "not waiting";
-        case Wait::kNew:
+        case WaitReason::kNew:
             return "just arrived, not looked at yet";
-        case Wait::kTeamLimit:
+        case WaitReason::kTeamLimit:
             return "its team's limit is used up";
-        case Wait::kNoRoom:
+        case WaitReason::kNoRoom:
             return "no machine that it may use has room";
-        case Wait::kGangRoom:
+        case WaitReason::kGangRoom:
             return "no room for all tasks of the gang at once";
-        case Wait::kHeldForImage:
+        case WaitReason::kHeldForImage:
             return "held briefly for an idle machine that has its image";
-        case Wait::kHeldForSpread:
+        case WaitReason::kHeldForSpread:
             return "held briefly for a machine that runs less of it";
-        case Wait::kBackoff:
+        case WaitReason::kBackoff:
             return "its tasks failed on several machines; it is tried again later";
-        case Wait::kOldAttempt:
+        case WaitReason::kOldAttempt:
             return "tasks of its last attempt are still on their machines";
-        case Wait::kRecordFull:
+        case WaitReason::kRecordFull:
             return "its record is full; more tasks start as others finish";
     }
     return "";
 }
 
 bool Job::skips_saving() const {
-    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kSkipSavingShare * spec.save_s;
+    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kSkipCheckpointShare * spec.save_s;
 }
 
-uint32_t Job::up() const {
+uint32_t Job::running_replicas() const {
     return static_cast<uint32_t>(std::count_if(live.begin(), live.end(), [](const auto& l) {
         return l.second.phase == TaskPhase::kRunning && !l.second.stopping;
     }));
@@ -46,7 +46,7 @@
 Seconds Job::due(const Config& config) const {
     if (spec.due_s) return accepted + *spec.due_s;
     auto it = config.finish_within.find(spec.job_class);
-    return accepted + (it == config.finish_within.end() ? constants::kNoPlace_s : it->second);
+    return accepted + (it == config.finish_within.end() ? constants::kNoExpectedEnd_s : it->second);
 }
 
 bool Job::late(const Config& config, Seconds now) const {
@@ -54,7 +54,7 @@
     return now + constants::kLateShare * spec.estimate_s > due(config);
 }
 
-int Job::aims_lost(const Config& config, Seconds now) const {
+int Job::missed_objectives(const Config& config, Seconds now) const {
     // What counts of a service is the time it is not served: a late start is one more reason to hurry.
     if (spec.service()) return 0;
     int lost = late(config, now) ? 1 : 0;
@@ -62,7 +62,7 @@
     // Of tasks that were all begun once, only the end is still open.
     if (waits == config.wait_within.end() || interrupted.covers(pending)) return lost;
     for (Seconds within : waits->second)
-        if (now + constants::kStartLead_s > accepted + within) ++lost;
+        if (now + constants::kStartLatency_s > accepted + within) ++lost;
     return lost;
 }
 
@@ -136,7 +136,7 @@
         size_t more = 0;
         for (const Machine* h : on) more += placement_bytes(f, *h);
         // Room for one stays free, unless this is the one: a job whose record is full goes on one by one.
-        size_t least = live.empty() && on.size() == 1 ? 0 : constants::kRecordSpare;
+        size_t least = live.empty() && on.size() == 1 ? 0 : constants::kRecordReserve;
         auto fits = [&](size_t bytes) { return bytes + std::max(more, least) + growth <= limit; };
         if (fits(measured(f, false).bytes) || fits(measured(f, true).bytes)) continue;
         if (on.size() == 1) return false;
--- a/src/jobs/record.cc
+++ b/src/jobs/record.cc
@@ -17,17 +17,22 @@
     p.map(record_format < 2 ? 26 : 28);
     p.key("id").text(spec.id).key("class").text(spec.job_class).key("team").text(spec.team);
     p.key("shape")
-        .count(static_cast<uint64_t>(spec.shape))
+        .count(static_cast<uint64_t>(spec.kind))
         .key("rank")
-        .count(static_cast<uint64_t>(spec.rank));
+        .count(static_cast<uint64_t>(spec.priority));
     p.key("tasks").count(spec.tasks).key("cpus").number(spec.cpus).key("gpus").number(spec.gpus);
     p.key("mem").number(spec.memory_gb).key("image").text(spec.image).key("image_gb").number(spec.image_gb);
     p.key("flavors").list(spec.machine_types.size());
     for (const auto& f : spec.machine_types) p.text(f);
-    p.key("zone").text(spec.zone).key("one_zone").flag(spec.one_zone).key("apart").flag(spec.apart);
+    p.key("zone")
+        .text(spec.zone)
+        .key("one_zone")
+        .flag(spec.single_zone)
+        .key("apart")
+        .flag(spec.spread_across_zones);
     p.key("spot").flag(spec.spot).key("estimate_s").number(spec.estimate_s);
     p.key("checkpoint_s").number(spec.checkpoint_s).key("save_s").number(spec.save_s);
-    p.key("due_s").number(spec.due_s.value_or(-1)).key("at").number(accepted_wall);
+    p.key("due_s").number(spec.due_s.value_or(-1)).key("at").number(accepted_wall.since_epoch);
     p.key("withdrawn").flag(cancelled);
     p.key("done")
         .text(record_format < 2 ? done.text() : compact_ranges(done))
@@ -60,9 +65,9 @@
 
 namespace {
 
-std::optional<std::pair<uint32_t, Bound>> parse_bound(const std::string& s) {
+std::optional<std::pair<uint32_t, PlacementRecord>> parse_bound(const std::string& s) {
     uint32_t task = 0;
-    Bound b;
+    PlacementRecord b;
     const char* end = s.data() + s.size();
     auto a = std::from_chars(s.data(), end, task);
     if (a.ec != std::errc{} || a.ptr == end || *a.ptr != ' ') return std::nullopt;
@@ -89,8 +94,8 @@
     r.spec.id = n["id"].text_or("");
     r.spec.job_class = n["class"].text_or("");
     r.spec.team = n["team"].text_or("");
-    r.spec.shape = static_cast<Shape>(std::min<uint64_t>(2, n["shape"].count_or(0)));
-    r.spec.rank = static_cast<Rank>(std::min<uint64_t>(3, n["rank"].count_or(1)));
+    r.spec.kind = static_cast<JobKind>(std::min<uint64_t>(2, n["shape"].count_or(0)));
+    r.spec.priority = static_cast<PriorityClass>(std::min<uint64_t>(3, n["rank"].count_or(1)));
     uint64_t tasks = n["tasks"].count_or(0);
     if (r.spec.id.empty() || tasks == 0 || tasks > constants::kMaxTasks) return std::nullopt;
     r.spec.tasks = static_cast<uint32_t>(tasks);
@@ -102,14 +107,14 @@
     for (size_t i = 0; i < n["flavors"].size(); ++i)
         r.spec.machine_types.push_back(n["flavors"].at(i).text_or(""));
     r.spec.zone = n["zone"].text_or("");
-    r.spec.one_zone = n["one_zone"].flag_or(false);
-    r.spec.apart = n["apart"].flag_or(false);
+    r.spec.single_zone = n["one_zone"].flag_or(false);
+    r.spec.spread_across_zones = n["apart"].flag_or(false);
     r.spec.spot = n["spot"].flag_or(false);
     r.spec.estimate_s = n["estimate_s"].number_or(0);
     r.spec.checkpoint_s = n["checkpoint_s"].number_or(0);
     r.spec.save_s = n["save_s"].number_or(0);
     if (double due = n["due_s"].number_or(-1); due >= 0) r.spec.due_s = due;
-    r.accepted_wall = n["at"].number_or(0);
+    r.accepted_wall = {n["at"].number_or(0)};
     r.cancelled = n["withdrawn"].flag_or(false);
     std::string done_text = n["done"].text_or("");
     auto done = record_format < 2 ? Ranges::parse(done_text, r.spec.tasks)
@@ -165,15 +170,4 @@
     return r;
 }
 
-std::optional<TaskName> TaskName::parse(const std::string& text) {
-    auto slash = text.rfind('/');
-    if (slash == std::string::npos || slash == 0) return std::nullopt;
-    TaskName t;
-    t.job = text.substr(0, slash);
-    const char* end = text.data() + text.size();
-    auto got = std::from_chars(text.data() + slash + 1, end, t.task);
-    if (got.ec != std::errc{} || got.ptr != end) return std::nullopt;
-    return t;
-}
-
 }  // namespace hareshore
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -5,23 +5,23 @@
 
 #include "base/ranges.h"
 #include "http/pack.h"
-#include "jobs/spec.h"
+#include "model/job_spec.h"
 
 namespace hareshore {
 
 // A task bound to a machine. It counts as live from its commit until it is disproved.
-struct Bound {
+struct PlacementRecord {
     uint64_t attempt = 0;
     std::string machine, zone;
 };
 
 struct JobRecord {
     JobSpec spec;
-    double accepted_wall = 0;
+    WallTime accepted_wall;
     bool cancelled = false;
     Ranges done;
     uint64_t next_attempt = 1;
-    std::map<uint32_t, Bound> live;  // by task
+    std::map<uint32_t, PlacementRecord> live;  // by task
 
     JobPhase phase() const;
     // Format 1 is what the production version reads; see jobs/compact.h for format 2.
@@ -55,14 +55,4 @@
     return kFinalPrefix + id;
 }
 
-// "job-000412/3" to the job's id and the task's number.
-struct TaskName {
-    std::string job;
-    uint32_t task = 0;
-    std::string text() const { return job + '/' + std::to_string(task); }
-    static std::optional<TaskName> parse(const std::string& text);
-    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
-    auto operator<=>(const TaskName&) const = default;
-};
-
 }  // namespace hareshore
--- a/src/state/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -1,4 +1,4 @@
-#include "state/record_format.h"
+#include "jobs/record_format.h"
 
 #include <algorithm>
 
@@ -19,17 +19,17 @@
     return v && *v > 0 ? *v : UINT64_MAX;
 }
 
-Task<bool> learn_record_format(StateService& state, RecordFormat& record_format) {
+Task<bool> learn_record_format(StoreClient& state, RecordFormat& record_format) {
     GetResult got = co_await state.get(kRecordFormatKey, constants::kStateCall_s);
-    if (got.reply == Reply::kAbsent) co_return true;
-    if (got.reply != Reply::kOk) co_return false;
+    if (got.status == StoreStatus::kNotFound) co_return true;
+    if (got.status != StoreStatus::kOk) co_return false;
     uint64_t v = unpack_record_format(got.entry.data);
     if (v > record_format.kept) {
         record_format.kept = v;
         if (record_format.newer()) {
-            log::error("the records are of a format that this version does not know: it decides nothing");
+            log::error("record_format_unknown", {{"format", v}});
         } else {
-            log::info("records are written in format {} from now on", v);
+            log::info("record_format", {{"format", v}});
         }
     }
     co_return true;
--- a/src/state/record_format.h
+++ b/src/jobs/record_format.h
@@ -3,7 +3,7 @@
 // process of an older version returns after that.
 #pragma once
 #include "jobs/record.h"
-#include "state/state.h"
+#include "state/store_client.h"
 
 namespace hareshore {
 
@@ -21,6 +21,6 @@
 uint64_t unpack_record_format(const std::string& packed);
 
 // Asks for the key; whether there was a certain answer. A format that was heard of stays.
-Task<bool> learn_record_format(StateService& state, RecordFormat& record_format);
+Task<bool> learn_record_format(StoreClient& state, RecordFormat& record_format);
 
 }  // namespace hareshore
--- a/src/jobs/table.cc
+++ b/src/jobs/table.cc
@@ -16,7 +16,7 @@
     return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-Job& JobTable::load(const JobRecord& r, uint64_t mod_revision, Seconds now, double wall) {
+Job& JobTable::load(const JobRecord& r, uint64_t mod_revision, Seconds now, WallTime wall) {
     quarantined_.erase(r.spec.id);
     auto& slot = jobs_[r.spec.id];
     if (slot) {
@@ -113,7 +113,7 @@
             queued_.erase(id);
             continue;
         }
-        size_t cost = j->over() || j->cancelled ? 2 : 1;
+        size_t cost = j->finished() || j->cancelled ? 2 : 1;
         size_t size = j->record_bytes(record_format);
         full = full || ops + cost > most_ops || (bytes > 0 && bytes + size > most_bytes);
         if (full) {
@@ -148,7 +148,7 @@
     return kept;
 }
 
-void JobTable::enter(const std::string& machine, const Resident& resident) {
+void JobTable::enter(const std::string& machine, const PlacedTask& resident) {
     by_machine_[machine].push_back(resident);
     changed_machines_.insert(machine);
 }
@@ -157,7 +157,7 @@
     auto it = by_machine_.find(machine);
     if (it == by_machine_.end()) return;
     changed_machines_.insert(machine);
-    std::erase_if(it->second, [&](const Resident& r) { return r.job == &job && r.task == task; });
+    std::erase_if(it->second, [&](const PlacedTask& r) { return r.job == &job && r.task == task; });
     if (it->second.empty()) by_machine_.erase(it);
 }
 
@@ -184,7 +184,7 @@
     job.done.add(task);
     job.pending.remove(task);
     job.failed_on.clear();
-    job.blamed = false;
+    job.failing = false;
     job.backoff_s = 0;
     release(job, task, now);
     touch(job);
@@ -208,7 +208,7 @@
     // What this leader bound and never sent cannot be on a machine.
     for (auto it = job.live.begin(); it != job.live.end();) {
         uint32_t task = it->first;
-        bool unsent = !it->second.inherited && it->second.sent_seq == 0 && !it->second.seen;
+        bool unsent = !it->second.inherited && it->second.sent_sequence == 0 && !it->second.seen;
         ++it;
         if (unsent) release(job, task, now);
     }
@@ -231,7 +231,7 @@
 }
 
 void JobTable::stop(Job& job, uint32_t task, Seconds /*now*/, bool skip_saving) {
-    Seconds grace = job.spec.save_s + constants::kSaveSpare_s;
+    Seconds grace = job.spec.save_s + constants::kCheckpointMargin_s;
     // A replica has nothing to save: its successor is waited for.
     if (job.spec.service()) grace = 0;
     // On average half a checkpoint interval is lost, against a save during which the room is not free.
@@ -248,7 +248,7 @@
     urgent_.insert(it->second.machine);
 }
 
-void JobTable::machine_gone(const std::string& machine, Seconds now) {
+void JobTable::machine_deleted(const std::string& machine, Seconds now) {
     auto tasks = on_machine(machine);
     for (const auto& r : tasks) {
         if (r.job->spec.gang() && r.job->started) r.job->broken = true;
@@ -260,11 +260,10 @@
 // several machines is blamed itself, waits longer each time, and no longer counts against machines.
 void JobTable::failed(Cluster& cluster, Machine& machine, Job& job, Seconds now) {
     job.failed_on.insert(machine.name);
-    if (job.failed_on.size() >= static_cast<size_t>(constants::kJobMachines)) {
-        if (!job.blamed) {
-            job.blamed = true;
-            log::info("job {}: failed on {} machines, taken for a faulty job", job.spec.id,
-                      job.failed_on.size());
+    if (job.failed_on.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
+        if (!job.failing) {
+            job.failing = true;
+            log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failed_on.size()}});
             for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
         }
     }
@@ -272,15 +271,16 @@
         job.backoff_s = std::clamp(job.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
         job.not_before = now + job.backoff_s;
     }
-    if (!job.blamed) blame_machine(machine, job);
+    if (!job.failing) count_failure(machine, job);
 }
 
-void JobTable::blame_machine(Machine& machine, const Job& job) {
+void JobTable::count_failure(Machine& machine, const Job& job) {
     machine.failed_jobs.insert(job.spec.id);
-    if (machine.failed_jobs.size() >= static_cast<size_t>(constants::kMachineErrors) && !machine.condemned) {
-        machine.condemned = true;
-        machine.why_condemned = "tasks of different jobs fail on it";
-        log::info("machine {}: condemned: {}", machine.name, machine.why_condemned);
+    if (machine.failed_jobs.size() >= static_cast<size_t>(constants::kCordonAfterFailedJobs) &&
+        !machine.cordoned) {
+        machine.cordoned = true;
+        machine.cordon_reason = "tasks of different jobs fail on it";
+        log::info("machine_cordoned", {{"machine", machine.name}, {"reason", machine.cordon_reason}});
     }
 }
 
@@ -291,32 +291,36 @@
                              Seconds now) {
     if (cause == ExitCause::kStopped || job.cancelled) return;
     const Placement& p = job.live.at(task);
-    Seconds ran = p.running_since < 0 ? 0 : now - p.running_since;
-    log::info("service {}: replica {} ended on {} after {:.0f} s, cause {}", job.spec.id, task, machine.name,
-              ran, static_cast<int>(cause));
+    Seconds ran = p.running_since ? now - *p.running_since : 0;
+    log::info("replica_ended", {{"job", job.spec.id},
+                                {"task", task},
+                                {"machine", machine.name},
+                                {"ran_s", ran},
+                                {"cause", exit_cause_name(cause)}});
     if (ran >= constants::kReplicaSteady_s) return;
-    job.ended_soon_at = now;
+    job.last_quick_exit_at = now;
     job.failed_on.insert(machine.name);
-    if (!job.blamed && job.failed_on.size() >= static_cast<size_t>(constants::kJobMachines)) {
-        job.blamed = true;
-        log::info("service {}: its replicas end at once on {} machines, taken for a faulty job", job.spec.id,
-                  job.failed_on.size());
+    if (!job.failing && job.failed_on.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
+        job.failing = true;
+        log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failed_on.size()}});
         for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
     }
-    if (++job.ended_soon > constants::kReplicaTries) {
+    if (++job.quick_exits > constants::kReplicaTries) {
         // Replicas that end together count as one: a pause runs already.
         if (now >= job.not_before)
             job.backoff_s =
                 std::clamp(job.backoff_s * 2, constants::kReplicaBackoff_s, constants::kReplicaBackoffMax_s);
         job.not_before = now + job.backoff_s;
     }
-    if (!job.blamed && cause == ExitCause::kError) blame_machine(machine, job);
+    if (!job.failing && cause == ExitCause::kError) count_failure(machine, job);
 }
 
-void JobTable::exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const ReportedTask& t,
+void JobTable::exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const TaskStatus& t,
                       Seconds now) {
-    log::debug("task {} attempt {} on {} exited, cause {}", t.name.text(), t.attempt, machine.name,
-               static_cast<int>(t.cause));
+    log::debug("task_exited", {{"task", t.name.text()},
+                               {"attempt", t.attempt},
+                               {"machine", machine.name},
+                               {"cause", exit_cause_name(t.cause)}});
     if (job.spec.service()) {
         replica_ended(cluster, machine, job, task, t.cause, now);
         release(job, task, now);
@@ -325,10 +329,10 @@
     switch (t.cause) {
         case ExitCause::kDone:
             machine.failed_jobs.clear();
-            if (const Placement& p = job.live.at(task); !job.spec.gang() && p.running_since >= 0 &&
-                                                        job.saw_all_starts && !job.interrupted.has(task)) {
+            if (const Placement& p = job.live.at(task);
+                !job.spec.gang() && p.running_since && job.saw_all_starts && !job.interrupted.has(task)) {
                 ++job.runs;
-                job.runs_sum_s += now - p.running_since;
+                job.runs_sum_s += now - *p.running_since;
             }
             complete(job, task, now);
             return;
@@ -338,8 +342,9 @@
         case ExitCause::kNoRoom:
         case ExitCause::kBusy:
         case ExitCause::kUnknownJob:
-            log::info("task {} refused by {}, cause {}", t.name.text(), machine.name,
-                      static_cast<int>(t.cause));
+            log::info(
+                "launch_refused",
+                {{"task", t.name.text()}, {"machine", machine.name}, {"cause", exit_cause_name(t.cause)}});
             break;
         default:
             break;
@@ -362,21 +367,21 @@
 void JobTable::find_stragglers(Cluster& cluster, Seconds now) {
     for (auto& [name, h] : cluster.machines) {
         // Of one that is silent nothing is known; its tasks only seem to go on for long.
-        if (h->condemned || !h->usable) continue;
+        if (h->cordoned || !h->schedulable) continue;
         size_t straggling = 0;
         for (const auto& r : on_machine(name)) {
             const Job& j = *r.job;
             if (j.spec.gang() || j.runs < constants::kStragglerComparisons) continue;
             const Placement& p = *r.placement;
-            Seconds ran = p.running_since < 0 ? 0 : now - p.running_since;
+            Seconds ran = p.running_since ? now - *p.running_since : 0;
             if (ran > constants::kStragglerLeast_s &&
                 ran > constants::kStragglerFactor * j.runs_sum_s / j.runs)
                 ++straggling;
         }
         if (straggling < constants::kStragglerTasks) continue;
-        h->condemned = true;
-        h->why_condemned = "tasks take several times as long as others of their job elsewhere";
-        log::info("machine {}: condemned: {}", name, h->why_condemned);
+        h->cordoned = true;
+        h->cordon_reason = "tasks take several times as long as others of their job elsewhere";
+        log::info("machine_cordoned", {{"machine", name}, {"reason", h->cordon_reason}});
         auto tasks = on_machine(name);
         for (const auto& r : tasks)
             if (r.job->spec.checkpoint_s > 0 && !r.job->spec.service()) stop(*r.job, r.task, now);
@@ -385,12 +390,12 @@
 
 void JobTable::move_replicas(Cluster& cluster, Seconds now) {
     for (auto& [name, h] : cluster.machines) {
-        if (!h->condemned && !h->emptying) continue;
+        if (!h->cordoned && !h->draining) continue;
         auto tasks = on_machine(name);
         for (const auto& [job, task, p] : tasks) {
             if (!job->spec.service() || job->cancelled || p->stopping) continue;
             uint32_t self = p->phase == TaskPhase::kRunning ? 1 : 0;
-            if (job->up() - self + 1 == job->spec.tasks) stop(*job, task, now);
+            if (job->running_replicas() - self + 1 == job->spec.tasks) stop(*job, task, now);
         }
     }
 }
@@ -408,22 +413,23 @@
 }  // namespace
 
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split by event
-bool JobTable::apply(Cluster& cluster, Machine& machine, const Report& r, bool absence, Seconds now) {
+bool JobTable::apply(Cluster& cluster, Machine& machine, const WorkerHeartbeat& r, bool absence,
+                     Seconds now) {
     bool news = false;
     const std::vector<MachineTask> before = std::exchange(machine.tasks, {});
     news = before.size() != r.tasks.size();
     machine.tasks.reserve(r.tasks.size());
     machine.counted = false;
-    machine.session = r.session;
-    machine.seq = r.seq;
+    machine.incarnation = r.incarnation;
+    machine.sequence = r.sequence;
     machine.addr = r.addr;
     machine.machine_type = r.machine_type;
     machine.zone = r.zone;
     machine.spot = r.spot;
     machine.phase = MachinePhase::kRunning;
-    if (r.notice_s && machine.leaves_at < 0) {
-        machine.leaves_at = now + *r.notice_s;
-        log::info("machine {}: spot notice, {:.0f} s left", machine.name, *r.notice_s);
+    if (r.notice_s && !machine.spot_reclaim_at) {
+        machine.spot_reclaim_at = now + *r.notice_s;
+        log::info("spot_notice", {{"machine", machine.name}, {"remaining_s", *r.notice_s}});
     }
     std::vector<const Placement*> present;
     for (const auto& t : r.tasks) {
@@ -440,7 +446,7 @@
         Job* job = find(t.name.job);
         if (job) {
             x.sized = true;
-            x.amount = Amount::of(job->spec);
+            x.amount = Resources::of(job->spec);
             x.team = job->spec.team;
             if (t.phase != TaskPhase::kFetching && t.cause != ExitCause::kNoRoom &&
                 t.cause != ExitCause::kBusy && t.cause != ExitCause::kUnknownJob && !known_exit)
@@ -454,21 +460,24 @@
                 Placement& p = it->second;
                 present.push_back(&p);
                 if (p.phase != t.phase || !p.seen)
-                    log::debug("task {} attempt {} on {}: phase {}", t.name.text(), t.attempt, machine.name,
-                               static_cast<int>(t.phase));
+                    log::debug("task_phase", {{"task", t.name.text()},
+                                              {"attempt", t.attempt},
+                                              {"machine", machine.name},
+                                              {"phase", task_phase_name(t.phase)}});
                 if (t.phase == TaskPhase::kRunning) {
-                    if (p.running_since < 0) p.running_since = now;
-                    if (job->spec.service() && p.bound_at >= job->ended_soon_at &&
-                        now - p.running_since >= constants::kReplicaSteady_s) {
+                    if (!p.running_since) p.running_since = now;
+                    if (job->spec.service() && p.bound_at >= job->last_quick_exit_at &&
+                        now - *p.running_since >= constants::kReplicaSteady_s) {
                         // What was started since then stays: what ended at once does so no longer.
                         job->failed_on.clear();
-                        job->blamed = false;
-                        job->ended_soon = 0;
+                        job->failing = false;
+                        job->quick_exits = 0;
                         job->backoff_s = 0;
                     }
                     job->started = true;
                 }
-                if (!p.seen && p.sent > 0) machine.unheard_since = -1;  // it was launched: an answer arrived
+                if (!p.seen && p.sent > 0)
+                    machine.unreachable_since.reset();  // it was launched: an answer arrived
                 p.seen = true;
                 p.phase = t.phase;
                 if (t.phase == TaskPhase::kExited) {
@@ -498,14 +507,15 @@
             if (!committed) continue;
             // A newer report without the task: every launch sent before it is void, since the worker has
             // one report in flight and drops what answers an older one.
-            if (p.sent_seq != 0 && !r.newer_than(p.sent_session, p.sent_seq)) continue;
+            if (p.sent_sequence != 0 && !r.newer_than(p.sent_incarnation, p.sent_sequence)) continue;
             // Answer after answer carried the launch and nothing came of it: bound to a machine that does
             // not hear us, the task would wait for ever.
-            if (p.sent >= constants::kUnheardLaunches && machine.unheard_since < 0) {
-                machine.unheard_since = now;
-                log::info("machine {}: does not hear its answers: launches come to nothing", machine.name);
+            if (p.sent >= constants::kUnansweredLaunches && !machine.unreachable_since) {
+                machine.unreachable_since = now;
+                log::info("machine_unreachable",
+                          {{"machine", machine.name}, {"reason", "launches_without_effect"}});
             }
-            bool lost = p.seen || (p.inherited && job->spec.gang()) || machine.unheard_since >= 0;
+            bool lost = p.seen || (p.inherited && job->spec.gang()) || machine.unreachable_since;
             if (job->cancelled || p.stopping || lost) {
                 news = true;
                 if (job->spec.gang() && job->started) job->broken = true;
@@ -517,8 +527,8 @@
     return news;
 }
 
-const std::vector<Resident>& JobTable::on_machine(const std::string& machine) const {
-    static const std::vector<Resident> none;
+const std::vector<PlacedTask>& JobTable::on_machine(const std::string& machine) const {
+    static const std::vector<PlacedTask> none;
     auto it = by_machine_.find(machine);
     return it == by_machine_.end() ? none : it->second;
 }
@@ -533,7 +543,7 @@
 
 bool JobTable::settled_on(const Machine& machine) const {
     auto running = [](const MachineTask& t) { return t.phase == TaskPhase::kRunning; };
-    auto meant = [](const Resident& r) { return r.placement->seen && !r.placement->stopping; };
+    auto meant = [](const PlacedTask& r) { return r.placement->seen && !r.placement->stopping; };
     const auto& here = on_machine(machine.name);
     return here.size() == machine.tasks.size() &&
            std::all_of(machine.tasks.begin(), machine.tasks.end(), running) &&
@@ -571,9 +581,9 @@
         if (!p.inherited && job->committed < p.version) continue;
         if (job->spec.gang() && job->broken) continue;
         out.push_back({CommandKind::kLaunch, {id, task}, p.attempt, 0});
-        if (p.sent_session != machine.session || p.sent_seq != machine.seq) ++p.sent;
-        p.sent_session = machine.session;
-        p.sent_seq = machine.seq;
+        if (p.sent_incarnation != machine.incarnation || p.sent_sequence != machine.sequence) ++p.sent;
+        p.sent_incarnation = machine.incarnation;
+        p.sent_sequence = machine.sequence;
     }
     return out;
 }
--- a/src/jobs/table.h
+++ b/src/jobs/table.h
@@ -7,7 +7,7 @@
 #include <span>
 #include <unordered_map>
 
-#include "fleet/cluster.h"
+#include "cluster/cluster.h"
 #include "jobs/record.h"
 
 namespace hareshore {
@@ -17,18 +17,19 @@
     std::string machine, zone;
     uint64_t version = 0;    // the job's version that first holds it; launched once that is committed
     bool inherited = false;  // from an earlier leader, who may have launched it
-    uint64_t sent_session = 0, sent_seq = 0;  // newest report whose answer carried the launch; 0: none
-    int sent = 0;                             // reports whose answers carried it
-    bool seen = false;                        // the machine has reported it
+    uint64_t sent_incarnation = 0,
+             sent_sequence = 0;  // newest report whose answer carried the launch; 0: none
+    int sent = 0;                // reports whose answers carried it
+    bool seen = false;           // the machine has reported it
     TaskPhase phase = TaskPhase::kFetching;
     Seconds bound_at = 0;
     bool stopping = false;  // it is being stopped, with this much time to save
     Seconds grace_s = 0;
-    Seconds running_since = -1;
+    std::optional<Seconds> running_since;
 };
 
 // Why a job's tasks wait, for the operators.
-enum class Wait : uint8_t {
+enum class WaitReason : uint8_t {
     kNone,
     kNew,
     kTeamLimit,
@@ -40,11 +41,11 @@
     kOldAttempt,
     kRecordFull,
 };
-const char* wait_text(Wait w);
+const char* wait_reason_text(WaitReason reason);
 
 struct Job {
     JobSpec spec;
-    double accepted_wall = 0;
+    WallTime accepted_wall;
     Seconds accepted = 0;  // on this process's clock
     bool cancelled = false;
     Seconds cancelled_at = 0;       // when this leader learned of it; its user may have been told before
@@ -71,16 +72,16 @@
 
     std::set<std::string> failed_on;  // machines, since the last success
     Seconds not_before = 0, backoff_s = 0;
-    bool blamed = false;
+    bool failing = false;
     // Services: replicas that ended at once since one last ran steadily, and when the last of them did.
-    size_t ended_soon = 0;
-    Seconds ended_soon_at = -1e9;
+    size_t quick_exits = 0;
+    Seconds last_quick_exit_at = -1e9;
     Seconds waiting_since = 0;
-    bool orphan = false;  // a machine runs a task of it that no placement accounts for
+    bool has_unplaced_task = false;  // a machine runs a task of it that no placement accounts for
     // Room is being made on machines that have the image: until then it is not started elsewhere.
-    Seconds claimed_until = 0;
-    Seconds claim_for = -1;  // the wait (waiting_since) for which that was tried
-    Wait why = Wait::kNew;
+    Seconds image_preemption_until = 0;
+    Seconds image_preemption_tried_for = -1;  // the wait (waiting_since) for which that was tried
+    WaitReason wait_reason = WaitReason::kNew;
     Seconds why_logged = -1e9;
 
     // Set aside: the record is too large for the state service, or it said so, until it changes.
@@ -102,9 +103,9 @@
                            const Machine& on) const;  // that one more on this machine adds at most
     RecordSize& measured(uint64_t record_format, bool exact) const;
 
-    bool over() const { return !spec.service() && done.size() == spec.tasks; }
+    bool finished() const { return !spec.service() && done.size() == spec.tasks; }
     bool dirty() const { return version != committed; }
-    bool waiting() const { return !cancelled && !over() && !pending.empty(); }
+    bool waiting() const { return !cancelled && !finished() && !pending.empty(); }
     // Stopping it at once loses no more than letting it save: it checkpoints often.
     bool skips_saving() const;
     // When it should be done, by its deadline or its class's aim; far off if there is none.
@@ -112,9 +113,9 @@
     // Even started now it would likely be late.
     bool late(const Config& config, Seconds now) const;
     // How many of its class's aims a task of it that starts now can no longer meet.
-    int aims_lost(const Config& config, Seconds now) const;
+    int missed_objectives(const Config& config, Seconds now) const;
     // Replicas that run.
-    uint32_t up() const;
+    uint32_t running_replicas() const;
     // Whether the record holds one more task on each of these machines, whatever becomes of its tasks: it
     // must fit the limit today, and in format 2 also the later one.
     bool room_in_record(const Config& config, uint64_t record_format,
@@ -125,7 +126,7 @@
 };
 
 // A placement, seen from its machine.
-struct Resident {
+struct PlacedTask {
     Job* job = nullptr;
     uint32_t task = 0;
     const Placement* placement = nullptr;
@@ -141,7 +142,7 @@
     Seconds last_arrival() const { return last_arrival_; }
 
     // A record read from the state service: a new job, or news of a known one.
-    Job& load(const JobRecord& record, uint64_t mod_revision, Seconds now, double wall);
+    Job& load(const JobRecord& record, uint64_t mod_revision, Seconds now, WallTime wall);
     void erase(const std::string& id);
     void clear();
 
@@ -157,7 +158,7 @@
     // its replicas run again.
     void move_replicas(Cluster& cluster, Seconds now);
     // Frees the placements on a machine that is confirmed to be gone.
-    void machine_gone(const std::string& machine, Seconds now);
+    void machine_deleted(const std::string& machine, Seconds now);
     // Marks the job changed; it will be written.
     void touch(Job& job);
     // Jobs with changes that are not on their way, oldest change first.
@@ -175,7 +176,7 @@
 
     // Takes in a machine's report; `absence` says that what it lacks is proven not to be there.
     // Returns whether anything changed that matters to others (room, phases).
-    bool apply(Cluster& cluster, Machine& machine, const Report& report, bool absence, Seconds now);
+    bool apply(Cluster& cluster, Machine& machine, const WorkerHeartbeat& report, bool absence, Seconds now);
     // The commands for the machine now: launches of committed placements, stops, forgets. Launches only
     // when they answer a report (`launches`), whose session and number are remembered with them.
     std::vector<Command> commands(Machine& machine, bool launches);
@@ -191,20 +192,20 @@
     bool settled_on(const Machine& machine) const;
     // The placements on the machine, kept up to date by bind and release; to be copied where those are
     // called.
-    const std::vector<Resident>& on_machine(const std::string& machine) const;
+    const std::vector<PlacedTask>& on_machine(const std::string& machine) const;
 
   private:
-    void enter(const std::string& machine, const Resident& resident);
+    void enter(const std::string& machine, const PlacedTask& resident);
     void leave(const std::string& machine, const Job& job, uint32_t task);
     void release(Job& job, uint32_t task, Seconds now);
     void settle(Job& job);
     void complete(Job& job, uint32_t task, Seconds now);
-    void exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const ReportedTask& t,
+    void exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const TaskStatus& t,
                 Seconds now);
     void failed(Cluster& cluster, Machine& machine, Job& job, Seconds now);
     void replica_ended(Cluster& cluster, Machine& machine, Job& job, uint32_t task, ExitCause cause,
                        Seconds now);
-    static void blame_machine(Machine& machine, const Job& job);
+    static void count_failure(Machine& machine, const Job& job);
     void stop_gang(Job& job, Seconds grace);
 
     Map jobs_;
@@ -214,7 +215,7 @@
     std::set<std::string> urgent_;
     std::set<std::string> quarantined_;
     std::set<std::string> changed_machines_;
-    std::unordered_map<std::string, std::vector<Resident>> by_machine_;
+    std::unordered_map<std::string, std::vector<PlacedTask>> by_machine_;
 };
 
 }  // namespace hareshore
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -2,21 +2,21 @@
 
 #include "base/constants.h"
 #include "base/log.h"
-#include "state/record_format.h"
+#include "jobs/record_format.h"
 
 namespace hareshore {
 
 namespace {
 
-std::string pack_leader(const std::string& label, uint64_t epoch) {
+std::string pack_leader(const std::string& label, uint64_t fencing_token) {
     Packer p;
-    p.map(2).key("node").text(label).key("epoch").count(epoch);
+    p.map(2).key("node").text(label).key("epoch").count(fencing_token);
     return p.take();
 }
 
 }  // namespace
 
-Election::Election(Loop& loop, StateService& state, std::string label, double spread)
+Election::Election(Loop& loop, StoreClient& state, std::string label, double spread)
     : loop_(loop), state_(state), label_(std::move(label)), spread_(spread), changed_(loop) {}
 
 void Election::pause_longer() {
@@ -25,16 +25,16 @@
 
 void Election::deposed(const char* why) {
     if (!leading_) return;
-    log::info("leadership of epoch {} lost: {}", epoch_, why);
+    log::info("leadership_lost", {{"fencing_token", fencing_token_}, {"reason", why}});
     leading_ = false;
     leader_.clear();
     changed_.notify();
 }
 
-void Election::heard(const std::string& label, uint64_t epoch) {
-    bool names = epoch == known_epoch_ && !leading_ && leader_.empty() && !label.empty();
-    if (epoch <= known_epoch_ && !names) return;
-    known_epoch_ = epoch;
+void Election::heard(const std::string& label, uint64_t fencing_token) {
+    bool names = fencing_token == known_fencing_token_ && !leading_ && leader_.empty() && !label.empty();
+    if (fencing_token <= known_fencing_token_ && !names) return;
+    known_fencing_token_ = fencing_token;
     if (leading_) deposed("a peer knows of a later epoch");
     leader_ = label;
     changed_.notify();
@@ -46,9 +46,9 @@
     deposed("resigned");
 }
 
-void Election::bar() {
-    if (barred_) return;
-    barred_ = true;
+void Election::stop_standing() {
+    if (standing_stopped_) return;
+    standing_stopped_ = true;
     if (!leading_) return;
     resigning_ = true;
     deposed("the records are of a format that this version does not know");
@@ -72,17 +72,17 @@
     }
     // A list, since only that tells the revision from which to watch: the key's own mod revision may be so
     // old that the service has forgotten the changes since.
-    ListResult got = co_await state_.list(kLeaderKey, "", constants::kStatePage, constants::kStateCall_s);
+    ListResult got = co_await state_.list(kLeaderKey, "", constants::kRecordsPage, constants::kStateCall_s);
     const Entry* held = nullptr;
     for (const auto& e : got.entries)
         if (e.key == kLeaderKey) held = &e;
-    if (got.reply == Reply::kOk && !held) {
+    if (got.status == StoreStatus::kOk && !held) {
         pause_ = 0;
         if (!leader_.empty()) {
             leader_.clear();
             changed_.notify();
         }
-        if (barred_ || loop_.now() < out_until_) {
+        if (standing_stopped_ || loop_.now() < out_until_) {
             co_await loop_.sleep(constants::kLeadRenew_s);
             co_return;
         }
@@ -90,7 +90,7 @@
         co_await stand();
         co_return;
     }
-    if (got.reply != Reply::kOk) {
+    if (got.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
@@ -98,23 +98,23 @@
     pause_ = 0;
     auto m = Message::parse(held->data);
     std::string node = m ? m->root()["node"].text_or("") : "";
-    uint64_t epoch = m ? m->root()["epoch"].count_or(0) : 0;
-    known_epoch_ = std::max(known_epoch_, epoch);
+    uint64_t fencing_token = m ? m->root()["epoch"].count_or(0) : 0;
+    known_fencing_token_ = std::max(known_fencing_token_, fencing_token);
     if (node == label_) {
         // Left by this node's last process, which is gone: no need to wait for its lease.
-        log::info("ending the leadership left by an earlier process");
+        log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
         GetResult own = co_await state_.get(kLeaderKey, constants::kStateCall_s);
-        if (own.reply == Reply::kOk && own.entry.mod_revision == held->mod_revision)
+        if (own.status == StoreStatus::kOk && own.entry.mod_revision == held->mod_revision)
             co_await state_.revoke(own.entry.lease, constants::kStateCall_s);
         co_return;
     }
     if (leader_ != node) {
-        log::info("{} leads in epoch {}", node, epoch);
+        log::info("leader_known", {{"leader", node}, {"fencing_token", fencing_token}});
         leader_ = node;
         changed_.notify();
     }
     ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeadWatch_s);
-    if (c.reply != Reply::kOk) {
+    if (c.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
     }
@@ -122,68 +122,69 @@
 
 Task<void> Election::stand() {
     GetResult term = co_await state_.get(kTermKey, constants::kStateCall_s);
-    if (term.reply != Reply::kOk && term.reply != Reply::kAbsent) {
+    if (term.status != StoreStatus::kOk && term.status != StoreStatus::kNotFound) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
     }
     GetResult record_format = co_await state_.get(kRecordFormatKey, constants::kStateCall_s);
-    if (record_format.reply != Reply::kOk && record_format.reply != Reply::kAbsent) {
+    if (record_format.status != StoreStatus::kOk && record_format.status != StoreStatus::kNotFound) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
     }
-    if (record_format.reply == Reply::kOk &&
+    if (record_format.status == StoreStatus::kOk &&
         unpack_record_format(record_format.entry.data) > kNewestRecordFormat) {
-        log::error("not standing for election: the records are of a format that this version does not know");
-        bar();
+        log::error("election_not_joined", {{"reason", "newer_record_format"}});
+        stop_standing();
         co_return;
     }
     uint64_t last = 0;
-    if (term.reply == Reply::kOk) {
+    if (term.status == StoreStatus::kOk) {
         auto m = Message::parse(term.entry.data);
         last = m ? m->root()["epoch"].count_or(0) : 0;
         if (last == 0) {
-            log::error("the term in the state service is not readable");
+            log::error("election_not_joined", {{"reason", "term_unreadable"}});
             co_await loop_.sleep(constants::kRetryPauseMax_s);
             co_return;
         }
     }
     Seconds asked = loop_.now();
     LeaseResult lease = co_await state_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
-    if (lease.reply != Reply::kOk) {
+    if (lease.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
     }
-    uint64_t epoch = std::max(last, known_epoch_) + 1;
-    Txn txn;
-    txn.expect(kLeaderKey, 0).expect(kTermKey, term.reply == Reply::kOk ? term.entry.mod_revision : 0);
-    txn.expect(kRecordFormatKey, record_format.reply == Reply::kOk ? record_format.entry.mod_revision : 0);
-    std::string mine = pack_leader(label_, epoch);
+    uint64_t fencing_token = std::max(last, known_fencing_token_) + 1;
+    Transaction txn;
+    txn.expect(kLeaderKey, 0).expect(kTermKey, term.status == StoreStatus::kOk ? term.entry.mod_revision : 0);
+    txn.expect(kRecordFormatKey,
+               record_format.status == StoreStatus::kOk ? record_format.entry.mod_revision : 0);
+    std::string mine = pack_leader(label_, fencing_token);
     txn.put(kLeaderKey, mine, lease.lease).put(kTermKey, mine);
-    TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-    if (r.reply == Reply::kUnknown) {
+    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+    if (r.status == StoreStatus::kUnknown) {
         // It may have been carried out: only the key can tell, and a late copy cannot win once the term
         // has moved on.
         GetResult now = co_await state_.get(kLeaderKey, constants::kStateCall_s);
-        if (now.reply == Reply::kOk && now.entry.lease == lease.lease) {
-            r.reply = Reply::kOk;
+        if (now.status == StoreStatus::kOk && now.entry.lease == lease.lease) {
+            r.status = StoreStatus::kOk;
             r.revision = now.entry.mod_revision;
         }
     }
-    if (r.reply != Reply::kOk) {
+    if (r.status != StoreStatus::kOk) {
         co_await state_.revoke(lease.lease, constants::kStateCall_s);
         co_return;
     }
     lease_ = lease.lease;
-    epoch_ = epoch;
+    fencing_token_ = fencing_token;
     mod_revision_ = r.revision;
-    known_epoch_ = epoch;
+    known_fencing_token_ = fencing_token;
     leading_ = true;
     confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
     leader_ = label_;
-    log::info("leading in epoch {} after {:.0f} ms", epoch_, (loop_.now() - asked) * 1000);
+    log::info("leadership_won", {{"fencing_token", fencing_token_}, {"took_s", loop_.now() - asked}});
     changed_.notify();
 }
 
@@ -193,10 +194,10 @@
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds asked = loop_.now();
-        Reply r = co_await state_.renew(lease_, constants::kStateCall_s);
-        if (r == Reply::kOk) confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
-        if (r == Reply::kAbsent) deposed("its lease ended");
-        pause = r == Reply::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
+        StoreStatus r = co_await state_.renew(lease_, constants::kStateCall_s);
+        if (r == StoreStatus::kOk) confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
+        if (r == StoreStatus::kNotFound) deposed("its lease ended");
+        pause = r == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
     }
 }
 
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Leader::Leader(Loop& loop, const Config& config, const Settings& settings, StateService& state, Cloud& cloud,
+Leader::Leader(Loop& loop, const Config& config, const Settings& settings, StoreClient& state, Cloud& cloud,
                Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound,
                Confirmed confirmed, NoOtherLeader no_other_leader, Deposed deposed,
                RecordFormat& record_format, AllUpgraded all_upgraded)
@@ -33,8 +33,8 @@
       deposed_(std::move(deposed)),
       record_format_(record_format),
       all_upgraded_(std::move(all_upgraded)),
-      writes_(config.write_rps * constants::kLeaderShare,
-              std::max(2.0, config.write_rps * constants::kLeaderShare)),
+      writes_(config.write_rps * constants::kLeaderWriteShare,
+              std::max(2.0, config.write_rps * constants::kLeaderWriteShare)),
       ready_(loop),
       dirty_(loop),
       ask_(loop),
@@ -56,18 +56,18 @@
     scope_.cancel();
     ready_.notify();
     pass_done_.notify();
-    for (auto& [name, l] : worker_sessions_) l->wake.notify();
+    for (auto& [name, l] : worker_connections_) l->wake.notify();
 }
 
-Leader::WorkerSession& Leader::worker_session(const std::string& machine) {
-    auto& l = worker_sessions_[machine];
-    if (!l) l = std::make_unique<WorkerSession>(loop_);
+Leader::WorkerConnection& Leader::worker_connection(const std::string& machine) {
+    auto& l = worker_connections_[machine];
+    if (!l) l = std::make_unique<WorkerConnection>(loop_);
     return *l;
 }
 
 void Leader::wake(const std::string& machine) {
-    auto it = worker_sessions_.find(machine);
-    if (it != worker_sessions_.end()) it->second->wake.notify();
+    auto it = worker_connections_.find(machine);
+    if (it != worker_connections_.end()) it->second->wake.notify();
 }
 
 }  // namespace hareshore
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -4,22 +4,23 @@
 #include <functional>
 #include <random>
 
-#include "base/bucket.h"
-#include "fleet/plan.h"
+#include "base/token_bucket.h"
+#include "fleet/scaling_plan.h"
+#include "jobs/record_format.h"
+#include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
-#include "state/record_format.h"
 
 namespace hareshore {
 
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     struct Term {
-        uint64_t epoch = 0;
+        uint64_t fencing_token = 0;
         uint64_t mod_revision = 0;  // of the leadership key
         std::string key;            // the leadership key
     };
     // Until when the peers confirm that no cancellation was told that this node could be missing, given
-    // that it misses none told before `since`. Which were told it hears by note_cancellation().
+    // that it misses none told before `since`. Which were told it hears by observe_cancellation().
     using RenewalBound = std::function<Seconds(Seconds since)>;
     // Whether this leadership is certain now.
     using Confirmed = std::function<bool()>;
@@ -29,26 +30,26 @@
     // Whether every peer has said that it knows the newest format of records.
     using AllUpgraded = std::function<bool()>;
 
-    Leader(Loop& loop, const Config& config, const Settings& settings, StateService& state, Cloud& cloud,
+    Leader(Loop& loop, const Config& config, const Settings& settings, StoreClient& state, Cloud& cloud,
            Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound, Confirmed confirmed,
            NoOtherLeader no_other_leader, Deposed deposed, RecordFormat& record_format,
            AllUpgraded all_upgraded);
     void start();
     void stop();
     bool stopped() const { return stopped_; }
-    uint64_t epoch() const { return term_.epoch; }
+    uint64_t fencing_token() const { return term_.fencing_token; }
 
     // A worker's report, and the answer to it. 421 means that another leads.
     // `hold`: how long the answer may be held for work that comes.
     // `direct`: it came on the worker's own connection, not through a peer.
-    Task<Response> handle_report(Report report, Seconds hold, bool direct);
+    Task<Response> handle_heartbeat(WorkerHeartbeat report, Seconds hold, bool direct);
 
     // A user is being told that this job is cancelled, by this node or by a peer: its tasks must go, also
     // while the state service cannot say so.
-    void note_cancellation(const std::string& id);
+    void observe_cancellation(const std::string& id);
 
     // How many machines have reported to this leader, and for how long it has known its view.
-    size_t machines_reported() const;
+    size_t machines_seen() const;
     uint64_t passes_done() const { return passes_; }  // of matching, so far
     Seconds loaded_for() const { return loaded_ ? loop_.now() - loaded_at_ : 0; }
 
@@ -59,8 +60,8 @@
 
   private:
     // What belongs to a machine's connection rather than to the machine.
-    struct WorkerSession {
-        explicit WorkerSession(Loop& loop) : wake(loop) {}
+    struct WorkerConnection {
+        explicit WorkerConnection(Loop& loop) : wake(loop) {}
         Signal wake;
         uint64_t reports = 0;            // how many came; an older one's answer is dropped by the worker
         bool command_in_flight = false;  // a direct command is on its way
@@ -77,10 +78,10 @@
     Task<void> read_machines();
     Task<void> read_prices();
     Task<void> run_fleet();
-    Task<void> rent(Rental rental);
+    Task<void> rent(ScaleOutRequest rental);
     Task<void> confirmation();
     Task<void> remove(std::vector<std::string> names, std::set<std::string> silent);
-    void return_machines(const FleetPlan& plan);
+    void return_machines(const ScalingPlan& plan);
     void return_machines_holding_cancelled();
     bool holds_cancelled(const std::string& machine) const;
     void gone(const std::vector<std::string>& names);
@@ -90,14 +91,14 @@
     Task<void> run_passes();
     void request_pass();
     void step();  // matches, and sends off what came of it
-    void note_demand();
+    void update_demand();
     bool asks_for_work(Machine& machine);
     struct Holding;
     Task<void> join_pass(const std::string& machine, Seconds answer_by);
     Seconds silent_after() const;  // an older report shows no room
     void drain(Machine& machine);
     void wake(const std::string& machine);
-    WorkerSession& worker_session(const std::string& machine);
+    WorkerConnection& worker_connection(const std::string& machine);
     bool may_renew();
     void finished(const std::string& id, uint64_t revision);
     void take_change(const Change& c);
@@ -109,7 +110,7 @@
     Loop& loop_;
     const Config& config_;
     const Settings& settings_;
-    StateService& state_;
+    StoreClient& state_;
     Cloud& cloud_;
     Term term_;
     RenewalBound renewal_bound_;
@@ -121,13 +122,13 @@
 
     JobTable jobs_;
     Cluster cluster_;
-    std::unordered_map<std::string, std::unique_ptr<WorkerSession>> worker_sessions_;
-    std::set<std::string> gone_;  // machines whose deletion was confirmed
-    std::deque<std::string> gone_order_;
+    std::unordered_map<std::string, std::unique_ptr<WorkerConnection>> worker_connections_;
+    std::set<std::string> deleted_machines_;  // machines whose deletion was confirmed
+    std::deque<std::string> deleted_machines_order_;
     std::unordered_map<std::string, uint64_t> finished_;  // jobs erased from the table, with the revision
     std::deque<std::string> finished_order_;
-    std::map<Kind, Seconds> refused_until_;
-    std::vector<Rental> on_order_;
+    std::map<MachineKind, Seconds> refused_until_;
+    std::vector<ScaleOutRequest> on_order_;
     std::map<std::string, Seconds> cut_at_;  // when a zone was last taken for cut off
     bool machine_types_kept_ = false;
 
@@ -146,11 +147,11 @@
     struct Spent {
         double booting = 0, idle = 0, unused = 0, starting = 0, running = 0;
     } spent_;
-    Bucket writes_;
-    std::optional<Amount> replica_;  // what no replica of a service asks less than; none without services
-    std::optional<Amount> least_waiting_;  // what no waiting task asks less than; none if none waits
-    bool held_back_ = false;               // a waiting task was held for a better machine in the last pass
-    bool wanted_ = false;                  // a scheduling pass is wanted
+    TokenBucket writes_;
+    std::optional<Resources> replica_;  // what no replica of a service asks less than; none without services
+    std::optional<Resources> least_waiting_;  // what no waiting task asks less than; none if none waits
+    bool held_back_ = false;                  // a waiting task was held for a better machine in the last pass
+    bool wanted_ = false;                     // a scheduling pass is wanted
     uint64_t passes_ = 0;
     Seconds next_pass_ = -1e9, longest_pass_ = 0;
     Signal ready_, dirty_, ask_, pass_done_;
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -16,13 +16,13 @@
                 // Kept for controllers that start while the cloud is away.
                 std::string data = Cloud::pack_machine_types(cluster_.machine_types);
                 if (json_size(data) > config_.value_limit(kNewestRecordFormat)) {
-                    log::info("the machine types are too many to be kept in the state service");
+                    log::info("machine_types_not_stored", {{"reason", "too_large"}});
                     machine_types_kept_ = true;
                 } else {
-                    Txn txn;
+                    Transaction txn;
                     txn.expect(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
-                    TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-                    machine_types_kept_ = r.reply == Reply::kOk || r.reply == Reply::kInvalid;
+                    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+                    machine_types_kept_ = r.status == StoreStatus::kOk || r.status == StoreStatus::kInvalid;
                 }
             }
             co_await loop_.sleep(constants::kMachineTypesEvery_s);
@@ -38,11 +38,11 @@
         auto list = co_await cloud_.list();
         if (list) {
             for (const auto& m : *list) {
-                if (gone_.contains(m.name)) continue;
+                if (deleted_machines_.contains(m.name)) continue;
                 Machine& h = cluster_.ensure(m.name, loop_.now());
                 if (!h.listed) {
                     h.listed = true;
-                    h.born = asked - m.age_s;
+                    h.created_at = asked - m.age_s;
                     if (!h.reported) {
                         h.addr = m.addr;
                         h.machine_type = m.machine_type;
@@ -72,15 +72,15 @@
         Seconds slept = loop_.now();
         co_await loop_.sleep(constants::kFleetTick_s);
         // Who stood still heard nobody: the machines were not silent, we did not listen.
-        if (loop_.now() - slept > constants::kFleetTick_s + constants::kStoodStill_s) {
-            log::info("stood still for {:.1f} s", loop_.now() - slept - constants::kFleetTick_s);
+        if (loop_.now() - slept > constants::kFleetTick_s + constants::kProcessStall_s) {
+            log::info("process_stalled", {{"stalled_s", loop_.now() - slept - constants::kFleetTick_s}});
             listening_since_ = loop_.now();
         }
         request_pass();  // time has passed: what was held may go
         return_machines_holding_cancelled();
-        if (loop_.now() - stops_repeated_at_ >= config_.report_s) {
+        if (loop_.now() - stops_repeated_at_ >= config_.heartbeat_interval_s) {
             stops_repeated_at_ = loop_.now();
-            jobs_.repeat_stops(loop_.now() - config_.report_s);
+            jobs_.repeat_stops(loop_.now() - config_.heartbeat_interval_s);
         }
         // A leader that was cut off or stood still may have been followed by another: what it rents and
         // returns by its old view would undo the other's work. Cut off for 120 s, one returned the whole
@@ -88,33 +88,35 @@
         if (!confirmed_()) continue;
         if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
-        if (term_.epoch > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
+        if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
         jobs_.find_stragglers(cluster_, loop_.now());
         jobs_.move_replicas(cluster_, loop_.now());
-        FleetInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
-                      refused_until_, on_order_, true,        kind_seen_spot_only(),
-                      cut_at_};
-        cluster_.recount(jobs_, loop_.now(), silent_after());  // without what is kept
+        ScalingInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
+                        refused_until_, on_order_, true,        kind_seen_spot_only(),
+                        cut_at_};
+        recount(cluster_, jobs_, loop_.now(), silent_after());  // without what is kept
         account(constants::kFleetTick_s);
-        FleetPlan plan = plan_fleet(cluster_, jobs_, in);
+        ScalingPlan plan = plan_scaling(cluster_, jobs_, in);
         for (const auto& zone : plan.cut) {
-            if (loop_.now() - cut_at_[zone] > constants::kWhyLog_s) log::info("zone {} seems cut off", zone);
+            if (loop_.now() - cut_at_[zone] > constants::kWaitLogInterval_s)
+                log::info("zone_partitioned", {{"zone", zone}});
             cut_at_[zone] = loop_.now();
         }
         for (auto& r : plan.rent) {
             while (r.number > 0) {
-                Rental part{r.kind, std::min(r.number, constants::kRentAtMost)};
+                ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerRental)};
                 r.number -= part.number;
                 on_order_.push_back(part);
                 spawn(rent(part), "rent");
             }
         }
         return_machines(plan);
-        for (const auto& name : plan.empty_out) {
+        for (const auto& name : plan.drain) {
             Machine* h = cluster_.machine(name);
             if (!h) continue;
-            log::info("machine {}: its {} tasks are moved, so that it can be returned", name, h->placed);
-            h->emptying = true;
+            log::info("machine_draining",
+                      {{"machine", name}, {"tasks", h->placed_tasks}, {"reason", "consolidation"}});
+            h->draining = true;
             drain(*h);
         }
         log_waiting();
@@ -122,20 +124,20 @@
     }
 }
 
-void Leader::return_machines(const FleetPlan& plan) {
+void Leader::return_machines(const ScalingPlan& plan) {
     std::vector<std::string> names;
     std::set<std::string> silent;
     auto send = [&] {
         if (!names.empty()) spawn(remove(std::exchange(names, {}), std::exchange(silent, {})), "return");
     };
-    for (const auto& name : plan.give_back) {
+    for (const auto& name : plan.scale_in) {
         Machine* h = cluster_.machine(name);
         if (!h || h->deleting) continue;
         h->deleting = true;
-        log::info("machine {} returned: {}", name, plan.reasons.at(name));
+        log::info("machine_returned", {{"machine", name}, {"reason", plan.reasons.at(name)}});
         names.push_back(name);
         if (plan.silent.contains(name)) silent.insert(name);
-        if (names.size() == constants::kDeleteAtMost) send();
+        if (names.size() == constants::kMachinesPerDeletion) send();
     }
     send();
 }
@@ -145,9 +147,9 @@
     while (!confirmed_()) co_await loop_.sleep(constants::kRetryPause_s);
 }
 
-Task<void> Leader::rent(Rental rental) {
+Task<void> Leader::rent(ScaleOutRequest rental) {
     // The epoch is never reused, so neither is the claim; it is repeated until its answer is known.
-    std::string claim = "r-" + std::to_string(term_.epoch) + "-" + std::to_string(++claims_);
+    std::string claim = "r-" + std::to_string(term_.fencing_token) + "-" + std::to_string(++claims_);
     Seconds pause = constants::kRetryPause_s;
     while (true) {
         co_await confirmation();
@@ -155,17 +157,20 @@
                                             rental.kind.spot, rental.number);
         if (r.result == Rent::kRented || r.result == Rent::kNoCapacity) {
             for (const auto& name : r.machines) {
-                if (gone_.contains(name)) continue;
+                if (deleted_machines_.contains(name)) continue;
                 Machine& h = cluster_.ensure(name, loop_.now());
                 if (h.reported) continue;
                 h.machine_type = rental.kind.machine_type;
                 h.zone = rental.kind.zone;
                 h.spot = rental.kind.spot;
             }
-            log::info("rented {} of {} {} in {}{}", r.machines.size(), rental.number,
-                      rental.kind.machine_type, rental.kind.zone, rental.kind.spot ? ", spot" : "");
+            log::info("machines_rented", {{"rented", r.machines.size()},
+                                          {"requested", rental.number},
+                                          {"type", rental.kind.machine_type},
+                                          {"zone", rental.kind.zone},
+                                          {"spot", rental.kind.spot}});
             if (r.machines.size() < static_cast<size_t>(rental.number))
-                refused_until_[rental.kind] = loop_.now() + constants::kNoCapacity_s;
+                refused_until_[rental.kind] = loop_.now() + constants::kNoCapacityRetry_s;
             break;
         }
         co_await loop_.sleep(pause);
@@ -188,9 +193,9 @@
         if (!perhaps)
             std::erase_if(names, [&](const std::string& name) {
                 Machine* h = cluster_.machine(name);
-                if (!h || !silent.contains(name) || h->last_report <= decided) return false;
+                if (!h || !silent.contains(name) || h->last_heartbeat <= decided) return false;
                 if (holds_cancelled(name)) return false;
-                log::info("machine {}: heard again, kept", name);
+                log::info("machine_kept", {{"machine", name}, {"reason", "reported_again"}});
                 h->deleting = false;
                 return true;
             });
@@ -209,7 +214,7 @@
         Removal r = co_await cloud_.remove(asked);
         if (r == Removal::kDone) {
             gone(asked);
-            std::erase_if(names, [&](const std::string& name) { return gone_.contains(name); });
+            std::erase_if(names, [&](const std::string& name) { return deleted_machines_.contains(name); });
             continue;
         }
         perhaps = perhaps || r == Removal::kUnknown;
@@ -221,13 +226,13 @@
 // Their deletion was confirmed.
 void Leader::gone(const std::vector<std::string>& names) {
     for (const auto& name : names) {
-        jobs_.machine_gone(name, loop_.now());
+        jobs_.machine_deleted(name, loop_.now());
         cluster_.machines.erase(name);
-        worker_sessions_.erase(name);  // wakes what waits on it
-        if (gone_.insert(name).second) gone_order_.push_back(name);
-        if (gone_order_.size() > constants::kGone) {
-            gone_.erase(gone_order_.front());
-            gone_order_.pop_front();
+        worker_connections_.erase(name);  // wakes what waits on it
+        if (deleted_machines_.insert(name).second) deleted_machines_order_.push_back(name);
+        if (deleted_machines_order_.size() > constants::kDeletedMachinesKept) {
+            deleted_machines_.erase(deleted_machines_order_.front());
+            deleted_machines_order_.pop_front();
         }
     }
     request_pass();
@@ -235,7 +240,7 @@
 
 bool Leader::holds_cancelled(const std::string& machine) const {
     const auto& tasks = jobs_.on_machine(machine);
-    return std::any_of(tasks.begin(), tasks.end(), [](const Resident& r) { return r.job->cancelled; });
+    return std::any_of(tasks.begin(), tasks.end(), [](const PlacedTask& r) { return r.job->cancelled; });
 }
 
 // In an outage of the state service for all this cannot wait for a confirmation. Where every peer knows
@@ -243,17 +248,17 @@
 // machine that is deleted runs nothing.
 void Leader::return_machines_holding_cancelled() {
     if (!confirmed_() && !no_other_leader_()) return;
-    FleetPlan plan;
-    plan.give_back = machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
-                                                std::max(loaded_at_, listening_since_));
-    for (const auto& name : plan.give_back) {
+    ScalingPlan plan;
+    plan.scale_in = machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
+                                               std::max(loaded_at_, listening_since_));
+    for (const auto& name : plan.scale_in) {
         plan.silent.insert(name);
         plan.reasons[name] = "it may hang with a task of a cancelled job";
     }
     return_machines(plan);
 }
 
-size_t Leader::machines_reported() const {
+size_t Leader::machines_seen() const {
     return static_cast<size_t>(std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
                                              [](const auto& h) { return h.second->reported; }));
 }
--- a/src/leader/operator_pages.cc
+++ b/src/leader/operator_pages.cc
@@ -1,4 +1,6 @@
 // What the leader tells operators: periodic log lines and the read-only pages.
+#include <fmt/format.h>
+
 #include <algorithm>
 
 #include "base/constants.h"
@@ -9,15 +11,22 @@
 
 void Leader::log_waiting() {
     for (const auto& [id, j] : jobs_.all()) {
-        if (!j->waiting() || loop_.now() - j->waiting_since < constants::kWhyLog_s) continue;
-        if (loop_.now() - j->why_logged < constants::kWhyLog_s) continue;
+        if (!j->waiting() || loop_.now() - j->waiting_since < constants::kWaitLogInterval_s) continue;
+        if (loop_.now() - j->why_logged < constants::kWaitLogInterval_s) continue;
         j->why_logged = loop_.now();
         if (j->spec.service())
-            log::info("service {}: {} of {} replicas up, {} wait, the first for {:.0f} s: {}", id, j->up(),
-                      j->spec.tasks, j->pending.size(), loop_.now() - j->waiting_since, wait_text(j->why));
+            log::info("service_waiting", {{"job", id},
+                                          {"running", j->running_replicas()},
+                                          {"replicas", j->spec.tasks},
+                                          {"waiting", j->pending.size()},
+                                          {"waited_s", loop_.now() - j->waiting_since},
+                                          {"reason", wait_reason_text(j->wait_reason)}});
         else
-            log::info("job {}: {} of {} tasks wait, the first for {:.0f} s: {}", id, j->pending.size(),
-                      j->spec.tasks, loop_.now() - j->waiting_since, wait_text(j->why));
+            log::info("job_waiting", {{"job", id},
+                                      {"waiting", j->pending.size()},
+                                      {"tasks", j->spec.tasks},
+                                      {"waited_s", loop_.now() - j->waiting_since},
+                                      {"reason", wait_reason_text(j->wait_reason)}});
     }
 }
 
@@ -41,7 +50,7 @@
 }
 
 void Leader::log_fleet() {
-    if (loop_.now() - fleet_logged_ < constants::kWhyLog_s) return;
+    if (loop_.now() - fleet_logged_ < constants::kWaitLogInterval_s) return;
     fleet_logged_ = loop_.now();
     size_t booting = 0;
     size_t spot = 0;
@@ -64,19 +73,23 @@
         ++jobs;
         waiting += j->pending.size();
     }
-    log::info(
-        "{} machines, {} of them spot, {} not up yet, {} idle; {:.0f} of {:.0f} GPUs taken; {} tasks of {} "
-        "jobs wait; {} records to be written; scheduling passes take up to {:.0f} ms",
-        cluster_.machines.size(), spot, booting, idle, gpus - free, gpus, waiting, jobs, jobs_.backlog(),
-        std::exchange(longest_pass_, 0) * 1000);
+    log::info("fleet", {{"machines", cluster_.machines.size()},
+                        {"spot", spot},
+                        {"booting", booting},
+                        {"idle", idle},
+                        {"gpus_used", gpus - free},
+                        {"gpus", gpus},
+                        {"tasks_waiting", waiting},
+                        {"jobs_waiting", jobs},
+                        {"unwritten_records", jobs_.backlog()},
+                        {"longest_pass_s", std::exchange(longest_pass_, 0)}});
     double all = spent_.booting + spent_.idle + spent_.unused + spent_.starting + spent_.running;
     if (all > 0)
-        log::info(
-            "GPU time: {:.0f}% running, {:.0f}% starting or stopping, {:.0f}% free on machines in use, "
-            "{:.0f}% on "
-            "idle machines, {:.0f}% booting",
-            100 * spent_.running / all, 100 * spent_.starting / all, 100 * spent_.unused / all,
-            100 * spent_.idle / all, 100 * spent_.booting / all);
+        log::info("gpu_time", {{"running_pct", 100 * spent_.running / all},
+                               {"starting_or_stopping_pct", 100 * spent_.starting / all},
+                               {"free_on_used_machines_pct", 100 * spent_.unused / all},
+                               {"idle_machines_pct", 100 * spent_.idle / all},
+                               {"booting_pct", 100 * spent_.booting / all}});
 }
 
 std::string Leader::jobs_page() const {
@@ -84,14 +97,16 @@
     for (const auto& [id, j] : jobs_.all()) {
         if (j->spec.service())
             s += fmt::format("{} service team {} {} of {} replicas up, {} on machines, {} waiting", id,
-                             j->spec.team, j->up(), j->spec.tasks, j->live.size(), j->pending.size());
+                             j->spec.team, j->running_replicas(), j->spec.tasks, j->live.size(),
+                             j->pending.size());
         else
             s += fmt::format("{} {} team {} {} of {} tasks done, {} on machines, {} waiting", id,
                              j->spec.gang() ? "gang" : "array", j->spec.team, j->done.size(), j->spec.tasks,
                              j->live.size(), j->pending.size());
         if (j->cancelled) s += ", cancelled";
         if (j->waiting())
-            s += fmt::format(" for {:.0f} s: {}", loop_.now() - j->waiting_since, wait_text(j->why));
+            s += fmt::format(" for {:.0f} s: {}", loop_.now() - j->waiting_since,
+                             wait_reason_text(j->wait_reason));
         s += '\n';
     }
     return s;
@@ -104,8 +119,8 @@
                             : h->phase == MachinePhase::kRunning ? "running"
                                                                  : "failed";
         s += fmt::format("{} {} {}{} {} {} tasks, report {:.0f} s ago{}{}\n", name, h->machine_type, h->zone,
-                         h->spot ? " spot" : "", phase, h->placed, loop_.now() - h->last_report,
-                         h->condemned ? ", condemned: " + h->why_condemned : "",
+                         h->spot ? " spot" : "", phase, h->placed_tasks, loop_.now() - h->last_heartbeat,
+                         h->cordoned ? ", condemned: " + h->cordon_reason : "",
                          h->deleting ? ", being returned" : "");
     }
     return s;
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -14,7 +14,7 @@
     while (!co_await read_records()) co_await loop_.sleep(constants::kRetryPause_s * 2);
     loaded_ = true;
     loaded_at_ = loop_.now();
-    log::info("view rebuilt from {} records in {:.0f} ms", jobs_.size(), (loaded_at_ - began) * 1000);
+    log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", loaded_at_ - began}});
     ready_.notify();
     spawn(run_passes(), "scheduling passes");
     spawn(watch(), "watch", Priority::kUrgent);  // the right to renew rests on it
@@ -31,8 +31,8 @@
     Seconds began = loop_.now();
     while (true) {
         ListResult page =
-            co_await state_.list(kLivePrefix, from, constants::kStatePage, constants::kStateCall_s * 2);
-        if (page.reply != Reply::kOk) co_return false;
+            co_await state_.list(kLivePrefix, from, constants::kRecordsPage, constants::kStateCall_s * 2);
+        if (page.status != StoreStatus::kOk) co_return false;
         if (revision == 0) revision = page.revision;  // changes since the first page are watched
         for (auto& e : page.entries) {
             from = e.key;
@@ -53,8 +53,8 @@
         std::string id = c.key.substr(kLivePrefix.size());
         if (!jobs_.quarantined(id))
             log::error(
-                "record {} is {}: nothing is decided about this job", c.key,
-                newer_record_format(c.data) ? "of a format newer than this version knows" : "not readable");
+                "job_quarantined",
+                {{"key", c.key}, {"reason", newer_record_format(c.data) ? "newer_format" : "malformed"}});
         jobs_.quarantine(id);
         return;
     }
@@ -74,7 +74,7 @@
     while (true) {
         Seconds sent = loop_.now();
         ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kWatchWait_s);
-        if (r.reply == Reply::kOk) {
+        if (r.status == StoreStatus::kOk) {
             pause = 0;
             for (const auto& c : r.changes) take_change(c);
             revision_ = std::max(revision_, r.revision);
@@ -83,7 +83,7 @@
             if (!r.changes.empty()) request_pass();
             continue;
         }
-        if (r.reply == Reply::kAbsent && co_await read_records()) {
+        if (r.status == StoreStatus::kNotFound && co_await read_records()) {
             // Never at once again: a service that keeps saying so must not be stampeded.
             request_pass();
             co_await loop_.sleep(constants::kRetryPause_s);
@@ -123,13 +123,13 @@
             for (size_t i = 1; i < batch.size(); ++i) jobs_.requeue(*batch[i]);
             batch.resize(1);
         }
-        Txn txn;
+        Transaction txn;
         txn.expect(term_.key, term_.mod_revision);
         std::vector<std::string> ids;
         std::set<std::string> final_ids;
         for (Job* j : batch) {
             const std::string& id = j->spec.id;
-            bool final = j->cancelled ? j->live.empty() : j->over();
+            bool final = j->cancelled ? j->live.empty() : j->finished();
             std::string data;
             if (!final) {
                 if (j->write_deferred(record_format)) continue;
@@ -155,8 +155,8 @@
         }
         if (ids.empty()) continue;
         writes_.take(static_cast<double>(txn.writes.size()), loop_.now());
-        TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-        if (r.reply == Reply::kOk) {
+        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+        if (r.status == StoreStatus::kOk) {
             pause = 0;
             std::set<std::string> machines;
             for (const auto& id : ids) {
@@ -170,17 +170,17 @@
             for (const auto& h : machines) wake(h);
             continue;
         }
-        if (r.reply == Reply::kInvalid && ids.size() == 1) {
+        if (r.status == StoreStatus::kInvalid && ids.size() == 1) {
             if (Job* j = jobs_.find(ids[0])) {
                 defer_write(*j, j->inflight, record_format, "refused by the state service");
                 if (!j->write_deferred(record_format)) jobs_.requeue(*j);  // it has changed since
             }
             continue;
         }
-        if (r.reply == Reply::kInvalid) alone = ids.size();
+        if (r.status == StoreStatus::kInvalid) alone = ids.size();
         for (const auto& id : ids)
             if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
-        if (r.reply == Reply::kConflict) {
+        if (r.status == StoreStatus::kConflict) {
             if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
                 deposed_("the leadership key has changed");
                 co_return;
@@ -191,7 +191,8 @@
             request_pass();
             continue;
         }
-        if (r.reply == Reply::kRefused || r.reply == Reply::kLimited) writes_.drain(loop_.now());
+        if (r.status == StoreStatus::kNotExecuted || r.status == StoreStatus::kRateLimited)
+            writes_.drain(loop_.now());
         pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
         co_await loop_.sleep(pause);
     }
@@ -199,8 +200,8 @@
 
 void Leader::defer_write(Job& job, uint64_t version, uint64_t record_format, const char* why) {
     if (job.deferred_format == 0)
-        log::error("job {}: its record of {} bytes is {}; it is kept here and written when it is smaller",
-                   job.spec.id, job.record_bytes(record_format), why);
+        log::error("record_write_deferred",
+                   {{"job", job.spec.id}, {"bytes", job.record_bytes(record_format)}, {"reason", why}});
     job.deferred_version = version;
     job.deferred_format = record_format;
 }
@@ -210,7 +211,7 @@
 Task<void> Leader::raise_record_format() {
     while (record_format_.kept < kNewestRecordFormat) {
         if (all_upgraded_()) {
-            Txn txn;
+            Transaction txn;
             txn.expect(term_.key, term_.mod_revision)
                 .expect(kRecordFormatKey, 0)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
@@ -227,15 +228,15 @@
 // A record has another mod revision than expected: its user withdrew the job, or an answer of ours was lost.
 Task<bool> Leader::reread(std::string id) {
     GetResult got = co_await state_.get(live_key(id), constants::kStateCall_s);
-    if (got.reply == Reply::kOk) {
+    if (got.status == StoreStatus::kOk) {
         take_change({live_key(id), false, got.entry.mod_revision, got.entry.data});
         co_return true;
     }
-    if (got.reply != Reply::kAbsent) co_return false;
+    if (got.status != StoreStatus::kNotFound) co_return false;
     GetResult end = co_await state_.get(final_key(id), constants::kStateCall_s);
-    if (end.reply == Reply::kOk) finished(id, end.entry.mod_revision);
-    if (end.reply == Reply::kAbsent) log::error("job {}: its record is gone", id);
-    co_return end.reply == Reply::kOk;
+    if (end.status == StoreStatus::kOk) finished(id, end.entry.mod_revision);
+    if (end.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", id}});
+    co_return end.status == StoreStatus::kOk;
 }
 
 void Leader::finished(const std::string& id, uint64_t revision) {
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -22,11 +22,11 @@
 
 // Known here before the state service can say so, the cancellation is none that the renewal right must wait
 // for: letting all leases run out because of a single job cost the work of the whole fleet.
-void Leader::note_cancellation(const std::string& id) {
+void Leader::observe_cancellation(const std::string& id) {
     cancellation_notices_[id] = loop_.now();
     Job* job = jobs_.find(id);
     if (!job || job->cancelled) return;
-    log::info("job {}: cancelled, as confirmed to its user", id);
+    log::info("job_cancelled", {{"job", id}, {"by", "confirmation_to_user"}});
     jobs_.cancel(*job, loop_.now());
     request_pass();
 }
@@ -51,43 +51,43 @@
         if (co_await loop_.wait(pass_done_, until) == Wake::kTimeout) break;
 }
 
-Task<Response> Leader::handle_report(Report r, Seconds hold, bool direct) {
+Task<Response> Leader::handle_heartbeat(WorkerHeartbeat r, Seconds hold, bool direct) {
     Response no{503, "", 0, "application/msgpack"};
-    if (r.epoch > term_.epoch) {
+    if (r.fencing_token > term_.fencing_token) {
         deposed_("a worker has seen a later epoch");
         co_return no;
     }
     Seconds began = loop_.now();
     while (!loaded_ && !stopped_)
         if (co_await loop_.wait(ready_, began + hold) == Wake::kTimeout) co_return no;
-    if (stopped_ || gone_.contains(r.machine)) co_return no;
+    if (stopped_ || deleted_machines_.contains(r.machine)) co_return no;
 
     std::string name = r.machine;
     Machine* h = &cluster_.ensure(name, loop_.now());
-    if (h->reported && !r.newer_than(h->session, h->seq)) co_return no;  // a late copy
-    uint64_t mine = ++worker_session(name).reports;
-    bool heard = h->unheard_since < 0;
-    h->judge_hearing(r, direct, config_.lease_s, loop_.now());
-    bool first = h->answered_at < 0;
+    if (h->reported && !r.newer_than(h->incarnation, h->sequence)) co_return no;  // a late copy
+    uint64_t mine = ++worker_connection(name).reports;
+    bool heard = !h->unreachable_since;
+    h->update_reachability(r, direct, config_.lease_s, loop_.now());
+    bool first = !h->answered_at;
     h->reported = true;
-    h->last_report = loop_.now();
+    h->last_heartbeat = loop_.now();
     bool was_current = h->current;
-    h->current = r.epoch == term_.epoch;
+    h->current = r.fencing_token == term_.fencing_token;
     // Also a machine that does not take up this epoch hears nothing.
-    if (h->current && !was_current) h->unheard_since = -1;
-    if (!h->current && !first && h->unheard_since < 0) h->unheard_since = loop_.now();
-    if (heard != (h->unheard_since < 0))
-        log::debug("machine {}: {}", name, heard ? "answers to it seem lost" : "hears us again");
-    bool noticed = h->leaves_at >= 0;
+    if (h->current && !was_current) h->unreachable_since.reset();
+    if (!h->current && !first && !h->unreachable_since) h->unreachable_since = loop_.now();
+    if (heard != (!h->unreachable_since))
+        log::debug("machine_reachability", {{"machine", name}, {"reachable", !heard}});
+    bool noticed = h->spot_reclaim_at.has_value();
     // Only a machine that has seen this epoch can no longer be given launches by an earlier leader, so only
     // then does a task's absence prove anything.
     bool news = jobs_.apply(cluster_, *h, r, h->current, loop_.now());
-    if (h->leaves_at >= 0 && !noticed) {
+    if (h->spot_reclaim_at && !noticed) {
         drain(*h);
         news = true;
     }
-    news = news || first || h->current != was_current || heard != (h->unheard_since < 0);
-    worker_session(name).wake.notify();  // an older report of it, if one is held, is let go
+    news = news || first || h->current != was_current || heard != (!h->unreachable_since);
+    worker_connection(name).wake.notify();  // an older report of it, if one is held, is let go
     if (news || wanted_ || asks_for_work(*h)) co_await join_pass(name, began + hold);
 
     // A commit is waited for from when it is needed, which may be late in a hold, but not past the time at
@@ -95,7 +95,7 @@
     Seconds commit_until = -1;
     while (true) {
         h = cluster_.machine(name);
-        if (stopped_ || !h || worker_session(name).reports != mine) co_return no;
+        if (stopped_ || !h || worker_connection(name).reports != mine) co_return no;
         Seconds until = -1;
         bool commits = jobs_.awaits_commit(*h);
         if (commits) {
@@ -103,9 +103,9 @@
                 commit_until =
                     std::min(loop_.now() + constants::kCommitWait_s, began + hold + constants::kCommitLast_s);
             until = commit_until;
-        } else if (h->usable && h->idle()) {
+        } else if (h->schedulable && h->idle()) {
             until = began + hold;
-        } else if (h->usable && replica_ && h->free.holds(*replica_) && jobs_.settled_on(*h)) {
+        } else if (h->schedulable && replica_ && h->free.holds(*replica_) && jobs_.settled_on(*h)) {
             // A replica that comes or is lost does not wait for the next report. Not for long: changes on the
             // machine are told in its next report, which does not go out before this is answered.
             until = began + std::min(hold, constants::kHoldBusy_s);
@@ -113,30 +113,29 @@
         if (loop_.now() >= until) break;
         Holding holding{*this, name};
         h->holding = !commits;
-        co_await loop_.wait(worker_session(name).wake, until);
+        co_await loop_.wait(worker_connection(name).wake, until);
     }
     if (!may_renew()) {
-        log::info("report of {} refused: a withdrawal could be missing", name);
+        log::info("heartbeat_refused", {{"machine", name}, {"reason", "cancellation_could_be_missing"}});
         co_return no;
     }
     Response ok;
     std::vector<Command> commands = jobs_.commands(*h, h->current);
     for (const auto& o : commands)
-        log::debug("{} {} attempt {} to {}",
-                   o.verb == CommandKind::kLaunch ? "launch"
-                   : o.verb == CommandKind::kStop ? "stop"
-                                                  : "forget",
-                   o.name.text(), o.attempt, name);
-    ok.body = pack_report_answer(term_.epoch, commands);
-    h->answered(direct && !worker_session(name).command_in_flight, loop_.now());
+        log::debug("command_sent", {{"command", command_name(o.verb)},
+                                    {"task", o.name.text()},
+                                    {"attempt", o.attempt},
+                                    {"machine", name}});
+    ok.body = pack_report_answer(term_.fencing_token, commands);
+    h->answered(direct && !worker_connection(name).command_in_flight, loop_.now());
     co_return ok;
 }
 
 // Whether a scheduling pass could bind something to a machine that has reported nothing new: most reports
 // come from machines that are full, or while nothing waits, and a pass looks at all machines.
 bool Leader::asks_for_work(Machine& machine) {
-    cluster_.recount_machine(machine, jobs_, loop_.now(), silent_after());
-    return machine.usable && least_waiting_ && machine.free.holds(*least_waiting_);
+    recount_machine(cluster_, machine, jobs_, loop_.now(), silent_after());
+    return machine.schedulable && least_waiting_ && machine.free.holds(*least_waiting_);
 }
 
 // A machine is about to be taken: what can save does so now, and replicas move at once. From a machine that
@@ -144,7 +143,7 @@
 void Leader::drain(Machine& machine) {
     auto tasks = jobs_.on_machine(machine.name);
     for (const auto& r : tasks)
-        if (r.job->spec.service() ? machine.leaves_at >= 0 : r.job->spec.checkpoint_s > 0)
+        if (r.job->spec.service() ? machine.spot_reclaim_at.has_value() : r.job->spec.checkpoint_s > 0)
             jobs_.stop(*r.job, r.task, loop_.now());
 }
 
@@ -164,7 +163,7 @@
         // With a fleet or a queue that is large for this machine's share of a core, scheduling passes come
         // less often: workers lose their tasks if they are not answered, and nothing if they wait for work.
         Seconds took = loop_.now() - began;
-        next_pass_ = began + std::max(constants::kPassInterval_s, took * (1 + constants::kPassRest));
+        next_pass_ = began + std::max(constants::kPassInterval_s, took * (1 + constants::kPassRestFactor));
         longest_pass_ = std::max(longest_pass_, took);
         ++passes_;
         pass_done_.notify();
@@ -178,16 +177,18 @@
 
 void Leader::step() {
     if (!loaded_ || stopped_) return;
-    cluster_.recount(jobs_, loop_.now(), silent_after());
+    recount(cluster_, jobs_, loop_.now(), silent_after());
     SchedulerInput in{config_, settings_, loop_.now(), {}, nullptr, record_format_.in_force()};
     for (auto& [name, h] : cluster_.machines)
-        if (h->holding) in.askers.push_back(h.get());
+        if (h->holding) in.requesting_machines.push_back(h.get());
     for (const auto& b : schedule(cluster_, jobs_, in))
-        log::debug("bound {}/{} attempt {} to {}", b.job->spec.id, b.task, b.job->live.at(b.task).attempt,
-                   b.machine->name);
-    note_demand();
+        log::debug("task_bound", {{"job", b.job->spec.id},
+                                  {"task", b.task},
+                                  {"attempt", b.job->live.at(b.task).attempt},
+                                  {"machine", b.machine->name}});
+    update_demand();
     for (const auto& machine : jobs_.take_urgent()) {
-        WorkerSession& l = worker_session(machine);
+        WorkerConnection& l = worker_connection(machine);
         if (l.command_in_flight) {
             l.again = true;
         } else if (Machine* h = cluster_.machine(machine); h && !h->addr.empty()) {
@@ -199,30 +200,31 @@
 }
 
 // What a machine must have room for at least to be given something, now and if a replica ends.
-void Leader::note_demand() {
+void Leader::update_demand() {
     replica_.reset();
     least_waiting_.reset();
     held_back_ = false;
-    auto lower = [](std::optional<Amount>& least, const JobSpec& spec) {
-        Amount amount = Amount::of(spec);
+    auto lower = [](std::optional<Resources>& least, const JobSpec& spec) {
+        Resources amount = Resources::of(spec);
         least = least ? least->lesser(amount) : amount;
     };
     for (const auto& [id, job] : jobs_.all()) {
         if (job->spec.service() && !job->cancelled) lower(replica_, job->spec);
         if (!job->waiting()) continue;
         lower(least_waiting_, job->spec);
-        held_back_ = held_back_ || job->why == Wait::kHeldForImage || job->why == Wait::kHeldForSpread;
+        held_back_ = held_back_ || job->wait_reason == WaitReason::kHeldForImage ||
+                     job->wait_reason == WaitReason::kHeldForSpread;
     }
 }
 
 Seconds Leader::silent_after() const {
-    return constants::kFreshReports * config_.report_s;
+    return constants::kFreshHeartbeats * config_.heartbeat_interval_s;
 }
 
 // Stops go at once; a gang must hear of its stop within gang_peer_s.
 Task<void> Leader::send_stops(std::string machine) {
     do {
-        worker_session(machine).again = false;
+        worker_connection(machine).again = false;
         Machine* h = cluster_.machine(machine);
         Address to;
         if (!h || !Address::parse(h->addr, to)) break;
@@ -231,25 +233,26 @@
         // One that has not reported to this leader may be held by another that knows less. Its session is
         // learned from its refusal; a command that it takes also tells it of this epoch, and through it the
         // other.
-        uint64_t session = h->session;
-        if (session == 0)
+        uint64_t incarnation = h->incarnation;
+        if (incarnation == 0)
             for (const auto& r : jobs_.on_machine(machine))
                 if (r.job->cancelled)
                     stops.push_back({CommandKind::kStop, {r.job->spec.id, r.task}, r.placement->attempt, 0});
         if (stops.empty()) break;
-        h->answered_direct = false;  // the command numbers a report, whether or not its answer arrives
-        auto report = co_await send_commands(loop_, to, term_.epoch, h->session, std::move(stops));
+        h->answered_directly = false;  // the command numbers a report, whether or not its answer arrives
+        auto report =
+            co_await send_commands(loop_, to, term_.fencing_token, h->incarnation, std::move(stops));
         h = cluster_.machine(machine);
-        if (report && h && report->newer_than(h->session, h->seq)) {
+        if (report && h && report->newer_than(h->incarnation, h->sequence)) {
             jobs_.apply(cluster_, *h, *report, false, loop_.now());
             request_pass();
-            if (session == 0) worker_session(machine).again = true;
+            if (incarnation == 0) worker_connection(machine).again = true;
         }
-    } while (worker_session(machine).again);
+    } while (worker_connection(machine).again);
     if (cluster_.machine(machine)) {
-        worker_session(machine).command_in_flight = false;
+        worker_connection(machine).command_in_flight = false;
     } else {
-        worker_sessions_.erase(machine);
+        worker_connections_.erase(machine);
     }
 }
 
--- a/src/loop/loop.cc
+++ b/src/loop/loop.cc
@@ -69,7 +69,7 @@
         if (!routine->cancelled) co_await task;
     } catch (const Cancelled&) {
     } catch (const std::exception& e) {
-        log::error("routine {} ended: {}", name, e.what());
+        log::error("routine_failed", {{"routine", name}, {"error", e.what()}});
     }
     state->routines.erase(routine->place);
 }
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -109,7 +109,7 @@
     ~Loop();
 
     Seconds now() const { return clock_.now(); }
-    Seconds wall() const { return clock_.wall(); }
+    WallTime wall() const { return clock_.wall(); }
 
     void run();
     bool turn(Seconds most);  // one turn; false if nothing happened
--- a/src/main.cc
+++ b/src/main.cc
@@ -4,7 +4,7 @@
 
 #include "base/log.h"
 #include "config/config.h"
-#include "node.h"
+#include "controller/controller.h"
 
 namespace {
 
@@ -27,11 +27,12 @@
         return 0;
     }
     const char* level = std::getenv("LOG_LEVEL");
-    if (!setup_log(level, config.label)) log::warn("LOG_LEVEL {} is unknown, taken as info", level);
+    if (!setup_log(level, config.label)) log::warn("log_level_unknown", {{"level", level}, {"used", "info"}});
     SystemClock clock;
     Loop loop(clock);
     Controller controller(loop, config, settings);
-    log::info("hareshore {} in {}, {} peers", HARESHORE_VERSION, config.zone, config.peers.size());
+    log::info("started",
+              {{"version", HARESHORE_VERSION}, {"zone", config.zone}, {"peers", config.peers.size()}});
     loop.run();
     return 0;
 }
--- a/src/jobs/spec.h
+++ b/src/model/job_spec.h
@@ -11,25 +11,25 @@
 namespace hareshore {
 
 // A service's tasks (replicas) run until the job is cancelled: none of them is ever done.
-enum class Shape : uint8_t { kArray, kGang, kService };
-enum class Rank : uint8_t { kIdle, kStandard, kHigh, kProduction };
+enum class JobKind : uint8_t { kArray, kGang, kService };
+enum class PriorityClass : uint8_t { kIdle, kStandard, kHigh, kProduction };
 
 struct JobSpec {
     std::string id, job_class, team;
-    Shape shape = Shape::kArray;
-    Rank rank = Rank::kStandard;
+    JobKind kind = JobKind::kArray;
+    PriorityClass priority = PriorityClass::kStandard;
     uint32_t tasks = 0;
     double cpus = 0, gpus = 0, memory_gb = 0;  // each task
     std::string image;
     double image_gb = 0;
     std::vector<std::string> machine_types;  // empty: any
     std::string zone;                        // empty: any
-    bool one_zone = false, apart = false, spot = false;
+    bool single_zone = false, spread_across_zones = false, spot = false;
     Seconds estimate_s = 0, checkpoint_s = 0, save_s = 0;
     std::optional<Seconds> due_s;
 
-    bool gang() const { return shape == Shape::kGang; }
-    bool service() const { return shape == Shape::kService; }
+    bool gang() const { return kind == JobKind::kGang; }
+    bool service() const { return kind == JobKind::kService; }
     bool allows(const std::string& machine_type, const std::string& in_zone, bool is_spot) const {
         if (is_spot && !spot) return false;
         if (!zone.empty() && zone != in_zone) return false;
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -44,12 +44,13 @@
     uint32_t cancellations_announced;  // cancellations that the sender's process has told users of, so far
     uint64_t incarnation;              // drawn by the sender's process when it began
     uint64_t asked_us;                 // in an answer: the asker's clock from the heartbeat that it answers
-    uint64_t epoch;                    // highest epoch the sender knows
+    uint64_t fencing_token;            // highest epoch the sender knows
     uint8_t leads;                     // it leads in that epoch
     uint8_t ready;                     // it takes users' requests
-    uint16_t reports_received;         // workers' reports that came to the sender itself in the last seconds
-    uint32_t state_age_ms;             // since the state service last answered it
-    uint32_t quiet_ms;  // for how long it has told no user of a cancellation; at most its uptime
+    uint16_t
+        worker_heartbeats_received;  // workers' reports that came to the sender itself in the last seconds
+    uint32_t store_age_ms;           // since the state service last answered it
+    uint32_t quiet_ms;               // for how long it has told no user of a cancellation; at most its uptime
 };
 
 struct RelayAnswerHead {
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -247,7 +247,7 @@
             }
         }
         if (reader.bad()) {
-            log::info("peer: closed a connection that does not speak the frame protocol");
+            log::info("peer_connection_closed", {{"reason", "not_the_frame_protocol"}});
             break;
         }
     }
--- a/src/scheduler/queue.cc
+++ b/src/scheduler/queue.cc
@@ -6,7 +6,8 @@
 namespace hareshore {
 
 ZoneRule::ZoneRule(const Job& job) : job_(job) {
-    if (!job.spec.one_zone && !job.spec.apart) return;  // an array may have thousands of placements
+    if (!job.spec.single_zone && !job.spec.spread_across_zones)
+        return;  // an array may have thousands of placements
     for (const auto& [task, p] : job.live) ++in_zone_[p.zone];
 }
 
@@ -15,23 +16,23 @@
     if (!s.zone.empty() && s.zone != zone) return 0;
     auto it = in_zone_.find(zone);
     uint32_t here = it == in_zone_.end() ? 0 : it->second;
-    if (s.one_zone)
+    if (s.single_zone)
         for (const auto& [z, n] : in_zone_)
             if (n > 0 && z != zone) return 0;
-    if (s.apart) {
+    if (s.spread_across_zones) {
         uint32_t most = (s.tasks + 1) / 2;
         return here >= most ? 0 : most - here;
     }
     return s.tasks;
 }
 
-std::set<const Job*> entitled_jobs(const Config& config, const JobTable& jobs) {
+std::set<const Job*> jobs_within_guarantee(const Config& config, const JobTable& jobs) {
     std::map<std::string, std::vector<const Job*>> by_team;
     bool guarantees = std::any_of(config.teams.begin(), config.teams.end(),
                                   [](const Team& t) { return t.cpus > 0 || t.gpus > 0; });
     if (!guarantees) return {};
     for (const auto& [id, job] : jobs.all())
-        if (!job->cancelled && !job->over()) by_team[job->spec.team].push_back(job.get());
+        if (!job->cancelled && !job->finished()) by_team[job->spec.team].push_back(job.get());
     std::set<const Job*> out;
     for (auto& [name, list] : by_team) {
         const Team* t = config.team(name);
@@ -51,26 +52,27 @@
     return out;
 }
 
-std::vector<Queued> queue_order(const JobTable& jobs, const SchedulerInput& in,
-                                const std::set<const Job*>& entitled) {
-    std::vector<Queued> q;
+std::vector<QueuedJob> queue_order(const JobTable& jobs, const SchedulerInput& in,
+                                   const std::set<const Job*>& within_guarantee) {
+    std::vector<QueuedJob> q;
     for (const auto& [id, job] : jobs.all()) {
         if (!job->waiting()) continue;
-        Queued e;
+        QueuedJob e;
         e.job = job.get();
-        e.entitled = entitled.contains(job.get());
-        e.first = job->spec.service() && job->spec.rank == Rank::kProduction;
+        e.within_guarantee = within_guarantee.contains(job.get());
+        e.first = job->spec.service() && job->spec.priority == PriorityClass::kProduction;
         e.starved = in.now - job->accepted > in.settings.begin_bound_s && job->live.empty() &&
-                    job->done.empty() && !job->blamed;
+                    job->done.empty() && !job->failing;
         e.aged = in.now - job->waiting_since > in.settings.age_bound_s;
-        e.lost = job->aims_lost(in.config, in.now);
+        e.lost = job->missed_objectives(in.config, in.now);
         q.push_back(e);
     }
-    std::sort(q.begin(), q.end(), [](const Queued& a, const Queued& b) {
-        auto key = [](const Queued& queued) {
+    std::sort(q.begin(), q.end(), [](const QueuedJob& a, const QueuedJob& b) {
+        auto key = [](const QueuedJob& queued) {
             if (queued.starved) return std::tuple(false, false, false, 0, 0, false, queued.job->accepted);
-            return std::tuple(true, !queued.first, !queued.entitled, -static_cast<int>(queued.job->spec.rank),
-                              queued.lost, !queued.aged, queued.job->accepted);
+            return std::tuple(true, !queued.first, !queued.within_guarantee,
+                              -static_cast<int>(queued.job->spec.priority), queued.lost, !queued.aged,
+                              queued.job->accepted);
         };
         auto x = key(a), y = key(b);
         return x != y ? x < y : a.job->spec.id < b.job->spec.id;
@@ -78,10 +80,10 @@
     return q;
 }
 
-Amount least_of(const std::vector<Queued>& jobs) {
+Resources least_of(const std::vector<QueuedJob>& jobs) {
     if (jobs.empty()) return {};
-    Amount least = Amount::of(jobs.front().job->spec);
-    for (const auto& q : jobs) least = least.lesser(Amount::of(q.job->spec));
+    Resources least = Resources::of(jobs.front().job->spec);
+    for (const auto& q : jobs) least = least.lesser(Resources::of(q.job->spec));
     return least;
 }
 
--- a/src/scheduler/queue.h
+++ b/src/scheduler/queue.h
@@ -14,30 +14,30 @@
     const Settings& settings;
     Seconds now = 0;
     // Machines whose reports ask for work now: the one that reports, and those whose reports are held.
-    std::vector<Machine*> askers;
+    std::vector<Machine*> requesting_machines;
     uint64_t* steps =
         nullptr;  // counts the steps taken, machines looked at above all; for tests of their growth
     uint64_t record_format = kNewestRecordFormat;  // of the records that are written now
 };
 
 // Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
-std::set<const Job*> entitled_jobs(const Config& config, const JobTable& jobs);
+std::set<const Job*> jobs_within_guarantee(const Config& config, const JobTable& jobs);
 
 // The waiting jobs in the order in which they are served: those that would else starve, services of
 // production rank, work within a guarantee, then by priority, aged jobs before others, oldest first.
-struct Queued {
+struct QueuedJob {
     Job* job = nullptr;
     bool first = false;    // a service of production rank: goes before all that has not starved
     bool starved = false;  // nothing of it has begun for so long that it goes before all others
-    bool entitled = false;
+    bool within_guarantee = false;
     bool aged = false;
     int lost = 0;  // aims that it misses whatever is done: after those that can still make more of them
 };
-std::vector<Queued> queue_order(const JobTable& jobs, const SchedulerInput& in,
-                                const std::set<const Job*>& entitled);
+std::vector<QueuedJob> queue_order(const JobTable& jobs, const SchedulerInput& in,
+                                   const std::set<const Job*>& within_guarantee);
 
 // What none of the jobs asks less than: a machine without it need not be offered to each.
-Amount least_of(const std::vector<Queued>& jobs);
+Resources least_of(const std::vector<QueuedJob>& jobs);
 
 // The zones in which tasks of the job may start now, and how many more in each.
 class ZoneRule {
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -16,10 +16,10 @@
     Scheduler(Cluster& c, JobTable& j, const SchedulerInput& in) : cluster_(c), jobs_(j), in_(in) {}
 
     std::vector<Binding> run() {
-        entitled_ = entitled_jobs(in_.config, jobs_);
-        auto queue = queue_order(jobs_, in_, entitled_);
+        within_guarantee_ = jobs_within_guarantee(in_.config, jobs_);
+        auto queue = queue_order(jobs_, in_, within_guarantee_);
         for (auto& h : cluster_.machines)
-            if (h.second->usable) usable_.push_back(h.second.get());
+            if (h.second->schedulable) schedulable_.push_back(h.second.get());
         for (size_t i = 0; i < queue.size();) {
             size_t end = i;
             while (end < queue.size() && same_class(queue[i], queue[end])) ++end;
@@ -41,16 +41,17 @@
         if (in_.steps) *in_.steps += steps;
     }
 
-    static bool same_class(const Queued& a, const Queued& b) {
+    static bool same_class(const QueuedJob& a, const QueuedJob& b) {
         if (a.starved || b.starved) return a.starved == b.starved;
-        return a.first == b.first && a.entitled == b.entitled && a.job->spec.rank == b.job->spec.rank;
+        return a.first == b.first && a.within_guarantee == b.within_guarantee &&
+               a.job->spec.priority == b.job->spec.priority;
     }
 
     bool within_limit(const JobSpec& s, uint32_t n) const {
-        TeamUse kept;
+        TeamUsage kept;
         if (auto it = kept_limit_.find(s.team); it != kept_limit_.end()) {
             for (const auto& k : it->second) {
-                if (!k.starved && k.rank <= s.rank) continue;
+                if (!k.starved && k.priority <= s.priority) continue;
                 if (!s.service() && in_.now + s.estimate_s < k.lent_until) continue;
                 kept.cpus += k.use.cpus;
                 kept.gpus += k.use.gpus;
@@ -72,11 +73,11 @@
 
     bool may_start(Job& job) {
         if (in_.now < job.not_before) {
-            job.why = Wait::kBackoff;
+            job.wait_reason = WaitReason::kBackoff;
             return false;
         }
-        if (job.orphan) {
-            job.why = Wait::kOldAttempt;
+        if (job.has_unplaced_task) {
+            job.wait_reason = WaitReason::kOldAttempt;
             return false;
         }
         return true;
@@ -84,48 +85,48 @@
 
     bool fits(const Job& job, const Machine& h) const {
         // Cheapest first: most machines of a busy fleet are full.
-        return h.usable && h.free.holds(job.spec) && room(job, h).holds(job.spec) &&
+        return h.schedulable && h.free.holds(job.spec) && room(job, h).holds(job.spec) &&
                job.spec.allows(h.machine_type, h.zone, h.spot) && !avoids(job, h);
     }
 
     // What a job may use of a machine's room. What is kept for a gang is lent to work that is expected to
     // be over before the gang can start.
-    Amount room(const Job& job, const Machine& h) const {
-        Amount a = h.free;
-        if (h.kept.cpus <= 0 && h.kept.gpus <= 0 && h.kept.memory_gb <= 0) return a;
+    Resources room(const Job& job, const Machine& h) const {
+        Resources a = h.free;
+        if (h.reserved.cpus <= 0 && h.reserved.gpus <= 0 && h.reserved.memory_gb <= 0) return a;
         const MachineType* f = cluster_.machine_type(h.machine_type);
         Seconds fetch = f && f->fetch_gb_per_s > 0 && !h.cache.has(job.spec.image)
                             ? job.spec.image_gb / f->fetch_gb_per_s
                             : 0;
         // A service does not end.
-        if (job.spec.service() || in_.now + fetch + job.spec.estimate_s > h.kept_until) a -= h.kept;
+        if (job.spec.service() || in_.now + fetch + job.spec.estimate_s > h.reserved_until) a -= h.reserved;
         return a;
     }
 
     // A job keeps away from machines it failed on, unless it is blamed itself.
     static bool avoids(const Job& job, const Machine& h) {
-        return !job.blamed && job.failed_on.contains(h.name);
+        return !job.failing && job.failed_on.contains(h.name);
     }
 
     void bind(Job& job, uint32_t task, Machine& h, uint64_t attempt) {
         jobs_.bind(job, task, h, attempt, in_.now);
-        h.free -= Amount::of(job.spec);
-        ++h.placed;
+        h.free -= Resources::of(job.spec);
+        ++h.placed_tasks;
         ++h.changes;
-        h.idle_since = -1;
+        h.idle_since.reset();
         auto& use = cluster_.teams[job.spec.team];
         use.cpus += job.spec.cpus;
         use.gpus += job.spec.gpus;
-        job.why = job.pending.empty() ? Wait::kNone : Wait::kNoRoom;
+        job.wait_reason = job.pending.empty() ? WaitReason::kNone : WaitReason::kNoRoom;
         bound_.push_back({&job, task, &h});
     }
 
     // In the order of the queue: what is placed task by task is pulled by the askers; a gang of several
     // tasks is placed whole, or keeps the room that it waits for from all that come after it.
-    void serve_class(const std::vector<Queued>& jobs) {
+    void serve_class(const std::vector<QueuedJob>& jobs) {
         for (const auto& q : jobs)
             if (q.job->spec.gang()) claim_holders(q);
-        std::vector<Queued> singles;
+        std::vector<QueuedJob> singles;
         for (const auto& q : jobs) {
             if (q.job->spec.gang() && q.job->spec.tasks > 1) {
                 serve_singles(std::exchange(singles, {}));
@@ -137,35 +138,36 @@
         }
         serve_singles(singles);
         for (const auto& q : jobs)  // no machine that asked had room to be offered
-            if (q.job->why == Wait::kNew && q.job->waiting()) q.job->why = Wait::kNoRoom;
+            if (q.job->wait_reason == WaitReason::kNew && q.job->waiting())
+                q.job->wait_reason = WaitReason::kNoRoom;
     }
 
-    void serve_singles(const std::vector<Queued>& jobs) {
+    void serve_singles(const std::vector<QueuedJob>& jobs) {
         if (jobs.empty()) return;
         for (const auto& q : jobs)
             if (q.job->spec.gang() && may_start(*q.job) && !within_limit(q.job->spec, 1)) {
-                q.job->why = Wait::kTeamLimit;
+                q.job->wait_reason = WaitReason::kTeamLimit;
                 make_limit(q, 1);
                 keep_limit(q, std::nullopt);
             }
-        Amount least = least_of(jobs);
-        for (Machine* h : in_.askers)
-            if (h->usable && h->free.holds(least)) pull(jobs, *h);
+        Resources least = least_of(jobs);
+        for (Machine* h : in_.requesting_machines)
+            if (h->schedulable && h->free.holds(least)) pull(jobs, *h);
         for (const auto& q : jobs) make_room(q);
     }
 
     // One machine asks: it gets tasks until none fits it.
-    void pull(const std::vector<Queued>& jobs, Machine& h) {
+    void pull(const std::vector<QueuedJob>& jobs, Machine& h) {
         while (Job* job = pick(jobs, h)) {
             if (job->spec.gang()) job->attempt = job->next_attempt;
             bind(*job, *job->pending.first(), h, job->next_attempt++);
         }
     }
 
-    Job* pick(const std::vector<Queued>& jobs, Machine& h) {
+    Job* pick(const std::vector<QueuedJob>& jobs, Machine& h) {
         Job* best = nullptr;
         double best_gb = -1;
-        const Queued* first = nullptr;
+        const QueuedJob* first = nullptr;
         for (const auto& q : jobs) {
             Job& job = *q.job;
             if (first && (first->aged || job.accepted - first->job->accepted > in_.settings.similar_age_s))
@@ -174,25 +176,25 @@
             // A starved array is let begin; the rest of it takes its usual place.
             if (q.starved && !job.live.empty()) continue;
             if (!within_limit(job.spec, 1)) {
-                job.why = Wait::kTeamLimit;
+                job.wait_reason = WaitReason::kTeamLimit;
                 continue;
             }
             if (!fits(job, h) || ZoneRule(job).room(h.zone) == 0) {
-                if (job.why != Wait::kHeldForImage) job.why = Wait::kNoRoom;
+                if (job.wait_reason != WaitReason::kHeldForImage) job.wait_reason = WaitReason::kNoRoom;
                 continue;
             }
             const Machine* one[] = {&h};
             if (!job.room_in_record(in_.config, in_.record_format, one)) {
-                job.why = Wait::kRecordFull;
+                job.wait_reason = WaitReason::kRecordFull;
                 continue;
             }
             bool cached = h.cache.has(job.spec.image);
-            if (!cached && (in_.now < job.claimed_until || worth_holding(job, h))) {
-                job.why = Wait::kHeldForImage;
+            if (!cached && (in_.now < job.image_preemption_until || worth_holding(job, h))) {
+                job.wait_reason = WaitReason::kHeldForImage;
                 continue;
             }
             if (job.spec.service() && spreads_better(job, h)) {
-                job.why = Wait::kHeldForSpread;
+                job.wait_reason = WaitReason::kHeldForSpread;
                 continue;
             }
             double gb = cached ? job.spec.image_gb : 0;
@@ -215,7 +217,7 @@
         const MachineType* f = cluster_.machine_type(asker.machine_type);
         Seconds fetch = f && f->fetch_gb_per_s > 0 ? job.spec.image_gb / f->fetch_gb_per_s : 0;
         if (waited >= constants::kImageHoldShare * fetch) return false;
-        return static_cast<double>(holders(job, asker, UINT32_MAX)) * fetch > in_.config.report_s;
+        return static_cast<double>(holders(job, asker, UINT32_MAX)) * fetch > in_.config.heartbeat_interval_s;
     }
 
     // How much would be lost with the machine of what the job has elsewhere already: its replicas there, and
@@ -236,8 +238,8 @@
         size_t mine = crowding(job, asker, spot);
         if (mine <= put_up_with) return false;
         ZoneRule rule(job);
-        count(usable_.size());
-        return std::any_of(usable_.begin(), usable_.end(), [&](const Machine* h) {
+        count(schedulable_.size());
+        return std::any_of(schedulable_.begin(), schedulable_.end(), [&](const Machine* h) {
             return h != &asker && fits(job, *h) && rule.room(h->zone) > 0 && crowding(job, *h, spot) < mine;
         });
     }
@@ -247,8 +249,8 @@
         uint32_t n = 0;
         auto [it, fresh] = holders_.try_emplace(job.spec.image);
         if (fresh) {
-            count(usable_.size());
-            for (Machine* h : usable_)
+            count(schedulable_.size());
+            for (Machine* h : schedulable_)
                 if (h->cache.has(job.spec.image)) it->second.push_back(h);
         }
         for (const Machine* h : it->second)
@@ -265,18 +267,18 @@
         uint32_t& most =
             most_places_.try_emplace({s.cpus, s.gpus, s.memory_gb, zone}, UINT32_MAX).first->second;
         if (n > most) return {};
-        count(usable_.size());
+        count(schedulable_.size());
         most = 0;
-        for (Machine* h : usable_)
-            if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kReportPieces);
+        for (Machine* h : schedulable_)
+            if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kHeartbeatTasks);
         if (n > most) return {};
-        for (Machine* h : usable_)
+        for (Machine* h : schedulable_)
             if ((zone.empty() || h->zone == zone) && fits(job, *h)) machines.push_back(h);
         // Of machines that are alike, those that can be told first: a held report is answered at once, and
         // the next one comes soonest from where the last is oldest.
         auto key = [&](const Machine* h) {
             return std::tuple(!h->cache.has(job.spec.image), h->free.gpus, h->free.cpus, !h->holding,
-                              h->last_report);
+                              h->last_heartbeat);
         };
         std::sort(machines.begin(), machines.end(), [&](const Machine* a, const Machine* b) {
             auto x = key(a), y = key(b);
@@ -298,25 +300,26 @@
         return {};
     }
 
-    void place_gang(const Queued& q) {
+    void place_gang(const QueuedJob& q) {
         Job& job = *q.job;
         if (job.pending.empty()) return;
         bool fresh = job.live.empty();
         // Tasks of the last attempt are still on their machines; a gang that has started or is ending
         // takes no replacement.
         if (!fresh && (job.started || job.broken)) {
-            job.why = Wait::kOldAttempt;
+            job.wait_reason = WaitReason::kOldAttempt;
             return;
         }
         auto n = static_cast<uint32_t>(job.pending.size());
         if (!within_limit(job.spec, n)) {
-            job.why = Wait::kTeamLimit;
+            job.wait_reason = WaitReason::kTeamLimit;
             make_limit(q, n);
             return;
         }
         std::vector<Machine*> best;
         uint32_t best_cached = 0;
-        std::vector<std::string> zones = job.spec.one_zone ? in_.config.zones : std::vector<std::string>{""};
+        std::vector<std::string> zones =
+            job.spec.single_zone ? in_.config.zones : std::vector<std::string>{""};
         for (const auto& zone : zones) {
             uint32_t cached = 0;
             auto machines = gang_machines(job, zone, n, cached);
@@ -326,16 +329,16 @@
             }
         }
         if (best.empty()) {
-            job.why = Wait::kGangRoom;
+            job.wait_reason = WaitReason::kGangRoom;
             return;
         }
-        if (in_.now < job.claimed_until && best_cached < n) {
-            job.why = Wait::kHeldForImage;
+        if (in_.now < job.image_preemption_until && best_cached < n) {
+            job.wait_reason = WaitReason::kHeldForImage;
             return;
         }
         std::vector<const Machine*> on(best.begin(), best.end());
         if (!job.room_in_record(in_.config, in_.record_format, on)) {
-            job.why = Wait::kRecordFull;
+            job.wait_reason = WaitReason::kRecordFull;
             return;
         }
         if (fresh) job.attempt = job.next_attempt++;
@@ -344,7 +347,8 @@
 
     void stop_for(const Job& gainer, const std::vector<Victim>& victims) {
         for (const Victim& v : victims) {
-            log::debug("task {}/{} is stopped for job {}", v.job->spec.id, v.task, gainer.spec.id);
+            log::debug("task_preempted",
+                       {{"job", v.job->spec.id}, {"task", v.task}, {"for_job", gainer.spec.id}});
             ++v.machine->changes;
             jobs_.stop(*v.job, v.task, in_.now, true);
         }
@@ -356,27 +360,27 @@
     // to the team's other work, it would be lacking when the machines come free. Until then it is lent, as
     // the machines are, to work that is expected to end before `room_at`, when there is room for all of the
     // gang. Comes last of what is done for the gang, which would else count it twice.
-    void keep_limit(const Queued& q, std::optional<Seconds> room_at) {
+    void keep_limit(const QueuedJob& q, std::optional<Seconds> room_at) {
         const Job& job = *q.job;
-        bool lacks_room = job.why == Wait::kGangRoom && (q.starved || room_at);
-        if (job.pending.empty() || !(job.why == Wait::kTeamLimit || lacks_room)) return;
+        bool lacks_room = job.wait_reason == WaitReason::kGangRoom && (q.starved || room_at);
+        if (job.pending.empty() || !(job.wait_reason == WaitReason::kTeamLimit || lacks_room)) return;
         double n = job.pending.size();
         Seconds lent_until = q.starved ? in_.now : room_at.value_or(in_.now);
         kept_limit_[job.spec.team].push_back(
-            {job.spec.rank, q.starved, {n * job.spec.cpus, n * job.spec.gpus}, lent_until});
+            {job.spec.priority, q.starved, {n * job.spec.cpus, n * job.spec.gpus}, lent_until});
     }
 
     // A gang that starves for want of its team's limit: the team's own lower work yields.
-    void make_limit(const Queued& q, uint32_t n) {
+    void make_limit(const QueuedJob& q, uint32_t n) {
         const JobSpec& s = q.job->spec;
         const Team* team = in_.config.team(s.team);
         if (!team) return;
         if (!q.starved || ++sought_ > constants::kRoomJobs) return;
         std::vector<Victim> victims;
-        TeamUse freed;
+        TeamUsage freed;
         for (const auto& [id, v] : jobs_.all()) {
             if (v->spec.team != s.team) continue;
-            bool yields = v->spec.rank < s.rank && !v->cancelled && !v->spec.service() &&
+            bool yields = v->spec.priority < s.priority && !v->cancelled && !v->spec.service() &&
                           (!v->spec.gang() || v->spec.tasks == 1);
             for (const auto& [task, p] : v->live) {
                 if (p.stopping) {
@@ -402,10 +406,11 @@
 
     // A gang whose image takes long to fetch, and whose holders are busy with work that yields and loses
     // little: that work is stopped at once and the gang waits for the room, rather than for the fetch.
-    void claim_holders(const Queued& q) {
+    void claim_holders(const QueuedJob& q) {
         Job& job = *q.job;
-        if (job.claim_for == job.waiting_since || !job.live.empty() || !may_start(job)) return;
-        job.claim_for = job.waiting_since;
+        if (job.image_preemption_tried_for == job.waiting_since || !job.live.empty() || !may_start(job))
+            return;
+        job.image_preemption_tried_for = job.waiting_since;
         uint32_t n = job.pending.size();
         if (!within_limit(job.spec, n)) return;
         // Only holders, and only work that need not save first.
@@ -413,7 +418,7 @@
         for (const Offer& o : offers_of(q)) {
             const MachineType* f = cluster_.machine_type(o.machine->machine_type);
             if (!o.machine->cache.has(job.spec.image) ||
-                job.spec.image_gb < constants::kClaimFetch_s * f->fetch_gb_per_s)
+                job.spec.image_gb < constants::kImagePreemptionFetch_s * f->fetch_gb_per_s)
                 continue;
             offers.push_back(o);
             Offer& mine = offers.back();
@@ -429,7 +434,8 @@
             mine.steps.resize(kept);
             mine.losses.resize(kept);
         }
-        std::vector<std::string> zones = job.spec.one_zone ? in_.config.zones : std::vector<std::string>{""};
+        std::vector<std::string> zones =
+            job.spec.single_zone ? in_.config.zones : std::vector<std::string>{""};
         Room best;
         for (const auto& zone : zones) {
             if (!zone.empty() && ZoneRule(job).room(zone) == 0) continue;
@@ -438,7 +444,7 @@
         }
         if (!best.whole || best.victims.empty()) return;
         stop_for(job, best.victims);
-        job.claimed_until = in_.now + constants::kClaimWait_s;
+        job.image_preemption_until = in_.now + constants::kImagePreemptionWait_s;
         keep(job, best.keep, in_.now);
     }
 
@@ -459,20 +465,20 @@
     // found once a scheduling pass, and again only of machines that have changed since. Looked at job by job,
     // a queue of 100 gangs cost 700 machines each, and a scheduling pass took longer than the leader's share
     // allows.
-    using Demand = std::tuple<double, double, double, std::vector<std::string>, std::string, bool, Shape,
-                              Rank, bool, std::string>;
-    static Demand demand(const Queued& q) {
+    using Demand = std::tuple<double, double, double, std::vector<std::string>, std::string, bool, JobKind,
+                              PriorityClass, bool, std::string>;
+    static Demand demand(const QueuedJob& q) {
         const JobSpec& s = q.job->spec;
-        return {s.cpus, s.gpus,  s.memory_gb, s.machine_types, s.zone,
-                s.spot, s.shape, s.rank,      q.entitled,      q.entitled ? s.team : std::string()};
+        return {s.cpus, s.gpus, s.memory_gb, s.machine_types,    s.zone,
+                s.spot, s.kind, s.priority,  q.within_guarantee, q.within_guarantee ? s.team : std::string()};
     }
 
-    const std::vector<Offer>& offers_of(const Queued& q) {
+    const std::vector<Offer>& offers_of(const QueuedJob& q) {
         auto [it, fresh] = offers_.try_emplace(demand(q));
         std::vector<Offer>& list = it->second;
         if (fresh) {
-            count(usable_.size());
-            for (Machine* h : usable_)
+            count(schedulable_.size());
+            for (Machine* h : schedulable_)
                 if (q.job->spec.allows(h->machine_type, h->zone, h->spot)) list.push_back(offer(q, *h));
         }
         for (Offer& o : list)
@@ -485,8 +491,8 @@
 
     void keep(const Job& job, const std::vector<Machine*>& places, Seconds until) {
         for (Machine* h : places) {
-            h->kept += Amount::of(job.spec);
-            h->kept_until = std::max(h->kept_until, until);
+            h->reserved += Resources::of(job.spec);
+            h->reserved_until = std::max(h->reserved_until, until);
             ++h->changes;
         }
     }
@@ -494,43 +500,44 @@
     // When a placement is expected to end. Estimates are often wrong by half: what is overdue is expected
     // to take a part of its time again.
     Seconds expected_end(const Job& job, const Placement& p) const {
-        Seconds since = p.running_since >= 0 ? p.running_since : in_.now;
+        Seconds since = p.running_since.value_or(in_.now);
         Seconds spent = in_.now - since;
         return in_.now + std::max(job.spec.estimate_s - spent, constants::kOverdueShare * spent);
     }
 
-    bool yields(const Job& victim, const Queued& q) const {
+    bool yields(const Job& victim, const QueuedJob& q) const {
         if (&victim == q.job || victim.cancelled) return false;
         if (victim.spec.service()) return false;  // its replicas make room for nobody
         // Stopped, its only task would be what a starved job began with, and it would take the room again.
         if (in_.now - victim.accepted > in_.settings.begin_bound_s && victim.done.empty() &&
             victim.live.size() == 1)
             return false;
-        bool guarded = entitled_.contains(&victim) && !q.entitled && !q.first;
-        if (victim.spec.rank < q.job->spec.rank && !guarded) return true;
-        return q.entitled && victim.spec.team != q.job->spec.team && !entitled_.contains(&victim);
+        bool guarded = within_guarantee_.contains(&victim) && !q.within_guarantee && !q.first;
+        if (victim.spec.priority < q.job->spec.priority && !guarded) return true;
+        return q.within_guarantee && victim.spec.team != q.job->spec.team &&
+               !within_guarantee_.contains(&victim);
     }
 
     // What stopping a task costs, in GPU seconds: the progress since its last checkpoint, or what its start
     // took so far, and its next start.
     double loss(const Victim& v) const {
         const Placement& p = *v.placement;
-        Seconds spent = in_.now - (p.running_since >= 0 ? p.running_since : p.bound_at);
+        Seconds spent = in_.now - (p.running_since.value_or(p.bound_at));
         // A start counts for the aims only if the task is not stopped soon after it.
-        if (p.running_since < 0 || spent < constants::kStartCounts_s)
+        if (!p.running_since || spent < constants::kStartCounts_s)
             spent += constants::kStartCounts_s;
         else if (v.job->spec.checkpoint_s > 0)
             spent = std::fmod(spent, v.job->spec.checkpoint_s);
         // A gang is stopped whole.
         uint32_t tasks = v.job->spec.gang() ? v.job->spec.tasks : 1;
-        return tasks * v.job->spec.gpus * (spent + constants::kStartLead_s);
+        return tasks * v.job->spec.gpus * (spent + constants::kStartLatency_s);
     }
 
     // Those that lose least go first: arrays before gangs, what can save before what cannot, the lowest
     // priority, those that are late anyway, and the least lost by the stop.
     void sort_by_loss(std::vector<Victim>& victims) const {
         auto key = [&](const Victim& v) {
-            return std::tuple(v.job->spec.gang(), v.job->spec.checkpoint_s <= 0, v.job->spec.rank,
+            return std::tuple(v.job->spec.gang(), v.job->spec.checkpoint_s <= 0, v.job->spec.priority,
                               !v.job->late(in_.config, in_.now), loss(v));
         };
         std::sort(victims.begin(), victims.end(), [&](const Victim& a, const Victim& b) {
@@ -539,31 +546,31 @@
         });
     }
 
-    Offer offer(const Queued& q, Machine& h) {
+    Offer offer(const QueuedJob& q, Machine& h) {
         Offer o;
         o.machine = &h;
         o.changes = h.changes;
-        Amount room = h.free;
-        room -= h.kept;
+        Resources room = h.free;
+        room -= h.reserved;
         std::vector<Victim> victims;
-        std::vector<std::pair<Seconds, Amount>> ends;
+        std::vector<std::pair<Seconds, Resources>> ends;
         for (const auto& [v, task, p] : jobs_.on_machine(h.name)) {
             if (p->stopping) {
-                room += Amount::of(v->spec);
+                room += Resources::of(v->spec);
                 continue;
             }
             // Only gangs wait for what comes free by itself.
             if (q.job->spec.gang() && !v->spec.service())
-                ends.emplace_back(expected_end(*v, *p), Amount::of(v->spec));
+                ends.emplace_back(expected_end(*v, *p), Resources::of(v->spec));
             // A service does not wait for a gang to end, which may take all the room there is.
             bool whole = !v->spec.gang() || v->spec.tasks == 1 || q.job->spec.service();
             if (yields(*v, q) && whole) victims.push_back({v, task, p, &h});
         }
-        const uint32_t most = constants::kReportPieces;  // no machine reports more tasks
+        const uint32_t most = constants::kHeartbeatTasks;  // no machine reports more tasks
         o.places = room.fits(q.job->spec, most);
         if (victims.size() > 1) sort_by_loss(victims);
         std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-        Amount then = room;
+        Resources then = room;
         for (uint32_t k = o.places; const auto& [end, amount] : ends) {
             then += amount;
             for (uint32_t now = then.fits(q.job->spec, most); k < now; ++k) o.later.push_back(end);
@@ -572,7 +579,7 @@
         std::vector<Victim> step;
         double lost = 0;
         for (const Victim& v : victims) {
-            room += Amount::of(v.job->spec);
+            room += Resources::of(v.job->spec);
             step.push_back(v);
             lost += loss(v);
             uint32_t now = room.fits(q.job->spec, most);
@@ -586,7 +593,7 @@
     }
 
     // Returns when all tasks of a gang are expected to have room, if room is kept for it.
-    std::optional<Seconds> make_room(const Queued& q) {
+    std::optional<Seconds> make_room(const QueuedJob& q) {
         Job& job = *q.job;
         if (job.pending.empty() || !may_start(job)) return std::nullopt;
         // The queue's head decides; looking at all of a long queue would cost its length times the machines.
@@ -600,7 +607,7 @@
         uint32_t n = job.pending.size();
         if (!gang) {
             // An array takes room from others only for what its team is guaranteed.
-            if (!q.entitled) return std::nullopt;
+            if (!q.within_guarantee) return std::nullopt;
             // No more than its team's limit lets it use; what is stopped beyond that is stopped for nothing.
             n = most_within_limit(job.spec, n);
             if (n == 0) return std::nullopt;
@@ -608,7 +615,8 @@
             return std::nullopt;
         }
         const std::vector<Offer>& offers = offers_of(q);
-        std::vector<std::string> zones = job.spec.one_zone ? in_.config.zones : std::vector<std::string>{""};
+        std::vector<std::string> zones =
+            job.spec.single_zone ? in_.config.zones : std::vector<std::string>{""};
         Room best;
         for (const auto& zone : zones) {
             if (!zone.empty() && ZoneRule(job).room(zone) == 0) continue;
@@ -627,7 +635,7 @@
     }
 
     // Replicas that have no room on any machine, as far as zones allow, get that of lower work at once.
-    void make_room_for_replicas(const Queued& q) {
+    void make_room_for_replicas(const QueuedJob& q) {
         const Job& job = *q.job;
         uint32_t left = most_within_limit(job.spec, job.pending.size());
         if (left == 0 || in_.now - job.waiting_since < in_.settings.preempt_after_s) return;
@@ -735,22 +743,22 @@
             r.at = t;
             --missing;
         }
-        if (missing > 0) r.at = in_.now + constants::kNoPlace_s;
+        if (missing > 0) r.at = in_.now + constants::kNoExpectedEnd_s;
         return r;
     }
 
     Cluster& cluster_;
     JobTable& jobs_;
     const SchedulerInput& in_;
-    std::set<const Job*> entitled_;
+    std::set<const Job*> within_guarantee_;
     struct KeptLimit {
-        Rank rank;
+        PriorityClass priority;
         bool starved;
-        TeamUse use;
+        TeamUsage use;
         Seconds lent_until;  // to work that is expected to end before
     };
     std::map<std::string, std::vector<KeptLimit>> kept_limit_;  // for gangs that wait for their team's limit
-    std::vector<Machine*> usable_;
+    std::vector<Machine*> schedulable_;
     std::map<Demand, std::vector<Offer>> offers_;
     std::map<std::string, std::vector<Machine*>> holders_;                             // by image
     std::map<std::tuple<double, double, double, std::string>, uint32_t> most_places_;  // by size and zone
