--- a/src/state/state.cc
+++ b/src/state/store_client.cc
@@ -1,23 +1,23 @@
-#include "state/state.h"
+#include "state/store_client.h"
 
 #include "base/constants.h"
 
 namespace hareshore {
 
-Txn& Txn::expect(std::string key, uint64_t mod_revision) {
+Transaction& Transaction::expect(std::string key, uint64_t mod_revision) {
     when.emplace_back(std::move(key), mod_revision);
     return *this;
 }
-Txn& Txn::put(std::string key, std::string data, uint64_t lease) {
+Transaction& Transaction::put(std::string key, std::string data, uint64_t lease) {
     writes.push_back({std::move(key), false, std::move(data), lease});
     return *this;
 }
-Txn& Txn::drop(std::string key) {
+Transaction& Transaction::drop(std::string key) {
     writes.push_back({std::move(key), true, "", 0});
     return *this;
 }
 
-std::string Txn::pack() const {
+std::string Transaction::pack() const {
     Packer p;
     p.map(writes.empty() ? 1 : 2).key("when").list(when.size());
     for (const auto& [k, mod_revision] : when) p.map(2).key("k").text(k).key("stamp").count(mod_revision);
@@ -46,42 +46,44 @@
     return {b.data(), b.size()};
 }
 
-Reply verdict(const Answer& a) {
-    if (a.status == 200) return Reply::kOk;
-    if (a.status == 404) return Reply::kAbsent;
-    if (a.status == 409) return Reply::kConflict;
-    if (a.status == 0 && a.sent) return Reply::kUnknown;
-    if (a.status == 429) return Reply::kLimited;
-    if (a.status == 400) return Reply::kInvalid;
-    if (a.status == 0 || a.status == 503) return Reply::kRefused;
-    return Reply::kUnknown;
+StoreStatus verdict(const Answer& a) {
+    if (a.status == 200) return StoreStatus::kOk;
+    if (a.status == 404) return StoreStatus::kNotFound;
+    if (a.status == 409) return StoreStatus::kConflict;
+    if (a.status == 0 && a.sent) return StoreStatus::kUnknown;
+    if (a.status == 429) return StoreStatus::kRateLimited;
+    if (a.status == 400) return StoreStatus::kInvalid;
+    if (a.status == 0 || a.status == 503) return StoreStatus::kNotExecuted;
+    return StoreStatus::kUnknown;
 }
 
-Reply garbled(Reply r) {
-    return r == Reply::kOk || r == Reply::kAbsent || r == Reply::kConflict ? Reply::kUnknown : r;
+StoreStatus garbled(StoreStatus r) {
+    return r == StoreStatus::kOk || r == StoreStatus::kNotFound || r == StoreStatus::kConflict
+               ? StoreStatus::kUnknown
+               : r;
 }
 
 }  // namespace
 
-Task<Answer> StateService::call(HttpClient& on, std::string method, std::string path, std::string body,
-                                Seconds timeout) {
+Task<Answer> StoreClient::call(HttpClient& on, std::string method, std::string path, std::string body,
+                               Seconds timeout) {
     Answer a = co_await on.call(std::move(method), std::move(path), std::move(body), timeout);
     if (a.status == 200 || a.status == 404 || a.status == 409) last_contact_ = loop_.now();
     co_return a;
 }
 
-Task<GetResult> StateService::get(std::string key, Seconds timeout) {
+Task<GetResult> StoreClient::get(std::string key, Seconds timeout) {
     Answer a = co_await call(http_, "GET", "/keys/" + key, "", timeout);
     GetResult r;
-    r.reply = verdict(a);
-    if (r.reply != Reply::kOk && r.reply != Reply::kAbsent) co_return r;
+    r.status = verdict(a);
+    if (r.status != StoreStatus::kOk && r.status != StoreStatus::kNotFound) co_return r;
     auto m = Message::parse(a.body);
     if (!m || !m->root().is_map()) {
-        r.reply = Reply::kUnknown;
+        r.status = StoreStatus::kUnknown;
         co_return r;
     }
     Node root = m->root();
-    if (r.reply == Reply::kAbsent) {
+    if (r.status == StoreStatus::kNotFound) {
         r.revision = root["tide"].count_or(0);
         co_return r;
     }
@@ -89,18 +91,18 @@
     r.entry.mod_revision = root["stamp"].count_or(0);
     r.entry.lease = root["mooring"].count_or(0);
     r.entry.data = repack(root["data"]);
-    if (r.entry.mod_revision == 0) r.reply = Reply::kUnknown;
+    if (r.entry.mod_revision == 0) r.status = StoreStatus::kUnknown;
     co_return r;
 }
 
-Task<ListResult> StateService::list(std::string prefix, std::string from, size_t page, Seconds timeout) {
+Task<ListResult> StoreClient::list(std::string prefix, std::string from, size_t page, Seconds timeout) {
     std::string path = "/keys?prefix=" + prefix + "&page=" + std::to_string(page);
     if (!from.empty()) path += "&from=" + from;
     Answer a = co_await call(http_, "GET", std::move(path), "", timeout);
     ListResult r;
-    r.reply = verdict(a);
-    if (r.reply != Reply::kOk) {
-        r.reply = garbled(r.reply);
+    r.status = verdict(a);
+    if (r.status != StoreStatus::kOk) {
+        r.status = garbled(r.status);
         co_return r;
     }
     auto m = Message::parse(a.body);
@@ -108,7 +110,7 @@
     auto more = root["has_next"].flag();
     auto revision = root["tide"].count();
     if (!more || !revision || !root["rows"].is_list()) {
-        r.reply = Reply::kUnknown;
+        r.status = StoreStatus::kUnknown;
         co_return r;
     }
     r.more = *more;
@@ -124,16 +126,16 @@
     co_return r;
 }
 
-Task<TxnResult> StateService::commit(Txn txn, Seconds timeout) {
+Task<TransactionResult> StoreClient::commit(Transaction txn, Seconds timeout) {
     std::string body = txn.pack();
     Answer a = co_await call(http_, "POST", "/txn", std::move(body), timeout);
-    TxnResult r;
-    r.reply = verdict(a);
-    if (r.reply != Reply::kOk && r.reply != Reply::kConflict) co_return r;
+    TransactionResult r;
+    r.status = verdict(a);
+    if (r.status != StoreStatus::kOk && r.status != StoreStatus::kConflict) co_return r;
     auto m = Message::parse(a.body);
     auto revision = m ? m->root()["tide"].count() : std::nullopt;
     if (!revision) {
-        r.reply = Reply::kUnknown;
+        r.status = StoreStatus::kUnknown;
         co_return r;
     }
     r.revision = *revision;
@@ -142,31 +144,31 @@
     co_return r;
 }
 
-Task<LeaseResult> StateService::grant(Seconds ttl, Seconds timeout) {
+Task<LeaseResult> StoreClient::grant(Seconds ttl, Seconds timeout) {
     Packer p;
     p.map(1).key("ttl_ms").count(static_cast<uint64_t>(ttl * 1000));
     Answer a = co_await call(leases_, "POST", "/leases", p.take(), timeout);
     LeaseResult r;
-    r.reply = verdict(a);
-    if (r.reply == Reply::kOk) {
+    r.status = verdict(a);
+    if (r.status == StoreStatus::kOk) {
         auto m = Message::parse(a.body);
         r.lease = m ? m->root()["mooring"].count_or(0) : 0;
-        if (r.lease == 0) r.reply = Reply::kUnknown;
+        if (r.lease == 0) r.status = StoreStatus::kUnknown;
     }
     co_return r;
 }
 
-Task<Reply> StateService::renew(uint64_t lease, Seconds timeout) {
+Task<StoreStatus> StoreClient::renew(uint64_t lease, Seconds timeout) {
     Answer a = co_await call(leases_, "POST", "/leases/" + std::to_string(lease) + "/renew", "", timeout);
     co_return verdict(a);
 }
 
-Task<Reply> StateService::revoke(uint64_t lease, Seconds timeout) {
+Task<StoreStatus> StoreClient::revoke(uint64_t lease, Seconds timeout) {
     Answer a = co_await call(leases_, "DELETE", "/leases/" + std::to_string(lease), "", timeout);
     co_return verdict(a);
 }
 
-Task<ChangesResult> StateService::changes(std::string prefix, uint64_t from, Seconds wait) {
+Task<ChangesResult> StoreClient::changes(std::string prefix, uint64_t from, Seconds wait) {
     std::string path = "/changes?prefix=" + prefix + "&from=" + std::to_string(from) +
                        "&wait_ms=" + std::to_string(static_cast<int>(wait * 1000));
     Answer a = co_await watches_.call("GET", std::move(path), "", wait + constants::kStateCall_s);
@@ -174,18 +176,18 @@
     // An answer has no size limit: one that we do not take would come again and again, so that the keys are
     // read anew, in pages.
     bool again = a.status == 410 || a.too_large;
-    r.reply = again ? Reply::kAbsent : verdict(a);
-    if (!again && r.reply != Reply::kOk) {
-        r.reply = garbled(r.reply);
+    r.status = again ? StoreStatus::kNotFound : verdict(a);
+    if (!again && r.status != StoreStatus::kOk) {
+        r.status = garbled(r.status);
         co_return r;
     }
     last_contact_ = loop_.now();
-    if (r.reply == Reply::kAbsent) co_return r;
+    if (r.status == StoreStatus::kNotFound) co_return r;
     auto m = Message::parse(a.body);
     Node root = m ? m->root() : Node();
     auto revision = root["tide"].count();
     if (!revision) {
-        r.reply = Reply::kUnknown;
+        r.status = StoreStatus::kUnknown;
         co_return r;
     }
     r.revision = *revision;
--- a/src/state/state.h
+++ b/src/state/store_client.h
@@ -6,14 +6,14 @@
 
 namespace hareshore {
 
-enum class Reply {
+enum class StoreStatus {
     kOk,
-    kAbsent,    // the key or the lease does not exist
-    kConflict,  // a condition failed; nothing was written
-    kRefused,   // certainly not executed
-    kLimited,   // nor this, for the rate was exceeded
-    kInvalid,   // nor this, for what it is: the same again would get the same
-    kUnknown,   // may have been executed, or may yet be
+    kNotFound,     // the key or the lease does not exist
+    kConflict,     // a condition failed; nothing was written
+    kNotExecuted,  // certainly not executed
+    kRateLimited,  // nor this, for the rate was exceeded
+    kInvalid,      // nor this, for what it is: the same again would get the same
+    kUnknown,      // may have been executed, or may yet be
 };
 
 struct Entry {
@@ -24,13 +24,13 @@
 };
 
 struct GetResult {
-    Reply reply = Reply::kRefused;
+    StoreStatus status = StoreStatus::kNotExecuted;
     Entry entry;
     uint64_t revision = 0;  // only when absent
 };
 
 struct ListResult {
-    Reply reply = Reply::kRefused;
+    StoreStatus status = StoreStatus::kNotExecuted;
     std::vector<Entry> entries;
     bool more = false;
     uint64_t revision = 0;
@@ -44,12 +44,12 @@
 };
 
 struct ChangesResult {
-    Reply reply = Reply::kRefused;  // kAbsent: the revision is too old, read again
+    StoreStatus status = StoreStatus::kNotExecuted;  // kAbsent: the revision is too old, read again
     std::vector<Change> changes;
     uint64_t revision = 0;
 };
 
-struct Txn {
+struct Transaction {
     struct Write {
         std::string key;
         bool drop = false;
@@ -59,36 +59,36 @@
     std::vector<std::pair<std::string, uint64_t>> when;  // key, mod revision; 0: must not exist
     std::vector<Write> writes;
 
-    Txn& expect(std::string key, uint64_t mod_revision);
-    Txn& put(std::string key, std::string data, uint64_t lease = 0);
-    Txn& drop(std::string key);
+    Transaction& expect(std::string key, uint64_t mod_revision);
+    Transaction& put(std::string key, std::string data, uint64_t lease = 0);
+    Transaction& drop(std::string key);
     std::string pack() const;
 };
 
-struct TxnResult {
-    Reply reply = Reply::kRefused;
+struct TransactionResult {
+    StoreStatus status = StoreStatus::kNotExecuted;
     uint64_t revision = 0;
     std::vector<std::string> failed;  // keys whose condition failed
 };
 
 struct LeaseResult {
-    Reply reply = Reply::kRefused;
+    StoreStatus status = StoreStatus::kNotExecuted;
     uint64_t lease = 0;
 };
 
-class StateService {
+class StoreClient {
   public:
-    StateService(Loop& loop, Address at, size_t answer_limit = constants::kAnswerLimit)
+    StoreClient(Loop& loop, Address at, size_t answer_limit = constants::kAnswerLimit)
         : loop_(loop),
           http_(loop, at, constants::kPoolPerPeer, answer_limit),
           leases_(loop, at, constants::kPoolLeases),
           watches_(loop, at, 4, answer_limit) {}
     Task<GetResult> get(std::string key, Seconds timeout);
     Task<ListResult> list(std::string prefix, std::string from, size_t page, Seconds timeout);
-    Task<TxnResult> commit(Txn txn, Seconds timeout);
+    Task<TransactionResult> commit(Transaction txn, Seconds timeout);
     Task<LeaseResult> grant(Seconds ttl, Seconds timeout);
-    Task<Reply> renew(uint64_t lease, Seconds timeout);
-    Task<Reply> revoke(uint64_t lease, Seconds timeout);
+    Task<StoreStatus> renew(uint64_t lease, Seconds timeout);
+    Task<StoreStatus> revoke(uint64_t lease, Seconds timeout);
     Task<ChangesResult> changes(std::string prefix, uint64_t from, Seconds wait);
     // When the service last carried out a request of ours; -1: never.
     Seconds last_contact() const { return last_contact_; }
--- a/src/users/record_reader.cc
+++ b/src/users/record_reader.cc
@@ -15,7 +15,7 @@
     std::string key = live_key(job_id);
     if (!rate_exceeded_lately()) {
         GetResult result = co_await state_.get(key, until - loop_.now());
-        if (result.reply != Reply::kLimited) co_return result;
+        if (result.status != StoreStatus::kRateLimited) co_return result;
         rate_exceeded_at_ = loop_.now();
     }
     co_return co_await read_from_listing(std::move(key), until);
@@ -32,11 +32,11 @@
     GetResult result;
     while (!listing->is_done)
         if (co_await loop_.wait(listing->done, until) == Wake::kTimeout) co_return result;
-    result.reply = listing->reply;
-    if (result.reply != Reply::kOk) co_return result;
+    result.status = listing->status;
+    if (result.status != StoreStatus::kOk) co_return result;
     auto found = listing->found.find(key);
     if (found == listing->found.end())
-        result.reply = Reply::kAbsent;
+        result.status = StoreStatus::kNotFound;
     else
         result.entry = found->second;
     co_return result;
@@ -60,8 +60,8 @@
     while (true) {
         ListResult page =
             co_await state_.list(kLivePrefix, from, constants::kListingPage, constants::kStateCall_s);
-        listing.reply = page.reply;
-        if (page.reply != Reply::kOk) co_return;
+        listing.status = page.status;
+        if (page.status != StoreStatus::kOk) co_return;
         for (Entry& entry : page.entries) {
             from = entry.key;
             if (listing.wanted.contains(entry.key)) listing.found[entry.key] = std::move(entry);
--- a/src/users/record_reader.h
+++ b/src/users/record_reader.h
@@ -6,13 +6,13 @@
 #include <set>
 
 #include "loop/loop.h"
-#include "state/state.h"
+#include "state/store_client.h"
 
 namespace hareshore {
 
 class RecordReader {
   public:
-    RecordReader(Loop& loop, StateService& state) : loop_(loop), state_(state), scope_(loop) {}
+    RecordReader(Loop& loop, StoreClient& state) : loop_(loop), state_(state), scope_(loop) {}
     // The job's record as it was at some moment after the call, so that no answer is older than one that was
     // given before.
     Task<GetResult> read(std::string job_id, Seconds until);
@@ -26,7 +26,7 @@
         explicit Listing(Loop& loop) : done(loop) {}
         std::set<std::string> wanted;  // keys
         std::map<std::string, Entry> found;
-        Reply reply = Reply::kRefused;
+        StoreStatus status = StoreStatus::kNotExecuted;
         bool is_done = false;
         Signal done;
     };
@@ -37,7 +37,7 @@
     Task<void> run(Listing& listing);
 
     Loop& loop_;
-    StateService& state_;
+    StoreClient& state_;
     Seconds rate_exceeded_at_ = -1;  // when a read was last refused for the rate; -1: never
     Seconds last_listing_at_ = -1;
     std::shared_ptr<Listing> next_;  // has not begun; null if no read waits for it
--- a/src/users/service.cc
+++ b/src/users/service.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-UserService::UserService(Loop& loop, const Config& config, StateService& state,
+UserService::UserService(Loop& loop, const Config& config, StoreClient& state,
                          const std::vector<MachineType>& machine_types, const RecordFormat& record_format,
                          CancellationListener telling)
     : loop_(loop),
@@ -63,7 +63,7 @@
 // A node cut off from the state service would let each user wait for an answer that does not come. The
 // election's watches, which end every 2 s, notice when it is back.
 bool UserService::state_away() const {
-    return state_.last_contact() >= 0 && loop_.now() - state_.last_contact() > constants::kAway_s;
+    return state_.last_contact() >= 0 && loop_.now() - state_.last_contact() > constants::kStoreUnavailable_s;
 }
 
 void UserService::keep_final(const std::string& id, const FinalRecord& f) {
@@ -88,7 +88,7 @@
 
 UserService::Known UserService::known_from(const FinalRecord& final) {
     Known k;
-    k.reply = Reply::kOk;
+    k.status = StoreStatus::kOk;
     k.final = true;
     k.phase = final.cancelled ? JobPhase::kCancelled : JobPhase::kDone;
     k.done = final.done;
@@ -100,8 +100,9 @@
     if (auto final = finals_.find(id); final != finals_.end()) return known_from(final->second);
     auto answered = answered_.find(id);
     if (answered == answered_.end()) return read;
-    if (read.reply == Reply::kAbsent) return Known{};  // read before it was accepted: to be asked again
-    if (read.reply == Reply::kOk && answered->second.cancelled) {
+    if (read.status == StoreStatus::kNotFound)
+        return Known{};  // read before it was accepted: to be asked again
+    if (read.status == StoreStatus::kOk && answered->second.cancelled) {
         read.record.cancelled = true;
         read.phase = JobPhase::kCancelled;
     }
@@ -125,18 +126,18 @@
     } else {
         if (state_away()) co_return k;
         GetResult live = co_await records_.read(id, until);
-        if (live.reply == Reply::kOk) {
+        if (live.status == StoreStatus::kOk) {
             auto record = JobRecord::unpack(live.entry.data);
             if (!record) {
                 // Nothing is said of a job whose record means something unknown.
                 if (unreadable_.size() < constants::kFinalCache && unreadable_.insert(id).second)
-                    log::error("record {} is {}: its user gets 503", live.entry.key,
-                               newer_record_format(live.entry.data)
-                                   ? "of a format newer than this version knows"
-                                   : "not readable");
+                    log::error(
+                        "record_unreadable",
+                        {{"key", live.entry.key},
+                         {"reason", newer_record_format(live.entry.data) ? "newer_format" : "malformed"}});
                 co_return k;
             }
-            k.reply = Reply::kOk;
+            k.status = StoreStatus::kOk;
             k.phase = record->phase();
             k.done = record->done.size();
             k.running = static_cast<uint32_t>(record->live.size());
@@ -144,10 +145,11 @@
             k.mod_revision = live.entry.mod_revision;
             co_return k;
         }
-        if (live.reply != Reply::kAbsent || loop_.now() >= until) co_return k;
+        if (live.status != StoreStatus::kNotFound || loop_.now() >= until) co_return k;
         GetResult end = co_await state_.get(final_key(id), until - loop_.now());
-        if (end.reply != Reply::kOk) {
-            k.reply = end.reply == Reply::kAbsent ? Reply::kAbsent : Reply::kRefused;
+        if (end.status != StoreStatus::kOk) {
+            k.status =
+                end.status == StoreStatus::kNotFound ? StoreStatus::kNotFound : StoreStatus::kNotExecuted;
             co_return k;
         }
         final = FinalRecord::unpack(end.entry.data);
@@ -170,7 +172,7 @@
 Task<Response> UserService::submit(const Request& request) {
     auto parsed = parse_submission(request.body);
     if (auto* why = std::get_if<std::string>(&parsed)) {
-        log::info("submission refused: {}", *why);
+        log::info("submission_refused", {{"reason", *why}});
         co_return plain(400, *why);
     }
     JobSpec spec = std::get<JobSpec>(std::move(parsed));
@@ -189,39 +191,42 @@
     if (unknown || !never.empty()) {
         // A job that was accepted once is known for ever, whatever the machine types are by now.
         Known k = co_await read(spec.id, until);
-        if (k.reply == Reply::kOk) co_return answer_known(spec.id, k, false);
-        if (unknown || k.reply != Reply::kAbsent) co_return unavailable();
+        if (k.status == StoreStatus::kOk) co_return answer_known(spec.id, k, false);
+        if (unknown || k.status != StoreStatus::kNotFound) co_return unavailable();
         co_return plain(status, never);
     }
     if (state_away()) co_return unavailable(503, constants::kRetryAfterOutage_s);
-    Txn txn;
+    Transaction txn;
     txn.expect(live_key(spec.id), 0).expect(final_key(spec.id), 0);
     txn.put(live_key(spec.id), record.pack(record_format_.in_force()));
-    TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-    if (r.reply == Reply::kOk) {
-        log::debug("job {} accepted, class {}, {} tasks, image {}, team {}", spec.id, spec.job_class,
-                   spec.tasks, spec.image, spec.team);
+    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+    if (r.status == StoreStatus::kOk) {
+        log::debug("job_accepted", {{"job", spec.id},
+                                    {"class", spec.job_class},
+                                    {"tasks", spec.tasks},
+                                    {"image", spec.image},
+                                    {"team", spec.team}});
         // Of a commit whose answer was slow, other questions may have been answered already.
         Known accepted;
-        accepted.reply = Reply::kOk;
+        accepted.status = StoreStatus::kOk;
         Response created = answer_known(spec.id, no_older_than_answered(spec.id, std::move(accepted)), false);
         created.status = 201;
         co_return created;
     }
-    if (r.reply == Reply::kConflict) {
+    if (r.status == StoreStatus::kConflict) {
         Known k = co_await read(spec.id, until);
-        if (k.reply == Reply::kOk) co_return answer_known(spec.id, k, false);
+        if (k.status == StoreStatus::kOk) co_return answer_known(spec.id, k, false);
     }
     // At the service's rate the user is told at once when to come back, rather than held.
-    if (r.reply == Reply::kLimited) co_return unavailable(429);
-    if (r.reply == Reply::kRefused) co_return unavailable(503, constants::kRetryAfterOutage_s);
+    if (r.status == StoreStatus::kRateLimited) co_return unavailable(429);
+    if (r.status == StoreStatus::kNotExecuted) co_return unavailable(503, constants::kRetryAfterOutage_s);
     co_return unavailable();
 }
 
 std::string UserService::never_recorded(const JobRecord& record) const {
     // All tasks of a gang are in its record at once. An array's or a service's start as its room allows, one
     // at a time if need be.
-    size_t least = constants::kRecordSpare;
+    size_t least = constants::kRecordReserve;
     if (record.spec.gang()) least += (record.spec.tasks - 1) * constants::kPlacementLeast;
     for (uint64_t record_format = record_format_.in_force(); record_format <= kNewestRecordFormat;
          ++record_format)
@@ -232,8 +237,8 @@
 
 Task<Response> UserService::query(std::string id) {
     Known k = co_await read(id, loop_.now() + constants::kUserRead_s);
-    if (k.reply == Reply::kOk) co_return answer_known(id, k, true);
-    if (k.reply == Reply::kAbsent) co_return plain(404, "unknown job");
+    if (k.status == StoreStatus::kOk) co_return answer_known(id, k, true);
+    if (k.status == StoreStatus::kNotFound) co_return plain(404, "unknown job");
     co_return unavailable();
 }
 
@@ -241,8 +246,8 @@
     Seconds until = loop_.now() + constants::kUserWrite_s;
     while (loop_.now() < until) {
         Known k = co_await read(id, until);
-        if (k.reply == Reply::kAbsent) co_return plain(404, "unknown job");
-        if (k.reply != Reply::kOk) co_return unavailable();
+        if (k.status == StoreStatus::kNotFound) co_return plain(404, "unknown job");
+        if (k.status != StoreStatus::kOk) co_return unavailable();
         if (k.final || k.record.cancelled) co_return answer_known(id, k, false);
         if (record_format_.newer()) co_return unavailable();
         k.record.cancelled = true;
@@ -254,19 +259,19 @@
             data = k.record.pack(record_format);
         }
         if (json_size(data) > config_.value_limit(record_format)) {
-            log::error("job {}: cancelled by its user, but its record is too large to be written", id);
+            log::error("cancellation_not_written", {{"job", id}, {"reason", "record_too_large"}});
             co_return unavailable();
         }
-        Txn txn;
+        Transaction txn;
         txn.expect(live_key(id), k.mod_revision).put(live_key(id), std::move(data));
-        TxnResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-        if (r.reply == Reply::kOk) {
+        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+        if (r.status == StoreStatus::kOk) {
             k.phase = JobPhase::kCancelled;
-            log::info("job {} cancelled by its user", id);
+            log::info("job_cancelled", {{"job", id}, {"by", "user"}});
             co_return answer_known(id, k, false);
         }
-        if (r.reply == Reply::kLimited) co_return unavailable(429);
-        if (r.reply != Reply::kConflict) co_return unavailable();
+        if (r.status == StoreStatus::kRateLimited) co_return unavailable(429);
+        if (r.status != StoreStatus::kConflict) co_return unavailable();
         // The leader wrote in between: read again.
     }
     co_return unavailable();
--- a/src/users/service.h
+++ b/src/users/service.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "jobs/record.h"
-#include "state/record_format.h"
+#include "jobs/record_format.h"
 #include "users/record_reader.h"
 #include "users/wire.h"
 
@@ -16,7 +16,7 @@
   public:
     // Called before a user is told that the job is cancelled.
     using CancellationListener = std::function<void(const std::string&)>;
-    UserService(Loop& loop, const Config& config, StateService& state,
+    UserService(Loop& loop, const Config& config, StoreClient& state,
                 const std::vector<MachineType>& machine_types, const RecordFormat& record_format,
                 CancellationListener telling);
     // The path begins with /v2/runs.
@@ -27,7 +27,7 @@
 
   private:
     struct Known {
-        Reply reply = Reply::kRefused;  // kOk, kAbsent, or that it could not be read
+        StoreStatus status = StoreStatus::kNotExecuted;  // kOk, kAbsent, or that it could not be read
         JobPhase phase = JobPhase::kPending;
         uint32_t done = 0, running = 0;
         bool final = false;
@@ -51,7 +51,7 @@
 
     Loop& loop_;
     const Config& config_;
-    StateService& state_;
+    StoreClient& state_;
     const std::vector<MachineType>& machine_types_;
     const RecordFormat& record_format_;
     CancellationListener on_cancellation_;
--- a/src/users/wire.cc
+++ b/src/users/wire.cc
@@ -97,23 +97,23 @@
     s.team = f.text("owner", 128);
     std::string shape = f.text("shape", 16);
     if (shape == "sweep") {
-        s.shape = Shape::kArray;
+        s.kind = JobKind::kArray;
     } else if (shape == "ensemble") {
-        s.shape = Shape::kGang;
+        s.kind = JobKind::kGang;
     } else if (shape == "standing") {
-        s.shape = Shape::kService;
+        s.kind = JobKind::kService;
     } else {
         f.bad("shape");
     }
     std::string rank = f.text("rank", 16);
     if (rank == "production") {
-        s.rank = Rank::kProduction;
+        s.priority = PriorityClass::kProduction;
     } else if (rank == "high") {
-        s.rank = Rank::kHigh;
+        s.priority = PriorityClass::kHigh;
     } else if (rank == "standard") {
-        s.rank = Rank::kStandard;
+        s.priority = PriorityClass::kStandard;
     } else if (rank == "idle") {
-        s.rank = Rank::kIdle;
+        s.priority = PriorityClass::kIdle;
     } else {
         f.bad("rank");
     }
@@ -125,8 +125,8 @@
     s.image_gb = f.amount("size_gb");
     s.machine_types = f.optional_list("flavors");
     s.zone = f.optional_text("cove", 128);
-    s.one_zone = f.flag("one_zone");
-    s.apart = f.flag("apart");
+    s.single_zone = f.flag("one_zone");
+    s.spread_across_zones = f.flag("apart");
     s.spot = f.flag("driftwood");
     s.estimate_s = f.amount("expect_s");
     s.checkpoint_s = f.amount("snapshot_s");
--- a/src/users/wire.h
+++ b/src/users/wire.h
@@ -5,7 +5,7 @@
 
 #include "cloud/cloud.h"
 #include "config/config.h"
-#include "jobs/spec.h"
+#include "model/job_spec.h"
 
 namespace hareshore {
 
--- a/src/workers/workers.cc
+++ b/src/workers/workers.cc
@@ -38,22 +38,74 @@
 
 }  // namespace
 
-std::optional<Report> Report::parse(std::string_view body) {
+std::string_view task_phase_name(TaskPhase phase) {
+    switch (phase) {
+        case TaskPhase::kFetching:
+            return "fetching";
+        case TaskPhase::kWaiting:
+            return "waiting";
+        case TaskPhase::kRunning:
+            return "running";
+        case TaskPhase::kSaving:
+            return "saving";
+        case TaskPhase::kExited:
+            return "exited";
+    }
+    return "";
+}
+
+std::string_view exit_cause_name(ExitCause cause) {
+    switch (cause) {
+        case ExitCause::kNone:
+            return "none";
+        case ExitCause::kDone:
+            return "done";
+        case ExitCause::kStopped:
+            return "stopped";
+        case ExitCause::kPeersGone:
+            return "peers_gone";
+        case ExitCause::kIncomplete:
+            return "incomplete";
+        case ExitCause::kError:
+            return "error";
+        case ExitCause::kNoRoom:
+            return "no_room";
+        case ExitCause::kBusy:
+            return "busy";
+        case ExitCause::kUnknownJob:
+            return "unknown_job";
+    }
+    return "";
+}
+
+std::string_view command_name(CommandKind kind) {
+    switch (kind) {
+        case CommandKind::kLaunch:
+            return "launch";
+        case CommandKind::kStop:
+            return "stop";
+        case CommandKind::kForget:
+            return "forget";
+    }
+    return "";
+}
+
+std::optional<WorkerHeartbeat> WorkerHeartbeat::parse(std::string_view body) {
     auto m = Message::parse(body);
     if (!m || !m->root().is_map()) return std::nullopt;
     Node n = m->root();
-    Report r;
+    WorkerHeartbeat r;
     auto machine = n["host"].text();
-    auto session = n["tenure"].count();
-    auto seq = n["tick"].count();
-    auto epoch = n["epoch"].count();
+    auto incarnation = n["tenure"].count();
+    auto sequence = n["tick"].count();
+    auto fencing_token = n["epoch"].count();
     if (!machine || machine->empty() || machine->size() > 128 || machine->find(' ') != std::string::npos)
         return std::nullopt;
-    if (!session || !seq || !epoch) return std::nullopt;
+    if (!incarnation || !sequence || !fencing_token) return std::nullopt;
     r.machine = *machine;
-    r.session = *session;
-    r.seq = *seq;
-    r.epoch = *epoch;
+    r.incarnation = *incarnation;
+    r.sequence = *sequence;
+    r.fencing_token = *fencing_token;
     r.addr = n["addr"].text_or("");
     r.machine_type = n["flavor"].text_or("");
     r.zone = n["cove"].text_or("");
@@ -61,14 +113,14 @@
     r.notice_s = n["warning_s"].number();
     Node tasks = n["pieces"];
     if (!tasks.null() && !tasks.is_list()) return std::nullopt;
-    if (tasks.size() > constants::kReportPieces) return std::nullopt;
+    if (tasks.size() > constants::kHeartbeatTasks) return std::nullopt;
     for (size_t i = 0; i < tasks.size(); ++i) {
         Node t = tasks.at(i);
         auto name = TaskName::parse(t["piece"].text_or(""));
         auto attempt = t["try"].count();
         auto phase = parse_phase(t["phase"].text_or(""));
         if (!name || !attempt || !phase) return std::nullopt;
-        ReportedTask x;
+        TaskStatus x;
         x.name = *name;
         x.attempt = *attempt;
         x.phase = *phase;
@@ -79,9 +131,9 @@
     return r;
 }
 
-std::string pack_report_answer(uint64_t epoch, const std::vector<Command>& commands) {
+std::string pack_report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
     Packer p;
-    p.map(2).key("epoch").count(epoch);
+    p.map(2).key("epoch").count(fencing_token);
     pack_commands(p, commands);
     return p.take();
 }
@@ -96,15 +148,15 @@
     return p.take();
 }
 
-Task<std::optional<Report>> send_commands(Loop& loop, Address to, uint64_t epoch, uint64_t session,
-                                          std::vector<Command> commands) {
+Task<std::optional<WorkerHeartbeat>> send_commands(Loop& loop, Address to, uint64_t fencing_token,
+                                                   uint64_t incarnation, std::vector<Command> commands) {
     Packer p;
-    p.map(3).key("epoch").count(epoch).key("tenure").count(session);
+    p.map(3).key("epoch").count(fencing_token).key("tenure").count(incarnation);
     pack_commands(p, commands);
     HttpClient http(loop, to, 1);
     Answer a = co_await http.call("POST", "/orders", p.take(), constants::kCommandCall_s);
     if (a.status != 200 && a.status != 409) co_return std::nullopt;
-    co_return Report::parse(a.body);
+    co_return WorkerHeartbeat::parse(a.body);
 }
 
 }  // namespace hareshore
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -2,10 +2,11 @@
 #pragma once
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "http/client.h"
-#include "jobs/record.h"
+#include "model/task_name.h"
 
 namespace hareshore {
 
@@ -22,7 +23,11 @@
     kUnknownJob,
 };
 
-struct ReportedTask {
+// Their names in logs and on operator pages.
+std::string_view task_phase_name(TaskPhase phase);
+std::string_view exit_cause_name(ExitCause cause);
+
+struct TaskStatus {
     TaskName name;
     uint64_t attempt = 0;
     TaskPhase phase = TaskPhase::kFetching;
@@ -31,27 +36,31 @@
 };
 
 // What a report says of the machine itself.
-struct ReportHead {
+struct HeartbeatHeader {
     std::string machine, addr, machine_type, zone;
     bool spot = false;
-    uint64_t session = 0, seq = 0, epoch = 0;
+    uint64_t incarnation = 0, sequence = 0, fencing_token = 0;
     std::optional<Seconds> notice_s;
 
-    bool newer_than(uint64_t other_session, uint64_t other_seq) const {
-        return session > other_session || (session == other_session && seq > other_seq);
+    bool newer_than(uint64_t other_incarnation, uint64_t other_sequence) const {
+        return incarnation > other_incarnation ||
+               (incarnation == other_incarnation && sequence > other_sequence);
     }
 };
 
-struct Report : ReportHead {
-    std::vector<ReportedTask> tasks;
+struct WorkerHeartbeat : HeartbeatHeader {
+    std::vector<TaskStatus> tasks;
 
-    const ReportHead& head() const { return *this; }
+    const HeartbeatHeader& head() const { return *this; }
     // Nothing if the report is malformed.
-    static std::optional<Report> parse(std::string_view body);
+    static std::optional<WorkerHeartbeat> parse(std::string_view body);
 };
 
 enum class CommandKind : uint8_t { kLaunch, kStop, kForget };
 
+// Its name in logs.
+std::string_view command_name(CommandKind kind);
+
 struct Command {
     CommandKind verb = CommandKind::kLaunch;
     TaskName name;
@@ -59,11 +68,11 @@
     Seconds grace_s = 0;  // with kHalt
 };
 
-std::string pack_report_answer(uint64_t epoch, const std::vector<Command>& commands);
+std::string pack_report_answer(uint64_t fencing_token, const std::vector<Command>& commands);
 std::string pack_redirect(const std::string& node);  // empty: no hint
 
 // Sends commands to a worker; the answer is its report after them, if they were executed.
-Task<std::optional<Report>> send_commands(Loop& loop, Address to, uint64_t epoch, uint64_t session,
-                                          std::vector<Command> commands);
+Task<std::optional<WorkerHeartbeat>> send_commands(Loop& loop, Address to, uint64_t fencing_token,
+                                                   uint64_t incarnation, std::vector<Command> commands);
 
 }  // namespace hareshore
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <random>
 
-#include "base/bucket.h"
 #include "base/ranges.h"
+#include "base/token_bucket.h"
 #include "cloud/cloud.h"
 #include "config/config.h"
 #include "http/pack.h"
@@ -42,8 +42,8 @@
         EXPECT_FALSE(Ranges::parse(bad, 60)) << bad;
 }
 
-TEST(Bucket, GivesTheRateAndTheBurst) {
-    Bucket b(10, 5);
+TEST(TokenBucket, GivesTheRateAndTheBurst) {
+    TokenBucket b(10, 5);
     EXPECT_TRUE(b.take(5, 1.0));
     EXPECT_FALSE(b.take(1, 1.0));
     EXPECT_NEAR(b.until(1, 1.0), 0.1, 1e-9);
@@ -51,8 +51,8 @@
 }
 
 // Rounding left a wait too short to move the clock: whoever waited for two changes spun for ever.
-TEST(Bucket, NeverWaitsForLessThanTheClockTells) {
-    Bucket b(11.25, 2);
+TEST(TokenBucket, NeverWaitsForLessThanTheClockTells) {
+    TokenBucket b(11.25, 2);
     Seconds now = 1000.1;
     for (int i = 0; i < 100'000; ++i) {
         Seconds wait = b.until(2, now);
@@ -201,7 +201,7 @@
 TEST(Record, SurvivesPacking) {
     JobRecord r;
     r.spec.id = "job-1";
-    r.spec.shape = Shape::kGang;
+    r.spec.kind = JobKind::kGang;
     r.spec.tasks = 100;
     r.spec.due_s = 30;
     r.spec.machine_types = {"g2"};
@@ -254,7 +254,7 @@
             }
         }
         taken += JobRecord::unpack(s).has_value();
-        taken += Report::parse(s).has_value();
+        taken += WorkerHeartbeat::parse(s).has_value();
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
         taken += FinalRecord::unpack(s).has_value();
         taken += Cloud::unpack_machine_types(s).has_value();
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -47,7 +47,7 @@
         b.incarnation = incarnation;
         b.record_format = record_format;
         b.cancellations_announced = record_format ? announced : 0;
-        b.state_age_ms = UINT32_MAX;
+        b.store_age_ms = UINT32_MAX;
         b.quiet_ms = static_cast<uint32_t>((site.loop.now() - announced_last) * 1000);
         return b;
     }
@@ -131,7 +131,7 @@
         EXPECT_EQ(w.tasks.size(), jobs.size());
     }
     bool runs(const std::string& task) {
-        const ReportedTask* t = w.find(task);
+        const TaskStatus* t = w.find(task);
         return t && t->phase == TaskPhase::kRunning;
     }
 };
@@ -195,10 +195,10 @@
     Controller& node = *s.nodes[static_cast<size_t>(1 - first)];
     ASSERT_TRUE(s.until([&] { return node.leader() != nullptr; }));
     ASSERT_EQ(node.leader()->jobs().size(), 0u);
-    node.leader()->note_cancellation("job-1");
+    node.leader()->observe_cancellation("job-1");
     s.settle(w);
     EXPECT_EQ(report(s, w, 1 - first, 4), 200);
-    const ReportedTask* t = w.find("job-1/0");
+    const TaskStatus* t = w.find("job-1/0");
     EXPECT_TRUE(!t || t->phase == TaskPhase::kExited);
 }
 
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -1,6 +1,8 @@
 // What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
 // frames between controllers. A name in the code that changes must not move a byte of it, since processes of
 // both versions serve side by side on the same data.
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <cstring>
 
@@ -94,8 +96,8 @@
     spec.id = "job-000731";
     spec.job_class = "train";
     spec.team = "vision";
-    spec.shape = Shape::kArray;
-    spec.rank = Rank::kHigh;
+    spec.kind = JobKind::kArray;
+    spec.priority = PriorityClass::kHigh;
     spec.tasks = 64;
     spec.cpus = 8;
     spec.gpus = 1.5;
@@ -104,8 +106,8 @@
     spec.image_gb = 6.2;
     spec.machine_types = {"g8", "g2"};
     spec.zone = "a";
-    spec.one_zone = true;
-    spec.apart = false;
+    spec.single_zone = true;
+    spec.spread_across_zones = false;
     spec.spot = true;
     spec.estimate_s = 240;
     spec.checkpoint_s = 30;
@@ -117,7 +119,7 @@
 JobRecord array_record() {
     JobRecord record;
     record.spec = base_spec();
-    record.accepted_wall = 1796181234.125;
+    record.accepted_wall = {1796181234.125};
     for (uint32_t task : {0u, 1u, 2u, 5u, 9u, 10u, 40u}) record.done.add(task);
     record.next_attempt = 77;
     record.live[3] = {8, "vm-000003", "a"};
@@ -130,15 +132,15 @@
     JobRecord record;
     record.spec = base_spec();
     record.spec.id = "job-000732";
-    record.spec.shape = Shape::kGang;
-    record.spec.rank = Rank::kIdle;
+    record.spec.kind = JobKind::kGang;
+    record.spec.priority = PriorityClass::kIdle;
     record.spec.tasks = 4;
     record.spec.zone = "";
-    record.spec.one_zone = false;
-    record.spec.apart = true;
+    record.spec.single_zone = false;
+    record.spec.spread_across_zones = true;
     record.spec.spot = false;
     record.spec.due_s = std::nullopt;
-    record.accepted_wall = 1796181300.5;
+    record.accepted_wall = {1796181300.5};
     record.cancelled = true;
     record.next_attempt = 3;
     record.live[0] = {2, "vm-000010", "a"};
@@ -154,18 +156,18 @@
     record.spec.id = "job-000733";
     record.spec.job_class = "serve";
     record.spec.team = "search";
-    record.spec.shape = Shape::kService;
-    record.spec.rank = Rank::kProduction;
+    record.spec.kind = JobKind::kService;
+    record.spec.priority = PriorityClass::kProduction;
     record.spec.tasks = 6;
     record.spec.machine_types = {};
     record.spec.zone = "";
-    record.spec.one_zone = false;
-    record.spec.apart = true;
+    record.spec.single_zone = false;
+    record.spec.spread_across_zones = true;
     record.spec.estimate_s = 0;
     record.spec.checkpoint_s = 0;
     record.spec.save_s = 0;
     record.spec.due_s = std::nullopt;
-    record.accepted_wall = 1796181400.25;
+    record.accepted_wall = {1796181400.25};
     record.next_attempt = 41;
     record.live[0] = {1, "vm-000100", "a"};
     record.live[1] = {40, "vm-000201", "b"};
@@ -189,11 +191,11 @@
     heartbeat.cancellations_announced = 0x01020304;
     heartbeat.incarnation = 0x1112131415161718;
     heartbeat.asked_us = 0x2122232425262728;
-    heartbeat.epoch = 0x3132333435363738;
+    heartbeat.fencing_token = 0x3132333435363738;
     heartbeat.leads = 1;
     heartbeat.ready = 0;
-    heartbeat.reports_received = 0x4142;
-    heartbeat.state_age_ms = 0x51525354;
+    heartbeat.worker_heartbeats_received = 0x4142;
+    heartbeat.store_age_ms = 0x51525354;
     heartbeat.quiet_ms = 0x61626364;
     return heartbeat;
 }
@@ -204,19 +206,19 @@
 
 constexpr uint32_t kFrameId = 0x71727374;
 constexpr uint64_t kAskerIncarnation = 0x8182838485868788;
-constexpr uint64_t kStoredEpoch = 41;
+constexpr uint64_t kStoredFencingToken = 41;
 
 // A frame's bytes come whole; the report in it is of a worker without tasks.
 std::string relay_frame() {
     FakeWorker worker;
     worker.addr = "10.1.0.9:9000";
-    worker.epoch = kStoredEpoch;
+    worker.fencing_token = kStoredFencingToken;
     return peer::pack(peer::Kind::kRelay, kFrameId, kAskerIncarnation, worker.report());
 }
 
-std::string term_of(const std::string& node, uint64_t epoch) {
+std::string term_of(const std::string& node, uint64_t fencing_token) {
     Packer packer;
-    packer.map(2).key("node").text(node).key("epoch").count(epoch);
+    packer.map(2).key("node").text(node).key("epoch").count(fencing_token);
     return packer.take();
 }
 
@@ -231,7 +233,7 @@
 
 // The only controller of a deployment, elected for the term after the stored one.
 void lead_after(Site& site, uint64_t last_epoch) {
-    Txn txn;
+    Transaction txn;
     txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
     ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
     site.start(0);
@@ -293,7 +295,7 @@
 }
 
 void store(Site& site, const std::string& key, std::string value) {
-    Txn txn;
+    Transaction txn;
     txn.expect(key, 0).put(key, std::move(value));
     ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
 }
@@ -353,7 +355,7 @@
 
 TEST(ProductionBytes, KeysOfAnElectionAreWritten) {
     Site site;
-    lead_after(site, kStoredEpoch - 1);
+    lead_after(site, kStoredFencingToken - 1);
     ASSERT_EQ(site.leader(), 0);
     EXPECT_EQ(to_hex(site.state.rows.at("leader").data), kLeaderValue);
     EXPECT_EQ(to_hex(site.state.rows.at("term").data), kTermValue);
@@ -365,7 +367,7 @@
     store(site, "leader", from_hex(kLeaderValue));
     site.start(1);
     ASSERT_TRUE(site.until([&] { return site.nodes[1]->election().leader() == "node-0"; }));
-    EXPECT_EQ(site.nodes[1]->election().known_epoch(), kStoredEpoch);
+    EXPECT_EQ(site.nodes[1]->election().known_fencing_token(), kStoredFencingToken);
     EXPECT_FALSE(site.nodes[1]->election().leading());
 }
 
@@ -374,7 +376,7 @@
     store(site, "term", from_hex(kTermValue));
     site.start(0);
     ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    EXPECT_EQ(site.nodes[0]->election().epoch(), kStoredEpoch + 1);
+    EXPECT_EQ(site.nodes[0]->election().fencing_token(), kStoredFencingToken + 1);
 }
 
 // The key is there, so records are written in format 2 also while nothing is known of the other controller.
@@ -428,11 +430,11 @@
         EXPECT_EQ(read->cancellations_announced, expected.cancellations_announced);
         EXPECT_EQ(read->incarnation, expected.incarnation);
         EXPECT_EQ(read->asked_us, expected.asked_us);
-        EXPECT_EQ(read->epoch, expected.epoch);
+        EXPECT_EQ(read->fencing_token, expected.fencing_token);
         EXPECT_EQ(read->leads, expected.leads);
         EXPECT_EQ(read->ready, expected.ready);
-        EXPECT_EQ(read->reports_received, expected.reports_received);
-        EXPECT_EQ(read->state_age_ms, expected.state_age_ms);
+        EXPECT_EQ(read->worker_heartbeats_received, expected.worker_heartbeats_received);
+        EXPECT_EQ(read->store_age_ms, expected.store_age_ms);
         EXPECT_EQ(read->quiet_ms, expected.quiet_ms);
         EXPECT_EQ(to_hex(peer::pack(kind, kFrameId, kAskerIncarnation, expected)), hex);
     }
@@ -443,16 +445,16 @@
     EXPECT_EQ(frame.kind, peer::Kind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    auto report = Report::parse(frame.payload);
+    auto report = WorkerHeartbeat::parse(frame.payload);
     ASSERT_TRUE(report);
     EXPECT_EQ(report->machine, "vm-000001");
-    EXPECT_EQ(report->epoch, kStoredEpoch);
+    EXPECT_EQ(report->fencing_token, kStoredFencingToken);
     EXPECT_EQ(to_hex(relay_frame()), kRelayFrame);
 }
 
 TEST(ProductionBytes, RelaysAreAnswered) {
     Site site;
-    lead_after(site, kStoredEpoch - 1);
+    lead_after(site, kStoredFencingToken - 1);
     std::string answer;
     Scope scope(site.loop);
     scope.spawn(exchange_frame(site.loop, site.configs[0].peer_listen, from_hex(kRelayFrame), answer),
@@ -469,7 +471,7 @@
     EXPECT_EQ(head.status, 200);
     auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
     ASSERT_TRUE(body);
-    EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredEpoch);
+    EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredFencingToken);
 }
 
 TEST(ProductionBytes, CancellationsAreReadAndWritten) {
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -145,7 +145,7 @@
     s.run(1);
     FakeWorker w;
     s.settle(w);
-    uint64_t epoch = w.epoch;
+    uint64_t fencing_token = w.fencing_token;
     ASSERT_EQ(s.call(second, "POST", "/v2/runs", job_body("job-1")).status, 201) << "any node serves users";
     s.send_report(w, first);
     s.send_report(w, first);
@@ -154,7 +154,7 @@
     s.kill(first);
     ASSERT_TRUE(s.until([&] { return s.leader() == second; }, 15));
     s.settle(w);
-    EXPECT_GT(w.epoch, epoch);
+    EXPECT_GT(w.fencing_token, fencing_token);
     s.send_report(w, second);
     ASSERT_TRUE(w.find("job-1/0"));
     EXPECT_EQ(w.find("job-1/0")->attempt, 1u);
@@ -199,11 +199,11 @@
     Site s;
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    uint64_t epoch = s.nodes[0]->election().epoch();
+    uint64_t fencing_token = s.nodes[0]->election().fencing_token();
     s.kill(0);
     s.start(0);
     ASSERT_TRUE(s.until([&] { return s.leader() == 0; }, 3)) << "well before the lease ends";
-    EXPECT_GT(s.nodes[0]->election().epoch(), epoch);
+    EXPECT_GT(s.nodes[0]->election().fencing_token(), fencing_token);
 }
 
 // A leader's transaction is held up, the leader is deposed, and the transaction arrives after all.
@@ -315,7 +315,7 @@
     EXPECT_EQ(s.send_report(w, other), 421);
     s.run(5);
     EXPECT_EQ(s.send_report(w, other), 200);
-    EXPECT_EQ(w.epoch, s.nodes[static_cast<size_t>(s.leader())]->election().epoch());
+    EXPECT_EQ(w.fencing_token, s.nodes[static_cast<size_t>(s.leader())]->election().fencing_token());
 }
 
 // A leader that keeps the state service but that no worker reaches gives way to one that they reach.
@@ -415,7 +415,7 @@
         r.spec.team = "team";
         r.spec.tasks = 1;
         r.spec.image = std::string(5000, 'x');
-        Txn t;
+        Transaction t;
         t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
         ASSERT_EQ(s.state.apply(t.pack()).status, 200);
     }
@@ -462,14 +462,14 @@
     EXPECT_EQ(s.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
     EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
     Seconds heard =
-        s.nodes[static_cast<size_t>(leader)]->leader()->cluster().machines.at(w.name)->last_report;
+        s.nodes[static_cast<size_t>(leader)]->leader()->cluster().machines.at(w.name)->last_heartbeat;
     for (int i = 0; i < 3; ++i) {
         s.run(s.configs[0].lease_s);
         EXPECT_EQ(s.call(leader, "POST", "/hello", idle).status, 503);
     }
     auto l = s.nodes[static_cast<size_t>(leader)]->leader();
     auto it = l->cluster().machines.find(w.name);
-    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_report == heard)
+    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_heartbeat == heard)
         << "it was not taken for alive";
     EXPECT_FALSE(s.cloud.deleted.empty()) << "but replaced";
 }
@@ -528,11 +528,11 @@
         }
         s.start(0);
         ASSERT_TRUE(s.until([&] { return s.leader() == 0; }, 5));
-        uint64_t epoch = s.nodes[0]->election().epoch();
-        EXPECT_EQ(epoch, late_first ? 2u : 1u) << "the old transaction took effect, or never will";
+        uint64_t fencing_token = s.nodes[0]->election().fencing_token();
+        EXPECT_EQ(fencing_token, late_first ? 2u : 1u) << "the old transaction took effect, or never will";
         EXPECT_NE(s.state.apply(old).status, 200) << "its conditions or its lease are gone";
         s.run(5);
-        EXPECT_EQ(s.nodes[0]->election().epoch(), epoch);
+        EXPECT_EQ(s.nodes[0]->election().fencing_token(), fencing_token);
         EXPECT_EQ(s.leader(), 0);
     }
 }
@@ -575,7 +575,7 @@
     uint64_t run_passes = s.nodes[0]->leader()->passes_done() - before;
     EXPECT_LE(static_cast<double>(run_passes), 2 + (s.loop.now() - began) / constants::kPassInterval_s);
     EXPECT_LT(run_passes, 50u) << "far fewer than reports";
-    EXPECT_EQ(s.nodes[0]->leader()->machines_reported(), 1000u);
+    EXPECT_EQ(s.nodes[0]->leader()->machines_seen(), 1000u);
 }
 
 // Controllers that start in an outage of the state service are open for users all the same, and tell them
@@ -743,7 +743,7 @@
             EXPECT_TRUE(s.cloud.deleted.empty()) << steps;
             if (followed) break;
             s.run(2.5);
-            EXPECT_EQ(s.nodes[0]->election().epoch(), 1u) << "it leads still";
+            EXPECT_EQ(s.nodes[0]->election().fencing_token(), 1u) << "it leads still";
             for (auto& w : workers) s.settle(w);
             s.run(3);
         }
@@ -761,11 +761,11 @@
     int leader = s.leader();
     size_t at = static_cast<size_t>(leader);
     s.run(4);
-    uint64_t epoch = s.nodes[at]->election().epoch();
+    uint64_t fencing_token = s.nodes[at]->election().fencing_token();
     peer::Heartbeat b{};
     peer::set_label(b, s.configs[1 - at].label);
     b.incarnation = 7;
-    b.epoch = 50;
+    b.fencing_token = 50;
     b.leads = 1;
     b.asked_us = static_cast<uint64_t>((s.loop.now() + 100) * 1e6);
     std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
@@ -782,7 +782,7 @@
     scope.spawn(send(s.loop, s.configs[at].peer_listen, frames), "copies");
     s.run(4);
     EXPECT_EQ(s.leader(), leader);
-    EXPECT_EQ(s.nodes[at]->election().epoch(), epoch);
+    EXPECT_EQ(s.nodes[at]->election().fencing_token(), fencing_token);
 }
 
 // Requests that were carried out come again, late: every transaction of the controllers and all that users
@@ -803,7 +803,7 @@
         ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
         s.send_report(w, 0);
         s.send_report(w, 0);
-        ReportedTask* t = w.find(std::string(id) + "/0");
+        TaskStatus* t = w.find(std::string(id) + "/0");
         ASSERT_TRUE(t) << id;
         if (std::string(id) == "job-1") {
             t->phase = TaskPhase::kExited;
@@ -823,7 +823,7 @@
     ASSERT_TRUE(before.count("f/job-1") && before.count("f/job-2") && before.count("j/job-3"));
     auto repeated = transactions;
     ASSERT_GT(repeated.size(), 8u);
-    uint64_t epoch = s.nodes[0]->election().epoch();
+    uint64_t fencing_token = s.nodes[0]->election().fencing_token();
     for (int round = 0; round < 2; ++round) {
         for (const auto& body : repeated) s.state.apply(body);
         EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
@@ -835,6 +835,6 @@
         s.send_report(w, 0);
         EXPECT_EQ(kept(), before);
         EXPECT_EQ(w.tasks.size(), 1u) << "nothing was started again";
-        EXPECT_EQ(s.nodes[0]->election().epoch(), epoch);
+        EXPECT_EQ(s.nodes[0]->election().fencing_token(), fencing_token);
     }
 }
--- a/tests/election_test.cc
+++ b/tests/election_test.cc
@@ -10,7 +10,7 @@
     for (bool record_format_before : {false, true}) {
         Site s;
         auto put_record_format = [&](uint64_t mod_revision, uint64_t record_format) {
-            Txn t;
+            Transaction t;
             t.expect(kRecordFormatKey, mod_revision).put(kRecordFormatKey, pack_record_format(record_format));
             EXPECT_EQ(s.state.apply(t.pack()).status, 200);
         };
--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -94,20 +94,21 @@
 
 // --- answers of transactions that are lost --------------------------------------------------------------
 
-enum class Transaction { kOther, kAccept, kBind, kEnd, kCancellation };
+enum class TransactionKind { kOther, kAccept, kBind, kEnd, kCancellation };
 
-Transaction kind_of(const std::string& body) {
+TransactionKind kind_of(const std::string& body) {
     auto message = Message::parse(body);
     Node when = message->root()["when"], writes = message->root()["writes"];
     std::string first = writes.size() > 0 ? writes.at(0)["put"].text_or("") : "";
     bool job = first.rfind("j/", 0) == 0, final = first.rfind("f/", 0) == 0;
-    if (!job && !final) return Transaction::kOther;
-    if (when.at(0)["k"].text_or("") == "leader") return final ? Transaction::kEnd : Transaction::kBind;
-    return when.size() == 2 ? Transaction::kAccept : Transaction::kCancellation;
+    if (!job && !final) return TransactionKind::kOther;
+    if (when.at(0)["k"].text_or("") == "leader")
+        return final ? TransactionKind::kEnd : TransactionKind::kBind;
+    return when.size() == 2 ? TransactionKind::kAccept : TransactionKind::kCancellation;
 }
 
 // The next `most` transactions of this kind are carried out at once, and only their answers are lost.
-std::shared_ptr<int> lose_answers(World& w, Transaction kind, int most) {
+std::shared_ptr<int> lose_answers(World& w, TransactionKind kind, int most) {
     auto lost = std::make_shared<int>(0);
     w.site.state.let_through = [&w, kind, most, lost](const std::string& body) {
         if (kind_of(body) != kind || *lost >= most) return true;
@@ -118,7 +119,7 @@
     return lost;
 }
 
-void lost_answers(World& w, Transaction kind) {
+void lost_answers(World& w, TransactionKind kind) {
     UserCrowd crowd(w);
     auto lost = lose_answers(w, kind, 4);
     crowd.submit(job_name(1), 2, 5, 0);
@@ -127,7 +128,7 @@
     w.starts(job_name(2));
     crowd.cancel(job_name(2), 0);
     w.site.run(20);
-    if (kind == Transaction::kEnd || kind == Transaction::kBind) {
+    if (kind == TransactionKind::kEnd || kind == TransactionKind::kBind) {
         // Once more, and the leader ends without knowing what became of it.
         int before = *lost;
         lost = lose_answers(w, kind, 1);
@@ -189,10 +190,11 @@
      }},
     {"UsersAskEverywhereAsTheLeaderIsRefused", 3, 3,
      [](World& w) { ask_everywhere(w, LeaderFault::kRefusedAtEnd); }},
-    {"TheAnswerToAnAcceptIsLost", 3, 3, [](World& w) { lost_answers(w, Transaction::kAccept); }},
-    {"TheAnswerToABindingIsLost", 3, 3, [](World& w) { lost_answers(w, Transaction::kBind); }},
-    {"TheAnswerToAnEndIsLost", 3, 3, [](World& w) { lost_answers(w, Transaction::kEnd); }},
-    {"TheAnswerToACancellationIsLost", 3, 3, [](World& w) { lost_answers(w, Transaction::kCancellation); }},
+    {"TheAnswerToAnAcceptIsLost", 3, 3, [](World& w) { lost_answers(w, TransactionKind::kAccept); }},
+    {"TheAnswerToABindingIsLost", 3, 3, [](World& w) { lost_answers(w, TransactionKind::kBind); }},
+    {"TheAnswerToAnEndIsLost", 3, 3, [](World& w) { lost_answers(w, TransactionKind::kEnd); }},
+    {"TheAnswerToACancellationIsLost", 3, 3,
+     [](World& w) { lost_answers(w, TransactionKind::kCancellation); }},
     // Stops of cancelled work and of work that yields, from a leader that is deposed when they arrive.
     {"CommandsOfADeposedLeaderComeLate", 3, 4,
      [](World& w) {
@@ -264,7 +266,7 @@
          for (auto& g : w.gates)
              g->request_delay = [](const Request& r) { return r.path == "/txn" ? 0.8 : 0.0; };
          w.site.state.let_through = [random](const std::string& body) {
-             return kind_of(body) == Transaction::kOther || (*random)() % 3 != 0;
+             return kind_of(body) == TransactionKind::kOther || (*random)() % 3 != 0;
          };
          auto deliver_late = [&] {
              for (const auto& body : std::exchange(w.site.state.late, {})) w.site.state.apply(body);
--- a/tests/fault_scenario.cc
+++ b/tests/fault_scenario.cc
@@ -197,7 +197,7 @@
         Packer p;
         f["pieces"] = p.count(tasks).take();
         if (change) change(f);
-        if (f["one_zone"] == packed_flag(true)) one_zone.insert(id);
+        if (f["one_zone"] == packed_flag(true)) single_zone.insert(id);
         if (f["shape"].find("ensemble") != std::string::npos) gangs[id] = tasks;
     });
 }
@@ -334,8 +334,8 @@
         }
         m.changed = false;
         Seconds sent = loop.now();
-        m.last_report = sent;
-        uint64_t session = m.w.session;
+        m.last_heartbeat = sent;
+        uint64_t incarnation = m.w.incarnation;
         std::string body = m.w.report();
         m.reports.push_back(body);
         HttpClient http(loop, site.configs[static_cast<size_t>(to)].listen, 1);
@@ -356,7 +356,8 @@
         }
         m.node = to;
         auto parsed = Message::parse(a.body);
-        if (m.w.session == session && parsed && parsed->root()["epoch"].count_or(0) >= m.w.epoch) {
+        if (m.w.incarnation == incarnation && parsed &&
+            parsed->root()["epoch"].count_or(0) >= m.w.fencing_token) {
             carry_out(m, a.body);
             m.lease_from = sent;
         }
@@ -379,8 +380,8 @@
 
 bool World::takes(const LiveMachine& m, const std::string& command) {
     auto message = Message::parse(command);
-    return message->root()["epoch"].count_or(0) >= m.w.epoch &&
-           message->root()["tenure"].count_or(0) == m.w.session;
+    return message->root()["epoch"].count_or(0) >= m.w.fencing_token &&
+           message->root()["tenure"].count_or(0) == m.w.incarnation;
 }
 
 // The command was held up on its way: what counts is the machine's state when it arrives.
@@ -393,16 +394,16 @@
     }
     ++late_commands_carried_out;
     carry_out(m, command);
-    ++m.w.seq;  // its answer is numbered like a report, and lost
+    ++m.w.sequence;  // its answer is numbered like a report, and lost
 }
 
 void World::carry_out(LiveMachine& m, const std::string& body) {
     std::set<std::pair<std::string, uint64_t>> before;
     for (const auto& t : m.w.tasks) before.insert({t.name.text(), t.attempt});
-    uint64_t epoch = m.w.epoch;
+    uint64_t fencing_token = m.w.fencing_token;
     size_t exited = running(m);
     m.w.carry_out(body);
-    m.changed = m.changed || m.w.epoch != epoch || running(m) != exited;
+    m.changed = m.changed || m.w.fencing_token != fencing_token || running(m) != exited;
     for (const auto& t : m.w.tasks) {
         if (t.phase == TaskPhase::kExited || before.count({t.name.text(), t.attempt})) continue;
         ++launches[t.name.job];
@@ -413,7 +414,7 @@
     }
 }
 
-bool World::mates_gone(const ReportedTask& t, Seconds now) {
+bool World::mates_gone(const TaskStatus& t, Seconds now) {
     auto gang = gangs.find(t.name.job);
     if (gang == gangs.end() || done.count(t.name.job)) return false;
     size_t n = 0;
@@ -444,8 +445,8 @@
             if (m->gone) continue;
             if (!m->hung && now - m->lease_from > site.configs[0].lease_s) {
                 m->w.tasks.clear();
-                ++m->w.session;
-                m->w.seq = 0;
+                ++m->w.incarnation;
+                m->w.sequence = 0;
                 m->lease_from = now;
                 m->changed = true;
             }
@@ -470,7 +471,7 @@
                     continue;
                 }
                 if (!services.count(t.name.job)) ++gpus;
-                if (one_zone.count(t.name.job) &&
+                if (single_zone.count(t.name.job) &&
                     zone_of.emplace(t.name.job, m->w.zone).first->second != m->w.zone)
                     ADD_FAILURE() << name << " is not in its job's zone";
                 if (!on.emplace(name, m->w.name).second)
@@ -479,7 +480,7 @@
                 if (it != announced.end() && now > it->second + site.configs[0].cancel_s)
                     ADD_FAILURE() << name << " on " << m->w.name << " ran though cancelled, at " << now;
             }
-            if (double_reports && m->reports.size() > 3 && now - m->last_report > 1.5)
+            if (double_reports && m->reports.size() > 3 && now - m->last_heartbeat > 1.5)
                 scope.spawn(copy(m->reports[m->reports.size() / 2], m->node), "copy");
         }
         EXPECT_LE(gpus, 8u) << "the team's limit";
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -52,7 +52,7 @@
     FakeWorker w;
     int node = 0;
     bool hung = false, mute = false, deaf = false, cut = false, gone = false, changed = false;
-    Seconds lease_from = 0, last_report = -1e9;
+    Seconds lease_from = 0, last_heartbeat = -1e9;
     std::map<std::string, Seconds> ends;  // of its tasks, by name
     std::vector<std::string> reports;     // all that it sent
     std::unique_ptr<HttpServer> commands;
@@ -107,7 +107,7 @@
     std::map<std::string, Seconds> run_times;
     std::map<std::string, std::set<uint32_t>> ended;
     std::set<std::string> done;
-    std::set<std::string> one_zone;
+    std::set<std::string> single_zone;
     std::map<std::string, uint32_t> services;  // and their replicas
     std::map<std::string, int> launches;
     std::map<std::string, size_t> gangs;                              // their tasks
@@ -129,7 +129,7 @@
     Task<void> carry_out_late(LiveMachine& m, std::string command, Seconds delay);
     void carry_out(LiveMachine& m, const std::string& body);
     // Whether the rest of a gang was complete, and lacks a task or has one on a machine that hangs.
-    bool mates_gone(const ReportedTask& t, Seconds now);
+    bool mates_gone(const TaskStatus& t, Seconds now);
     static size_t running(const LiveMachine& m);
 
     // Time passes on the machines, and the rules are looked at.
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -4,6 +4,8 @@
 //
 // What is guarded against: a fixed limit below the largest fleet, and work for each report that looks at all
 // machines.
+#include <fmt/format.h>
+
 #include "standins.h"
 
 using namespace hareshore;
@@ -47,8 +49,9 @@
     }
 
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
-        auto report = Report::parse(worker.report());
-        Response answer = co_await to->handle_report(std::move(*report), constants::kHoldReport_s, true);
+        auto report = WorkerHeartbeat::parse(worker.report());
+        Response answer =
+            co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
         if (answer.status != 200) co_return;
         worker.carry_out(answer.body);
         ++answered;
@@ -87,7 +90,7 @@
     ASSERT_TRUE(site.until([&] { return leader() && leader()->loaded_for() > 0; }));
     site.start(1);
     EXPECT_EQ(all_report(), kMachines);
-    EXPECT_EQ(leader()->machines_reported(), kMachines);
+    EXPECT_EQ(leader()->machines_seen(), kMachines);
     ASSERT_TRUE(site.until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
     submit_jobs();
     for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round) all_report();
@@ -110,7 +113,7 @@
     EXPECT_LT(site.loop.now() - began, kTakeOver_s);
     EXPECT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
     for (const FakeWorker& worker : workers)
-        for (const ReportedTask& task : worker.tasks) ASSERT_EQ(task.phase, TaskPhase::kRunning);
+        for (const TaskStatus& task : worker.tasks) ASSERT_EQ(task.phase, TaskPhase::kRunning);
     EXPECT_TRUE(site.cloud.deleted.empty());
 }
 
@@ -139,7 +142,7 @@
     scope.spawn(send_and_leave(site.loop, site.configs[0].listen, worker.report(), sent), "worker");
     ASSERT_TRUE(site.until([&] { return sent; }));
     site.run(2);
-    EXPECT_EQ(site.nodes[0]->leader()->machines_reported(), 0u);
+    EXPECT_EQ(site.nodes[0]->leader()->machines_seen(), 0u);
     site.settle(worker);
-    EXPECT_EQ(site.nodes[0]->leader()->machines_reported(), 1u);
+    EXPECT_EQ(site.nodes[0]->leader()->machines_seen(), 1u);
 }
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -2,7 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "base/constants.h"
-#include "fleet/plan.h"
+#include "fleet/scaling_plan.h"
+#include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
 #include "standins.h"
 
@@ -23,18 +24,18 @@
         t.name = "team";
         t.gpus_max = 4;
         config.teams = {t};
-        config.report_s = 3;
+        config.heartbeat_interval_s = 3;
         config.lease_s = 24;
         config.value_bytes = 8192;
         config.cloud_rps = 6;
         cluster.machine_types = {test::small_machine_type()};
     }
 
-    JobSpec spec(const std::string& id, uint32_t tasks, Shape shape = Shape::kArray) {
+    JobSpec spec(const std::string& id, uint32_t tasks, JobKind shape = JobKind::kArray) {
         JobSpec s;
         s.id = id;
         s.team = "team";
-        s.shape = shape;
+        s.kind = shape;
         s.tasks = tasks;
         s.cpus = 4;
         s.gpus = 1;
@@ -45,12 +46,12 @@
         s.save_s = 2;
         return s;
     }
-    Job& add(JobSpec s, std::map<uint32_t, Bound> live = {}) {
+    Job& add(JobSpec s, std::map<uint32_t, PlacementRecord> live = {}) {
         JobRecord r;
         r.spec = std::move(s);
         r.live = std::move(live);
         r.next_attempt = r.live.empty() ? 1 : 10;
-        Job& j = jobs.load(r, 5, now, 0);
+        Job& j = jobs.load(r, 5, now, {0});
         j.accepted = now;
         for (const auto& [task, b] : r.live) cluster.ensure(b.machine, now).zone = b.zone;
         return j;
@@ -59,29 +60,29 @@
         Machine& h = cluster.ensure(name, now);
         h.zone = zone;
         h.machine_type = "g2";
-        Report r = report(h, {});
+        WorkerHeartbeat r = report(h, {});
         h.reported = h.current = true;
         jobs.apply(cluster, h, r, true, now);
         return h;
     }
-    Report report(const Machine& h, std::vector<ReportedTask> tasks) {
-        Report r;
+    WorkerHeartbeat report(const Machine& h, std::vector<TaskStatus> tasks) {
+        WorkerHeartbeat r;
         r.machine = h.name;
         r.zone = h.zone;
         r.machine_type = "g2";
-        r.session = 1;
-        r.seq = h.seq + 1;
+        r.incarnation = 1;
+        r.sequence = h.sequence + 1;
         r.tasks = std::move(tasks);
         return r;
     }
-    static ReportedTask task(const std::string& job, uint32_t n, uint64_t attempt, TaskPhase p,
-                             ExitCause c = ExitCause::kNone) {
+    static TaskStatus task(const std::string& job, uint32_t n, uint64_t attempt, TaskPhase p,
+                           ExitCause c = ExitCause::kNone) {
         return {{job, n}, attempt, p, c, false};
     }
-    std::vector<Binding> pull(std::vector<Machine*> askers) {
-        for (auto& [n, h] : cluster.machines) h->last_report = now;
-        cluster.recount(jobs, now, 6);
-        SchedulerInput in{config, settings, now, std::move(askers)};
+    std::vector<Binding> pull(std::vector<Machine*> requesting_machines) {
+        for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
+        recount(cluster, jobs, now, 6);
+        SchedulerInput in{config, settings, now, std::move(requesting_machines)};
         return schedule(cluster, jobs, in);
     }
     void committed(Job& j) { j.committed = j.version; }
@@ -127,9 +128,9 @@
     pull({&h});
     committed(j);
     jobs.commands(h, true);
-    Report late = report(h, {});
-    late.seq = h.seq;  // the report that was answered with the launch
-    EXPECT_FALSE(late.newer_than(h.session, h.seq));
+    WorkerHeartbeat late = report(h, {});
+    late.sequence = h.sequence;  // the report that was answered with the launch
+    EXPECT_FALSE(late.newer_than(h.incarnation, h.sequence));
     jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
     jobs.apply(cluster, h, report(h, {}), false, now += 1);
     EXPECT_EQ(j.live.size(), 1u);
@@ -158,7 +159,7 @@
     Machine& other = machine("vm-2");
     now += 100000;
     EXPECT_TRUE(pull({&other}).empty());
-    jobs.machine_gone("vm-1", now);
+    jobs.machine_deleted("vm-1", now);
     EXPECT_EQ(j.live.size(), 0u);
     EXPECT_EQ(pull({&other}).size(), 1u);
     EXPECT_GT(j.live.at(0).attempt, 3u);
@@ -172,20 +173,20 @@
         return machines_holding_cancelled(cluster, jobs, config, now, leading_since);
     };
     using Names = std::vector<std::string>;
-    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_report = now;
+    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_heartbeat = now;
     Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     add(spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
     now += 30;
     EXPECT_TRUE(due(0).empty()) << "silence alone is no reason";
-    cluster.machine("vm-1")->last_report = now - 1;
+    cluster.machine("vm-1")->last_heartbeat = now - 1;
     jobs.cancel(j, now);
     now += 10;
     EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
-    now += config.lease_s - 8 + constants::kLeaseSpare_s;
+    now += config.lease_s - 8 + constants::kLeaseMargin_s;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
     EXPECT_LT(now, j.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
     EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
-    cluster.machine("vm-1")->last_report = now;
+    cluster.machine("vm-1")->last_heartbeat = now;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "it reports, and hears nothing";
     // A leader that learns late counts from the machine's silence.
     jobs.cancel(*jobs.find("job-2"), now);
@@ -197,7 +198,7 @@
     r.spec = spec("job-3", 1);
     r.cancelled = true;
     r.live[0] = {4, "vm-9", "a"};
-    jobs.load(r, 9, now, 0);
+    jobs.load(r, 9, now, {0});
     cluster.ensure("vm-9", now);
     Seconds loaded = now;
     now += 5;
@@ -236,7 +237,7 @@
 
 TEST_F(Lifecycle, KeepsAJobInTheZoneOfItsInheritedPlacements) {
     JobSpec s = spec("job-1", 3);
-    s.one_zone = true;
+    s.single_zone = true;
     add(s, {{0, {1, "vm-8", "a"}}});
     Machine& b = machine("vm-1", "b");
     EXPECT_TRUE(pull({&b}).empty());
@@ -247,17 +248,17 @@
 TEST_F(Lifecycle, PutsAtMostHalfRoundedUpIntoAZone) {
     config.teams[0].gpus_max = 0;
     JobSpec s = spec("job-1", 5);
-    s.apart = true;
+    s.spread_across_zones = true;
     add(s);
     Machine &x = machine("vm-1"), &y = machine("vm-2");
     EXPECT_EQ(pull({&x, &y}).size(), 3u);
 }
 
 TEST_F(Lifecycle, StartsAGangOnlyWithRoomForAllTasks) {
-    Job& g = add(spec("job-1", 4, Shape::kGang));
+    Job& g = add(spec("job-1", 4, JobKind::kGang));
     Machine& x = machine("vm-1");
     EXPECT_TRUE(pull({&x}).empty());
-    EXPECT_EQ(g.why, Wait::kGangRoom);
+    EXPECT_EQ(g.wait_reason, WaitReason::kGangRoom);
     machine("vm-2");
     EXPECT_EQ(pull({&x}).size(), 4u);
     std::set<uint64_t> attempts;
@@ -267,7 +268,7 @@
 
 // Until the last task of the old attempt has exited, no task of the gang may start anywhere.
 TEST_F(Lifecycle, RestartsAGangOnlyWhenItsLastAttemptIsGone) {
-    Job& g = add(spec("job-1", 2, Shape::kGang));
+    Job& g = add(spec("job-1", 2, JobKind::kGang));
     Machine &x = machine("vm-1"), &y = machine("vm-2");
     x.free = {};
     ASSERT_EQ(pull({&x}).size(), 2u);
@@ -280,7 +281,7 @@
     t0.cause = ExitCause::kPeersGone;
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(pull({&x, &y}).empty());
-    EXPECT_EQ(g.why, Wait::kOldAttempt);
+    EXPECT_EQ(g.wait_reason, WaitReason::kOldAttempt);
     auto o = jobs.commands(h, true);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
     t1.phase = TaskPhase::kExited;
@@ -291,7 +292,7 @@
 }
 
 TEST_F(Lifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
-    Job& g = add(spec("job-1", 2, Shape::kGang));
+    Job& g = add(spec("job-1", 2, JobKind::kGang));
     Machine &x = machine("vm-1"), &y = machine("vm-2");
     pull({&x});
     committed(g);
@@ -305,8 +306,8 @@
                report(h, {task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
                           task("job-1", 1, 1, TaskPhase::kRunning)}),
                true, now += 3);
-    EXPECT_TRUE(g.over());
-    cluster.recount(jobs, now, 6);
+    EXPECT_TRUE(g.finished());
+    recount(cluster, jobs, now, 6);
     EXPECT_EQ(cluster.teams["team"].gpus, 1.0);
     (void)other;
 }
@@ -356,16 +357,16 @@
                    true, now);
     };
     fail(bad, "job-1");
-    EXPECT_FALSE(bad.condemned) << "one failure says little";
+    EXPECT_FALSE(bad.cordoned) << "one failure says little";
     fail(bad, "job-2");
-    EXPECT_TRUE(bad.condemned);
+    EXPECT_TRUE(bad.cordoned);
     // One job that fails everywhere costs no machine.
     for (const char* m : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
         Machine& h = machine(m);
         fail(h, "job-7");
-        EXPECT_FALSE(h.condemned);
+        EXPECT_FALSE(h.cordoned);
     }
-    EXPECT_TRUE(jobs.find("job-7")->blamed);
+    EXPECT_TRUE(jobs.find("job-7")->failing);
     EXPECT_GT(jobs.find("job-7")->not_before, now);
     // What made it fail may be over: beside fitting room no job waits for 90 s.
     for (int i = 0; i < 8; ++i) {
@@ -400,7 +401,7 @@
     ASSERT_EQ(pull(machines).size(), 8u);
     committed(j);
     auto state = [&](Machine& h, TaskPhase p, ExitCause c) {
-        std::vector<ReportedTask> t;
+        std::vector<TaskStatus> t;
         for (auto& r : jobs.on_machine(h.name))
             t.push_back(task(r.job->spec.id, r.task, r.placement->attempt, p, c));
         jobs.apply(cluster, h, report(h, t), true, now);
@@ -408,15 +409,15 @@
     for (Machine* h : machines) state(*h, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
     jobs.find_stragglers(cluster, now);
-    EXPECT_FALSE(machines[0]->condemned) << "nothing to compare with";
+    EXPECT_FALSE(machines[0]->cordoned) << "nothing to compare with";
     now -= 70;
     for (int i = 1; i < 4; ++i)
         state(*machines[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
     jobs.find_stragglers(cluster, now);
-    EXPECT_FALSE(machines[0]->condemned);
+    EXPECT_FALSE(machines[0]->cordoned);
     now += 50;
     jobs.find_stragglers(cluster, now);
-    EXPECT_TRUE(machines[0]->condemned);
+    EXPECT_TRUE(machines[0]->cordoned);
     EXPECT_EQ(jobs.take_urgent().count("vm-0"), 1u) << "its tasks save and move";
 }
 
@@ -426,7 +427,7 @@
     holder.cache.set_capacity(50);
     holder.cache.use(j.spec.image, 2);
     EXPECT_TRUE(pull({&asker}).empty());
-    EXPECT_EQ(j.why, Wait::kHeldForImage);
+    EXPECT_EQ(j.wait_reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(pull({&asker}).size(), 1u) << "not for ever";
 }
@@ -468,8 +469,8 @@
     EXPECT_LE(j.pending.pieces(), 1u);
     EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
-    FleetInput in{config, settings, now, now, {}, {}, true, false};
-    auto plan = plan_fleet(cluster, jobs, in);
+    ScalingInput in{config, settings, now, now, {}, {}, true, false};
+    auto plan = plan_scaling(cluster, jobs, in);
     int number = 0;
     for (auto& r : plan.rent) number += r.number;
     EXPECT_EQ(number, 80) << "up to the most machines in each of two zones, and not one a task";
@@ -478,32 +479,32 @@
     settings.max_machines = 0;
     for (int i = 0; i < 260; ++i) machine("vm-b" + std::to_string(100 + i)).free = {};
     number = 0;
-    for (auto& r : plan_fleet(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
     EXPECT_EQ(number, 300);
     in.on_order = {{{"g2", "a", false}, 50}, {{"g2", "b", false}, 50}};
     number = 0;
-    for (auto& r : plan_fleet(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
     EXPECT_EQ(number, 200);
 }
 
 TEST_F(Lifecycle, ReturnsSilentMachinesUnlessManyFallSilentAtOnce) {
-    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_report = now;
+    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_heartbeat = now;
     Seconds then = now;
     now += 15;
     auto silent = [&](int n) {
         for (int i = 0; i < 6; ++i)
-            cluster.machine("vm-" + std::to_string(i))->last_report = i < n ? then : now;
-        cluster.recount(jobs, now, 6);
-        FleetInput in{config, settings, now, then, {}, {}, true, false};
-        return plan_fleet(cluster, jobs, in).give_back.size();
+            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? then : now;
+        recount(cluster, jobs, now, 6);
+        ScalingInput in{config, settings, now, then, {}, {}, true, false};
+        return plan_scaling(cluster, jobs, in).scale_in.size();
     };
     EXPECT_EQ(silent(1), 1u);
     EXPECT_EQ(silent(5), 0u) << "more likely the controller is cut off";
     // Not one by one either, when the others have only just fallen quiet.
-    for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_report = now - 8;
-    cluster.machine("vm-0")->last_report = then;
-    FleetInput in{config, settings, now, then, {}, {}, true, false};
-    EXPECT_TRUE(plan_fleet(cluster, jobs, in).give_back.empty());
+    for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = now - 8;
+    cluster.machine("vm-0")->last_heartbeat = then;
+    ScalingInput in{config, settings, now, then, {}, {}, true, false};
+    EXPECT_TRUE(plan_scaling(cluster, jobs, in).scale_in.empty());
     // Nor is anything rented where it would not be heard, and the silent ones are no room to count on. A new
     // leader, who has heard none of them, sees the cut by what the cloud lists as up. With the zone's 260
     // machines returned and rented anew again and again, the fleet was short of them when the cut was over.
@@ -512,32 +513,32 @@
     for (bool heard : {true, false}) {
         for (int i = 0; i < 6; ++i) {
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
-            h.last_report = then;
+            h.last_heartbeat = then;
             h.listed = true;
             h.reported = heard;
         }
         now = then + 2 * config.lease_s;
-        cluster.recount(jobs, now, 6);
-        FleetInput cut{config, settings, now, then, {}, {}, true, false};
-        FleetPlan plan = plan_fleet(cluster, jobs, cut);
-        EXPECT_TRUE(plan.give_back.empty()) << heard;
+        recount(cluster, jobs, now, 6);
+        ScalingInput cut{config, settings, now, then, {}, {}, true, false};
+        ScalingPlan plan = plan_scaling(cluster, jobs, cut);
+        EXPECT_TRUE(plan.scale_in.empty()) << heard;
         ASSERT_EQ(plan.rent.size(), 1u);
         EXPECT_EQ(plan.rent[0].kind.zone, "b");
         EXPECT_EQ(plan.rent[0].number, 2);
-        cut.now = then + constants::kCutPatience * config.lease_s + 1;
-        EXPECT_EQ(plan_fleet(cluster, jobs, cut).give_back.size(), 6u) << "some day they are given up";
+        cut.now = then + constants::kPartitionTimeoutLeases * config.lease_s + 1;
+        EXPECT_EQ(plan_scaling(cluster, jobs, cut).scale_in.size(), 6u) << "some day they are given up";
         // The cut ends, and most are heard again: the others have as long as any that falls silent.
         cut.now = now + 1;
         cut.cut_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
             h.reported = true;
-            h.last_report = cut.now;
+            h.last_heartbeat = cut.now;
         }
-        EXPECT_TRUE(plan_fleet(cluster, jobs, cut).silent.empty());
+        EXPECT_TRUE(plan_scaling(cluster, jobs, cut).silent.empty());
         cut.now += 2 * config.lease_s;
-        for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_report = cut.now;
-        EXPECT_EQ(plan_fleet(cluster, jobs, cut).silent.size(), 2u);
+        for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = cut.now;
+        EXPECT_EQ(plan_scaling(cluster, jobs, cut).silent.size(), 2u);
     }
 }
 
@@ -554,10 +555,10 @@
     jobs.apply(cluster, x, report(x, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
     jobs.apply(cluster, y, report(y, {task("job-1", 1, 2, TaskPhase::kRunning)}), true, now);
     auto moved = [&] {
-        x.last_report = y.last_report = now;
-        cluster.recount(jobs, now, 6);
-        FleetInput in{config, settings, now, 0, {}, {}, true, false};
-        return plan_fleet(cluster, jobs, in).empty_out.size();
+        x.last_heartbeat = y.last_heartbeat = now;
+        recount(cluster, jobs, now, 6);
+        ScalingInput in{config, settings, now, 0, {}, {}, true, false};
+        return plan_scaling(cluster, jobs, in).drain.size();
     };
     now += settings.calm_s - 1;
     EXPECT_EQ(moved(), 0u);
@@ -578,9 +579,9 @@
     jobs.bind(busy, 0, y, 1, now);
     committed(busy);
     jobs.apply(cluster, y, report(y, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
-    JobSpec g = spec("job-2", 2, Shape::kGang);
+    JobSpec g = spec("job-2", 2, JobKind::kGang);
     g.gpus = 2;
-    g.one_zone = true;
+    g.single_zone = true;
     add(g);
     JobSpec slow = spec("job-3", 1), quick = spec("job-4", 1);
     slow.estimate_s = 300;
@@ -602,7 +603,7 @@
     config.teams.push_back(guaranteed);
     Machine& x = machine("vm-1");
     Job& low = add(spec("job-1", 2));
-    low.spec.rank = Rank::kStandard;
+    low.spec.priority = PriorityClass::kStandard;
     low.spec.checkpoint_s = 100;
     pull({&x});
     committed(low);
@@ -613,7 +614,7 @@
     auto stopping = [&] {
         return std::count_if(low.live.begin(), low.live.end(), [](auto& p) { return p.second.stopping; });
     };
-    JobSpec same = spec("job-2", 1, Shape::kGang);
+    JobSpec same = spec("job-2", 1, JobKind::kGang);
     add(same);
     pull({&x});
     EXPECT_EQ(stopping(), 0) << "not for work of the same priority";
@@ -642,10 +643,10 @@
     Seconds began[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints come every 10 s
     for (size_t i = 0; i < 4; ++i)
         for (auto& [n, p] : low[i]->live) p.running_since = began[i];
-    JobSpec s = spec("job-9", 2, Shape::kGang);
+    JobSpec s = spec("job-9", 2, JobKind::kGang);
     s.gpus = 2;
     s.cpus = 8;
-    s.rank = Rank::kHigh;
+    s.priority = PriorityClass::kHigh;
     add(s);
     pull({});
     auto stopping = [&](size_t i) {
@@ -663,26 +664,26 @@
 TEST_F(Lifecycle, GivesUpAMachineThatReportsButDoesNotHear) {
     Job& j = add(spec("job-1", 1));
     Machine &deaf = machine("vm-1"), &other = machine("vm-2");
-    other.condemned = true;
+    other.cordoned = true;
     ASSERT_EQ(pull({&deaf}).size(), 1u);
     committed(j);
-    for (int i = 0; i < constants::kUnheardLaunches; ++i) {
+    for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
         ASSERT_EQ(j.live.count(0), 1u);
         EXPECT_EQ(launches(jobs.commands(deaf, true)), 1u);
         jobs.apply(cluster, deaf, report(deaf, {}), true, now += 3);
     }
     EXPECT_TRUE(j.live.empty());
     EXPECT_TRUE(pull({&deaf}).empty()) << "no room to count on";
-    other.condemned = false;
+    other.cordoned = false;
     EXPECT_EQ(pull({&deaf, &other}).size(), 1u);
     auto returned = [&] {
-        FleetInput in{config, settings, now, 0, {}, {}, true, false};
-        return plan_fleet(cluster, jobs, in).reasons.count("vm-1");
+        ScalingInput in{config, settings, now, 0, {}, {}, true, false};
+        return plan_scaling(cluster, jobs, in).reasons.count("vm-1");
     };
     EXPECT_EQ(returned(), 0u);
     now += config.lease_s + 1;
-    deaf.last_report = other.last_report = now;
-    cluster.recount(jobs, now, 6);
+    deaf.last_heartbeat = other.last_heartbeat = now;
+    recount(cluster, jobs, now, 6);
     EXPECT_EQ(returned(), 1u);
 }
 
@@ -690,14 +691,14 @@
 // one, and its lease does not end.
 TEST_F(Lifecycle, SeesFromReportsWhetherAnswersAreHeard) {
     Machine& h = machine("vm-1");
-    auto next = [&](uint64_t session, uint64_t seq, bool direct = true) {
-        Report r = report(h, {});
-        r.session = session;
-        r.seq = seq;
-        h.judge_hearing(r, direct, config.lease_s, now += 3);
+    auto next = [&](uint64_t incarnation, uint64_t sequence, bool direct = true) {
+        WorkerHeartbeat r = report(h, {});
+        r.incarnation = incarnation;
+        r.sequence = sequence;
+        h.update_reachability(r, direct, config.lease_s, now += 3);
         jobs.apply(cluster, h, r, true, now);
         h.answered(direct, now);
-        return h.unheard_since < 0;
+        return !h.unreachable_since;
     };
     EXPECT_TRUE(next(1, 10));
     EXPECT_TRUE(next(1, 11));
@@ -708,7 +709,7 @@
     h.answered(false, now);
     EXPECT_TRUE(next(1, 20)) << "a command's answer may have taken a number";
     EXPECT_FALSE(next(2, 21)) << "its lease has ended although it was answered";
-    h.unheard_since = -1;
+    h.unreachable_since.reset();
     now += config.lease_s;
     EXPECT_TRUE(next(3, 40)) << "it was silent for a lease";
 }
@@ -719,13 +720,13 @@
     add(spec("job-1", 2));
     Machine& h = machine("vm-1");
     h.current = false;
-    h.last_report = now;
-    cluster.recount(jobs, now, 6);
-    EXPECT_FALSE(h.usable);
+    h.last_heartbeat = now;
+    recount(cluster, jobs, now, 6);
+    EXPECT_FALSE(h.schedulable);
     auto rented = [&] {
-        FleetInput in{config, settings, now, now, {}, {}, true, false};
+        ScalingInput in{config, settings, now, now, {}, {}, true, false};
         int n = 0;
-        for (auto& r : plan_fleet(cluster, jobs, in).rent) n += r.number;
+        for (auto& r : plan_scaling(cluster, jobs, in).rent) n += r.number;
         return n;
     };
     EXPECT_EQ(rented(), 1) << "it does not stand in for a machine";
@@ -738,19 +739,19 @@
 TEST_F(Lifecycle, AStarvedJobGoesBeforeAllOthers) {
     config.teams[0].gpus_max = 0;
     Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec large = spec("job-1", 2, Shape::kGang);
+    JobSpec large = spec("job-1", 2, JobKind::kGang);
     large.gpus = 2;
-    large.one_zone = true;
-    large.rank = Rank::kIdle;
+    large.single_zone = true;
+    large.priority = PriorityClass::kIdle;
     Job& old = add(large);
     JobSpec late = spec("job-2", 2);
     late.due_s = 10;
-    late.rank = Rank::kIdle;
+    late.priority = PriorityClass::kIdle;
     Job& overdue = add(late);
     int next = 10;
     auto stream = [&] {
         JobSpec s = spec("job-" + std::to_string(next++), 4);
-        s.rank = Rank::kHigh;
+        s.priority = PriorityClass::kHigh;
         return &add(s);
     };
     stream();
@@ -759,16 +760,16 @@
     now += settings.begin_bound_s + 1;
     stream();
     // One machine comes free: it is kept, whatever else waits.
-    jobs.machine_gone("vm-1", now);
+    jobs.machine_deleted("vm-1", now);
     EXPECT_TRUE(pull({&x}).empty());
     jobs.erase("job-10");
-    jobs.machine_gone("vm-2", now);
+    jobs.machine_deleted("vm-2", now);
     auto b = pull({&x, &y});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job, &old);
     // The late array has its turn before what came after it, too, and only until it has begun.
-    jobs.machine_gone("vm-1", now);
-    jobs.machine_gone("vm-2", now);
+    jobs.machine_deleted("vm-1", now);
+    jobs.machine_deleted("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
     b = pull({&x, &y});
@@ -783,19 +784,19 @@
     Machine &x = machine("vm-1"), &y = machine("vm-2");
     machine("vm-3");
     Job& low = add(spec("job-1", 2));
-    low.spec.rank = Rank::kIdle;
+    low.spec.priority = PriorityClass::kIdle;
     Job& same = add(spec("job-2", 2));
     ASSERT_EQ(pull({&x, &y}).size(), 4u) << "the limit is used up";
     committed(low);
     committed(same);
     now += 1;
-    Job& gang = add(spec("job-3", 3, Shape::kGang));
+    Job& gang = add(spec("job-3", 3, JobKind::kGang));
     JobSpec idle = spec("job-5", 1);
-    idle.rank = Rank::kIdle;
+    idle.priority = PriorityClass::kIdle;
     Job& lower = add(idle);
     config.teams[0].gpus_max = 5;
     EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty()) << "what is free is kept from lower work";
-    EXPECT_EQ(lower.why, Wait::kTeamLimit);
+    EXPECT_EQ(lower.wait_reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
     pull({&x});
@@ -813,19 +814,19 @@
     gang.pending = Ranges::whole(3);
     low.cancelled = true;
     for (const auto& r : std::vector(jobs.on_machine("vm-1")))
-        if (r.job->spec.id == "job-1") jobs.machine_gone("vm-1", now);
+        if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
     add(spec("job-4", 1));
     EXPECT_TRUE(pull({&x, &y}).empty()) << "what is free of the limit is kept";
-    EXPECT_EQ(gang.why, Wait::kTeamLimit);
+    EXPECT_EQ(gang.wait_reason, WaitReason::kTeamLimit);
     // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
     // would be started again, and stopped again.
     config.teams[0].gpus_max = cluster.teams["team"].gpus + 2;
     gang.spec.tasks = 2;
-    gang.spec.one_zone = true;
+    gang.spec.single_zone = true;
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
     EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty());
-    EXPECT_EQ(gang.why, Wait::kGangRoom);
+    EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
 }
 
 // In an overload an array that lost the aim for its start goes after one that can still make it.
@@ -857,7 +858,7 @@
     ASSERT_EQ(pull({&h}).size(), 2u);
     committed(old);
     now += 60;
-    jobs.machine_gone("vm-1", now);
+    jobs.machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
     s.id = "job-2";
     add(s);
@@ -878,9 +879,9 @@
     jobs.bind(busy, 0, y, 1, now);
     committed(busy);
     config.teams[0].gpus_max = 6;
-    JobSpec g = spec("job-2", 2, Shape::kGang);
+    JobSpec g = spec("job-2", 2, JobKind::kGang);
     g.gpus = 2;
-    g.one_zone = true;
+    g.single_zone = true;
     add(g);
     Team other;
     other.name = "other";
@@ -891,7 +892,7 @@
     now += settings.begin_bound_s + 1;
     add(theirs);
     EXPECT_TRUE(pull({&x}).empty()) << "the machine is kept, from other teams as well";
-    jobs.machine_gone("vm-2", now);
+    jobs.machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
     EXPECT_EQ(pull({&x, &y}).size(), 2u);
@@ -914,27 +915,28 @@
         // Half of the fleet runs an array that yields, half one that does not.
         for (int i = 0; i < machines; i += 10) {
             JobSpec s = spec("job-" + std::to_string(i), 20);
-            s.rank = i % 20 ? Rank::kIdle : Rank::kHigh;
+            s.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
             Job& j = add(s);
             for (uint32_t t = 0; t < 20; ++t)
                 jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
             JobSpec s = spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
-                             i % 2 ? Shape::kGang : Shape::kArray);
-            s.rank = i % 2 ? Rank::kHigh : Rank::kStandard;
-            s.one_zone = s.gang();
+                             i % 2 ? JobKind::kGang : JobKind::kArray);
+            s.priority = i % 2 ? PriorityClass::kHigh : PriorityClass::kStandard;
+            s.single_zone = s.gang();
             s.image = "img-" + std::to_string(i % 6);
             add(s);
         }
         Cost c;
-        cluster.recount(jobs, now, 6);
+        recount(cluster, jobs, now, 6);
         SchedulerInput in{config, settings, now, {}, &c.round};
-        for (int i = 0; i < machines; i += 50) in.askers.push_back(fleet_machines[static_cast<size_t>(i)]);
+        for (int i = 0; i < machines; i += 50)
+            in.requesting_machines.push_back(fleet_machines[static_cast<size_t>(i)]);
         schedule(cluster, jobs, in);
-        cluster.recount(jobs, now, 6);
-        FleetInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
-        plan_fleet(cluster, jobs, f);
+        recount(cluster, jobs, now, 6);
+        ScalingInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
+        plan_scaling(cluster, jobs, f);
         return c;
     };
     Cost small = cost(250), large = cost(1000);
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -1,11 +1,13 @@
 // The state service's later limits when they fall at a bad moment: before records of format 2 may be written,
 // in a take-over, with a transaction under way, over records of the earlier format, and under a burst of
 // submissions.
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <set>
 
-#include "base/bucket.h"
 #include "base/constants.h"
+#include "base/token_bucket.h"
 #include "standins.h"
 
 using namespace hareshore;
@@ -50,7 +52,7 @@
     r.spec.estimate_s = 60;
     r.spec.checkpoint_s = 10;
     r.spec.save_s = 2;
-    r.accepted_wall = 1;
+    r.accepted_wall = {1};
     r.next_attempt = tasks + 1;
     for (uint32_t n = 0; n < tasks; ++n) {
         uint32_t machine = n % machines;
@@ -60,7 +62,7 @@
 }
 
 void store(Site& s, const JobRecord& r) {
-    Txn t;
+    Transaction t;
     t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
     ASSERT_EQ(s.state.apply(t.pack()).status, 200);
 }
@@ -106,7 +108,7 @@
     EXPECT_TRUE(s.until([&] { return answered == workers.size(); }, 20));
 }
 
-void exit_task(ReportedTask& t, ExitCause cause) {
+void exit_task(TaskStatus& t, ExitCause cause) {
     t.phase = TaskPhase::kExited;
     t.cause = cause;
 }
@@ -114,7 +116,7 @@
 size_t exits_kept(const std::vector<FakeWorker>& workers) {
     size_t n = 0;
     for (const auto& w : workers)
-        n += static_cast<size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [](const ReportedTask& t) {
+        n += static_cast<size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [](const TaskStatus& t) {
             return t.phase == TaskPhase::kExited;
         }));
     return n;
@@ -309,7 +311,7 @@
     constexpr uint32_t kTasks = 150;
     Site s;
     announce_limits(s);
-    s.configs[0].report_s = 10;
+    s.configs[0].heartbeat_interval_s = 10;
     JobRecord r = running_array("job-1", kTasks, kTasks, 1);
     ASSERT_GT(json_text(r.pack(1)).size(), kLaterValueBytes);
     store(s, r);
@@ -426,7 +428,7 @@
     for (int i = 0; i < 12; ++i) s.send_report(w, lead);
     ASSERT_EQ(w.tasks.size(), before.size());
     // From here on the service keeps to the rate.
-    Bucket rate(kLaterWriteRate, kLaterWriteRate);
+    TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
     s.state.let_through = [&](const std::string& txn) {
         auto m = Message::parse(txn);
         s.state.limited = rate.take(static_cast<double>(m->root()["writes"].size()), s.loop.now()) ? 0 : 1;
--- a/tests/load/load_site.cc
+++ b/tests/load/load_site.cc
@@ -1,6 +1,8 @@
 // A stand-in deployment on loopback in real time, for measuring what a controller costs: state service,
 // cloud, workers that report and run tasks, and users who submit and poll. Writes a settings file for each
 // controller; the controllers themselves are started by whoever measures, see measure-costs.
+#include <fmt/format.h>
+
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -15,9 +17,9 @@
 struct LoadOptions {
     int controllers = 1;
     int workers = 200;
-    double report_s = 5;    // interval of each worker's reports
-    double task_s = 60;     // how long a task runs
-    double jobs_per_s = 0;  // submissions of one array of tasks_per_job tasks each
+    double heartbeat_interval_s = 5;  // interval of each worker's reports
+    double task_s = 60;               // how long a task runs
+    double jobs_per_s = 0;            // submissions of one array of tasks_per_job tasks each
     int tasks_per_job = 4;
     int pollers = 0;    // users that poll a job again and again
     double poll_s = 5;  // interval of each user's polls
@@ -50,7 +52,7 @@
         << text_of(address(kStateHost, kStatePort)) << "\"\n"
         << "[facts]\nnodes = " << options.controllers << "\nzones = [\"a\", \"b\"]\nskew_ms = 100.0\n"
         << "[[facts.teams]]\nname = \"team\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"
-        << "[facts.workers]\nreport_s = " << options.report_s
+        << "[facts.workers]\nreport_s = " << options.heartbeat_interval_s
         << "\nlease_s = 24.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 49.0\n"
         << "[facts.state]\nrps = 2000.0\nwrite_rps = 500.0\nvalue_kb = 8.0\ntxn_ops = 12\n"
         << "[facts.cloud]\nrps = 12.0\nlist_lag_s = 6.0\n"
@@ -70,11 +72,11 @@
     Task<void> run() {
         std::mt19937 random(std::hash<std::string>{}(worker_.name));
         std::uniform_real_distribution<double> spread(0.75, 1.25);
-        co_await loop_.sleep(options_.report_s * (spread(random) - 0.75) * 2);
+        co_await loop_.sleep(options_.heartbeat_interval_s * (spread(random) - 0.75) * 2);
         while (true) {
             bool accepted = co_await report();
             end_tasks();
-            co_await loop_.sleep(accepted ? options_.report_s * spread(random) : 1.0);
+            co_await loop_.sleep(accepted ? options_.heartbeat_interval_s * spread(random) : 1.0);
         }
     }
 
@@ -180,7 +182,7 @@
     CLI::App app{"A stand-in deployment for measuring controllers"};
     app.add_option("--controllers", options.controllers, "settings files to write");
     app.add_option("--workers", options.workers, "machines that report");
-    app.add_option("--report-s", options.report_s, "interval of a worker's reports");
+    app.add_option("--report-s", options.heartbeat_interval_s, "interval of a worker's reports");
     app.add_option("--task-s", options.task_s, "how long a task runs");
     app.add_option("--jobs-per-s", options.jobs_per_s, "submissions a second");
     app.add_option("--tasks-per-job", options.tasks_per_job, "tasks of each job");
--- a/tests/poll_rate_test.cc
+++ b/tests/poll_rate_test.cc
@@ -2,7 +2,7 @@
 // its lease nor other users their submissions and cancellations.
 #include <gtest/gtest.h>
 
-#include "base/bucket.h"
+#include "base/token_bucket.h"
 #include "standins.h"
 
 using namespace hareshore;
@@ -18,7 +18,7 @@
 struct RateLimitedState {
     Loop& loop;
     FakeState& state;
-    Bucket rate{kStateRps, kStateRps};
+    TokenBucket rate{kStateRps, kStateRps};
     int refused = 0;
     HttpServer server;
 
--- a/tests/record_room_test.cc
+++ b/tests/record_room_test.cc
@@ -49,10 +49,10 @@
     void ends(const Job& j, uint32_t task, ExitCause cause) {
         const Placement p = j.live.at(task);
         Machine& h = cluster.ensure(p.machine, 0);
-        Report r;
+        WorkerHeartbeat r;
         r.machine = h.name;
         r.zone = p.zone;
-        r.seq = h.seq + 1;
+        r.sequence = h.sequence + 1;
         r.tasks = {{{j.spec.id, task}, p.attempt, TaskPhase::kExited, cause, false}};
         jobs.apply(cluster, h, r, false, 0);
     }
@@ -68,8 +68,8 @@
 TEST_F(RecordRoom, LeavesAPlacementFreeForAMachineOfAnyName) {
     const Machine near = machine("m-1"), far = machine(std::string(110, 'x') + "-000001", "another-zone");
     JobRecord r = record(600);
-    Job& j = jobs.load(r, 5, 0, 0);
-    config.next_value_bytes = j.record_bytes(kNewestRecordFormat) + constants::kRecordSpare;
+    Job& j = jobs.load(r, 5, 0, {0});
+    config.next_value_bytes = j.record_bytes(kNewestRecordFormat) + constants::kRecordReserve;
     for (int round = 0; round < 4; ++round) {
         ASSERT_TRUE(room(j, far)) << "round " << round << ", record of "
                                   << j.record_bytes(kNewestRecordFormat);
@@ -90,7 +90,7 @@
 TEST_F(RecordRoom, IsBoundedByRecordFormatTwoWhileRecordFormatOneIsWritten) {
     config.next_value_bytes = 2048;
     JobRecord r = record(1000);
-    Job& j = jobs.load(r, 5, 0, 0);
+    Job& j = jobs.load(r, 5, 0, {0});
     const Machine on = machine("vm-000001");
     fill(j, on, 1000, 1);
     EXPECT_GT(j.live.size(), 100u);
@@ -100,7 +100,7 @@
     // And by format 1 under today's: the smaller of both counts.
     JobRecord s = record(1000);
     s.spec.id = "job-2";
-    Job& k = jobs.load(s, 5, 0, 0);
+    Job& k = jobs.load(s, 5, 0, {0});
     config.next_value_bytes = 32 * 1024;
     config.value_bytes = 4096;
     fill(k, on, 1000, 1);
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -25,7 +25,7 @@
         Team t;
         t.name = "team";
         config.teams = {t};
-        config.report_s = 4;
+        config.heartbeat_interval_s = 4;
         config.lease_s = 24;
         config.value_bytes = 8192;
         MachineType large = small_machine_type();
@@ -42,37 +42,37 @@
         return h;
     }
     Job& add(const std::string& id, uint32_t replicas, const std::function<void(JobSpec&)>& change = {},
-             Shape shape = Shape::kService) {
+             JobKind shape = JobKind::kService) {
         JobRecord r;
         r.spec.id = id;
         r.spec.team = "team";
-        r.spec.shape = shape;
+        r.spec.kind = shape;
         r.spec.tasks = replicas;
         r.spec.cpus = 1;
         r.spec.memory_gb = 2;
         r.spec.image = "img-1";
         if (change) change(r.spec);
-        Job& j = jobs.load(r, 5, now, 0);
+        Job& j = jobs.load(r, 5, now, {0});
         j.accepted = j.waiting_since = now;
         return j;
     }
     // Long enough that no replica waits for an emptier machine.
     // Passes follow each other until one binds nothing: of a job without a live task that has waited long, a
     // pass binds one.
-    size_t bound(const std::vector<Machine*>& askers) {
+    size_t bound(const std::vector<Machine*>& requesting_machines) {
         now += 60;
-        for (auto& [name, h] : cluster.machines) h->last_report = now;
+        for (auto& [name, h] : cluster.machines) h->last_heartbeat = now;
         size_t all = 0;
         while (true) {
-            cluster.recount(jobs, now, 8);
-            size_t n = schedule(cluster, jobs, {config, settings, now, askers}).size();
+            recount(cluster, jobs, now, 8);
+            size_t n = schedule(cluster, jobs, {config, settings, now, requesting_machines}).size();
             if (n == 0) return all;
             all += n;
         }
     }
     void lose(Machine& h) {
         std::string name = h.name;
-        jobs.machine_gone(name, now);
+        jobs.machine_deleted(name, now);
         cluster.machines.erase(name);
     }
 };
@@ -111,21 +111,21 @@
 
 // While one replica is where it was, the other's successor must come there too.
 TEST_F(Rebinding, StaysInTheOneZoneOfTheOthers) {
-    Job& j = add("job-1", 2, [](JobSpec& s) { s.one_zone = true; });
+    Job& j = add("job-1", 2, [](JobSpec& s) { s.single_zone = true; });
     Machine &x = machine("vm-1"), &y = machine("vm-2"), &other = machine("vm-3", "b");
     ASSERT_EQ(bound({&x}), 2U);
     jobs.stop(j, 0, now);
     EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
     // One has ended; the other is being stopped, and counts until it is gone.
     jobs.stop(j, 1, now);
-    Report r;
+    WorkerHeartbeat r;
     r.machine = "vm-1";
     r.zone = "a";
     r.machine_type = "g2";
-    r.session = 1;
-    r.seq = 1;
+    r.incarnation = 1;
+    r.sequence = 1;
     for (uint32_t task : {0U, 1U}) {
-        ReportedTask t;
+        TaskStatus t;
         t.name.job = j.spec.id;
         t.name.task = task;
         t.attempt = j.live.at(task).attempt;
@@ -148,7 +148,7 @@
 TEST_F(Rebinding, PutsHalfRoundedUpIntoAZone) {
     for (uint32_t replicas : {1U, 2U, 5U, 9U}) {
         uint32_t half = (replicas + 1) / 2;
-        Job& j = add("job-1", replicas, [](JobSpec& s) { s.apart = true; });
+        Job& j = add("job-1", replicas, [](JobSpec& s) { s.spread_across_zones = true; });
         Machine &a = machine("vm-1"), &b = machine("vm-2", "b"), &again = machine("vm-3");
         ASSERT_EQ(bound({&a}), half) << replicas;
         ASSERT_EQ(bound({&b}), replicas - half) << replicas;
@@ -178,7 +178,7 @@
         Job& j = add("job-1", 4, amount);
         Machine &x = machine("vm-1"), &y = machine("vm-2");
         ASSERT_EQ(bound({&x}), 4U);
-        add("job-2", 1, amount, Shape::kArray);
+        add("job-2", 1, amount, JobKind::kArray);
         add("job-3", 1, amount);
         for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, now);
         EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
@@ -188,16 +188,16 @@
         lose(x);
         EXPECT_EQ(bound({&y}), 4U) << "and then no more than the limit";
         // An attempt that no placement accounts for still takes its part.
-        MachineTask orphan;
-        orphan.name = {"job-9", 0};
-        orphan.attempt = 1;
-        orphan.phase = TaskPhase::kRunning;
-        orphan.sized = true;
-        orphan.team = "team";
-        orphan.amount = {1, cpus ? 0 : 0.5, 2};
+        MachineTask has_unplaced_task;
+        has_unplaced_task.name = {"job-9", 0};
+        has_unplaced_task.attempt = 1;
+        has_unplaced_task.phase = TaskPhase::kRunning;
+        has_unplaced_task.sized = true;
+        has_unplaced_task.team = "team";
+        has_unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
         Machine& z = machine("vm-3");
-        z.tasks = {orphan};
-        jobs.machine_gone("vm-2", now);
+        z.tasks = {has_unplaced_task};
+        jobs.machine_deleted("vm-2", now);
         EXPECT_EQ(bound({&y}), 3U);
         for (const char* id : {"job-1", "job-2", "job-3"}) jobs.erase(id);
         cluster.machines.clear();
@@ -231,7 +231,7 @@
 
 size_t live_tasks(const FakeWorker& w) {
     return static_cast<size_t>(std::count_if(
-        w.tasks.begin(), w.tasks.end(), [](const ReportedTask& t) { return t.phase != TaskPhase::kExited; }));
+        w.tasks.begin(), w.tasks.end(), [](const TaskStatus& t) { return t.phase != TaskPhase::kExited; }));
 }
 
 }  // namespace
@@ -364,7 +364,7 @@
 
     // The notice moves all of them at once.
     from.notice_s = 60;
-    std::vector<ReportedTask> running = from.tasks;
+    std::vector<TaskStatus> running = from.tasks;
     s.send_report(from, lead);
     ASSERT_EQ(live_tasks(from), 0U) << "told to stop in the answer";
     bool exits_known = move == Move::kSuccessorsBound || move == Move::kSuccessorsLaunched;
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -4,7 +4,8 @@
 #include <algorithm>
 
 #include "base/constants.h"
-#include "fleet/plan.h"
+#include "fleet/scaling_plan.h"
+#include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
 #include "standins.h"
 #include "users/wire.h"
@@ -26,7 +27,7 @@
         Team t;
         t.name = "team";
         config.teams = {t};
-        config.report_s = 4;
+        config.heartbeat_interval_s = 4;
         config.lease_s = 24;
         config.value_bytes = 8192;
         config.cloud_rps = 6;
@@ -37,8 +38,8 @@
         JobSpec s;
         s.id = id;
         s.team = "team";
-        s.shape = Shape::kService;
-        s.rank = Rank::kProduction;
+        s.kind = JobKind::kService;
+        s.priority = PriorityClass::kProduction;
         s.tasks = replicas;
         s.cpus = 1;
         s.memory_gb = 2;
@@ -46,11 +47,11 @@
         return s;
     }
     // Work that takes all of a machine's CPUs.
-    static JobSpec batch(const std::string& id, uint32_t tasks, Rank rank) {
+    static JobSpec batch(const std::string& id, uint32_t tasks, PriorityClass rank) {
         JobSpec s;
         s.id = id;
         s.team = "team";
-        s.rank = rank;
+        s.priority = rank;
         s.tasks = tasks;
         s.cpus = 16;
         s.gpus = 1;
@@ -64,7 +65,7 @@
     Job& add(JobSpec s) {
         JobRecord r;
         r.spec = std::move(s);
-        Job& j = jobs.load(r, 5, now, 0);
+        Job& j = jobs.load(r, 5, now, {0});
         j.accepted = j.waiting_since = now;
         return j;
     }
@@ -78,21 +79,21 @@
         return h;
     }
     // What the machine has besides exits, as it would report it.
-    std::map<std::string, std::vector<ReportedTask>> on;
+    std::map<std::string, std::vector<TaskStatus>> on;
     void reported(Machine& h) {
-        Report r;
+        WorkerHeartbeat r;
         r.machine = h.name;
         r.zone = h.zone;
         r.machine_type = "g2";
         r.spot = h.spot;
-        r.session = 1;
-        r.seq = h.seq + 1;
+        r.incarnation = 1;
+        r.sequence = h.sequence + 1;
         r.tasks = on[h.name];
         jobs.apply(cluster, h, r, true, now);
     }
     // Binds, commits, launches and reports the replicas as running.
-    size_t started(std::vector<Machine*> askers) {
-        size_t n = pull(askers).size();
+    size_t started(std::vector<Machine*> requesting_machines) {
+        size_t n = pull(requesting_machines).size();
         for (auto& [name, h] : cluster.machines) carry_out(*h);
         return n;
     }
@@ -100,7 +101,7 @@
         for (auto& [id, j] : jobs.all()) j->committed = j->version;
         auto& list = on[h.name];
         for (const Command& o : jobs.commands(h, true)) {
-            auto it = std::find_if(list.begin(), list.end(), [&](const ReportedTask& t) {
+            auto it = std::find_if(list.begin(), list.end(), [&](const TaskStatus& t) {
                 return t.name == o.name && t.attempt == o.attempt;
             });
             if (o.verb == CommandKind::kLaunch && it == list.end())
@@ -120,15 +121,15 @@
         }
         reported(h);
     }
-    std::vector<Binding> pull(std::vector<Machine*> askers) {
-        for (auto& [n, h] : cluster.machines) h->last_report = now;
-        cluster.recount(jobs, now, 8);
-        return schedule(cluster, jobs, {config, settings, now, std::move(askers)});
+    std::vector<Binding> pull(std::vector<Machine*> requesting_machines) {
+        for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
+        recount(cluster, jobs, now, 8);
+        return schedule(cluster, jobs, {config, settings, now, std::move(requesting_machines)});
     }
-    FleetPlan plan() {
-        for (auto& [n, h] : cluster.machines) h->last_report = now;
-        cluster.recount(jobs, now, 8);
-        return plan_fleet(cluster, jobs, {config, settings, now, 0, {}, {}, true, false});
+    ScalingPlan plan() {
+        for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
+        recount(cluster, jobs, now, 8);
+        return plan_scaling(cluster, jobs, {config, settings, now, 0, {}, {}, true, false});
     }
     static std::map<std::string, int> by(const Job& j, std::string Placement::*what) {
         std::map<std::string, int> n;
@@ -153,7 +154,7 @@
         now += 60;
         reported(h);
         ends(h, cause);
-        EXPECT_FALSE(j.over());
+        EXPECT_FALSE(j.finished());
         EXPECT_TRUE(j.done.empty()) << "a poll would count it";
         EXPECT_EQ(j.record().phase(), JobPhase::kPending);
         auto o = jobs.commands(h, true);
@@ -165,14 +166,14 @@
     }
     // An exit `done` of an attempt that was given up, too.
     on[h.name] = {{{"job-1", 0}, 1, TaskPhase::kExited, ExitCause::kDone, false}};
-    jobs.machine_gone("vm-1", now);
+    jobs.machine_deleted("vm-1", now);
     reported(h);
     EXPECT_TRUE(j.done.empty());
     // And what an earlier version took for done.
     JobRecord r;
     r.spec = service("job-2", 2);
     r.done.add(0);
-    Job& old = jobs.load(r, 5, now, 0);
+    Job& old = jobs.load(r, 5, now, {0});
     EXPECT_EQ(old.pending.size(), 2u);
     jobs.cancel(j, now);
     EXPECT_EQ(j.record().phase(), JobPhase::kCancelled);
@@ -185,7 +186,7 @@
     ASSERT_EQ(started({&x}), 1u);
     now += 500;
     EXPECT_TRUE(pull({&y}).empty()) << "silent, its machine may still run it";
-    jobs.machine_gone("vm-1", now);
+    jobs.machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
     ASSERT_EQ(pull({&y}).size(), 1u);
     EXPECT_EQ(j.live.at(0).machine, "vm-2");
@@ -199,15 +200,15 @@
 TEST_F(Service, EndsNoOtherWorkAndYieldsToNone) {
     Machine& h = machine("vm-1");
     JobSpec low = service("job-1", 4);
-    low.rank = Rank::kIdle;
+    low.priority = PriorityClass::kIdle;
     low.cpus = 4;
     Job& j = add(low);
     settings.preempt_after_s = 0;
     now += 10;
     ASSERT_EQ(started({&h}), 4u);
     now += 60;
-    JobSpec g = batch("job-2", 1, Rank::kProduction);
-    g.shape = Shape::kGang;
+    JobSpec g = batch("job-2", 1, PriorityClass::kProduction);
+    g.kind = JobKind::kGang;
     add(g);
     pull({&h});
     EXPECT_EQ(stopping(j), 0u);
@@ -226,17 +227,17 @@
     now += 25;
     reported(x);
     // An array that waits is not put off until a replica ends.
-    Job& busy = add(batch("job-2", 1, Rank::kStandard));
+    Job& busy = add(batch("job-2", 1, PriorityClass::kStandard));
     jobs.bind(busy, 0, y, 1, now);
-    Job& waits = add(batch("job-3", 1, Rank::kStandard));
+    Job& waits = add(batch("job-3", 1, PriorityClass::kStandard));
     EXPECT_EQ(plan().rent.size(), 1u);
     jobs.erase(waits.spec.id);
     // And a gang that would need its machine is not in sight: what is kept for it meanwhile is lent.
     jobs.erase(busy.spec.id);
-    JobSpec g = batch("job-4", 2, Rank::kStandard);
-    g.shape = Shape::kGang;
+    JobSpec g = batch("job-4", 2, PriorityClass::kStandard);
+    g.kind = JobKind::kGang;
     add(g);
-    add(batch("job-5", 1, Rank::kStandard));
+    add(batch("job-5", 1, PriorityClass::kStandard));
     auto b = pull({&y});
     ASSERT_EQ(b.size(), 1u);
     EXPECT_EQ(b[0].job->spec.id, "job-5");
@@ -244,7 +245,7 @@
 
 TEST_F(Service, OfProductionRankPreemptsLowerWorkAtOnce) {
     Machine& x = machine("vm-1");
-    Job& low = add(batch("job-1", 1, Rank::kHigh));
+    Job& low = add(batch("job-1", 1, PriorityClass::kHigh));
     ASSERT_EQ(started({&x}), 1u);
     add(service("job-2", 1));
     EXPECT_TRUE(pull({&x}).empty());
@@ -263,17 +264,17 @@
     sure.gpus = 100;
     config.teams.push_back(sure);
     Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec g = batch("job-1", 2, Rank::kHigh);
-    g.shape = Shape::kGang;
+    JobSpec g = batch("job-1", 2, PriorityClass::kHigh);
+    g.kind = JobKind::kGang;
     g.team = "sure";
     Job& gang = add(g);
     ASSERT_EQ(started({&x, &y}), 2u);
     // Of equal rank it does not.
     Job& equal = add(service("job-2", 1));
-    equal.spec.rank = Rank::kHigh;
+    equal.spec.priority = PriorityClass::kHigh;
     pull({&x, &y});
     EXPECT_EQ(stopping(gang), 0u);
-    equal.spec.rank = Rank::kProduction;
+    equal.spec.priority = PriorityClass::kProduction;
     pull({&x, &y});
     EXPECT_EQ(stopping(gang), 2u);
 }
@@ -281,10 +282,10 @@
 // Room is made where the zones allow a replica, not where there is most to take.
 TEST_F(Service, PreemptsOnlyInZonesThatMayStillTakeAReplica) {
     Machine &a = machine("vm-1"), &b = machine("vm-2", "b");
-    Job& low = add(batch("job-2", 1, Rank::kStandard));
+    Job& low = add(batch("job-2", 1, PriorityClass::kStandard));
     ASSERT_EQ(started({&b}), 1u);
     JobSpec s = service("job-1", 2);
-    s.apart = true;
+    s.spread_across_zones = true;
     Job& j = add(s);
     ASSERT_EQ(pull({&a}).size(), 1u) << "half, rounded up, though there is room for both";
     EXPECT_EQ(stopping(low), 1u);
@@ -292,7 +293,7 @@
     // Without the lower work it is a machine of that zone that is rented.
     jobs.erase("job-2");
     cluster.machines.erase("vm-2");
-    FleetPlan p = plan();
+    ScalingPlan p = plan();
     ASSERT_EQ(p.rent.size(), 1u);
     EXPECT_EQ(p.rent[0].kind.zone, "b");
 }
@@ -302,7 +303,7 @@
     for (int i = 0; i < 4; ++i) a.push_back(&machine("vm-a" + std::to_string(i)));
     for (int i = 0; i < 4; ++i) b.push_back(&machine("vm-b" + std::to_string(i), "b"));
     JobSpec s = service("job-1", 5);
-    s.apart = true;
+    s.spread_across_zones = true;
     Job& j = add(s);
     EXPECT_EQ(started(a), 3u);
     EXPECT_EQ(started(a), 0u) << "half, rounded up, is there";
@@ -311,7 +312,7 @@
     for (const auto& [task, p] : j.live)
         if (p.zone == "b") lost = p.machine;
     now += 60;
-    jobs.machine_gone(lost, now);
+    jobs.machine_deleted(lost, now);
     cluster.machines.erase(lost);
     on.erase(lost);
     EXPECT_EQ(started(a), 0u);
@@ -330,7 +331,7 @@
     s.spot = true;
     Job& j = add(s);
     EXPECT_EQ(started({all[0]}), 1u) << "the others of this machine wait for other machines";
-    EXPECT_EQ(j.why, Wait::kHeldForSpread);
+    EXPECT_EQ(j.wait_reason, WaitReason::kHeldForSpread);
     EXPECT_EQ(started(all), 3u);
     EXPECT_EQ(by(j, &Placement::machine).size(), 4u);
     // Not for long: a machine that asks is better than one that may ask.
@@ -377,17 +378,17 @@
     JobSpec s = service("job-1", 1);
     s.job_class = "c";
     s.due_s = 5;
-    s.rank = Rank::kIdle;
+    s.priority = PriorityClass::kIdle;
     s.cpus = 16;
     Job& j = add(s);
     now += 50;
-    EXPECT_EQ(j.aims_lost(config, now), 0);
+    EXPECT_EQ(j.missed_objectives(config, now), 0);
     EXPECT_FALSE(j.late(config, now));
     Machine &x = machine("vm-1"), &y = machine("vm-2");
-    Job& busy = add(batch("job-2", 1, Rank::kStandard));
+    Job& busy = add(batch("job-2", 1, PriorityClass::kStandard));
     jobs.bind(busy, 0, y, 1, now);
-    JobSpec g = batch("job-3", 2, Rank::kStandard);
-    g.shape = Shape::kGang;
+    JobSpec g = batch("job-3", 2, PriorityClass::kStandard);
+    g.kind = JobKind::kGang;
     add(g);
     EXPECT_TRUE(pull({&x}).empty()) << "kept for the gang, which waits for the other machine";
 }
@@ -410,9 +411,9 @@
     EXPECT_LE(starts[2] - starts[0], 2) << "the first starts follow at once";
     EXPECT_GT(starts[9] - starts[8], 30);
     EXPECT_GT(starts[8] - starts[7], starts[6] - starts[5]);
-    EXPECT_TRUE(j.blamed);
+    EXPECT_TRUE(j.failing);
     for (Machine* h : all) {
-        EXPECT_FALSE(h->condemned);
+        EXPECT_FALSE(h->cordoned);
         EXPECT_TRUE(h->failed_jobs.empty());
     }
     // One that runs for a while has recovered: lost, it is replaced at once.
@@ -421,7 +422,7 @@
     now += constants::kReplicaSteady_s;
     Machine* h = cluster.machine(j.live.at(0).machine);
     reported(*h);
-    EXPECT_FALSE(j.blamed);
+    EXPECT_FALSE(j.failing);
     ends(*h, ExitCause::kError);
     EXPECT_EQ(started(all), 1u);
 }
@@ -437,7 +438,7 @@
         EXPECT_EQ(j.live.at(0).machine, "vm-2") << "at once, and not where it failed";
         carry_out(bad);
     }
-    EXPECT_TRUE(bad.condemned);
+    EXPECT_TRUE(bad.cordoned);
 }
 
 // From a machine that is condemned or emptied replicas move one at a time: the next when the last one's
@@ -448,7 +449,7 @@
     now += constants::kSpreadWait_s;
     ASSERT_EQ(started({&x}), 3u);
     Machine& y = machine("vm-2");
-    x.emptying = true;
+    x.draining = true;
     now += 60;
     for (size_t left = 3; left > 0; --left) {
         EXPECT_EQ(by(j, &Placement::machine)["vm-1"], static_cast<int>(left));
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -1,5 +1,7 @@
 #include "standins.h"
 
+#include <fmt/format.h>
+
 #include "base/log.h"
 
 namespace hareshore::test {
@@ -302,11 +304,11 @@
     p.key("driftwood")
         .flag(spot)
         .key("tenure")
-        .count(session)
+        .count(incarnation)
         .key("tick")
-        .count(++seq)
+        .count(++sequence)
         .key("epoch")
-        .count(epoch);
+        .count(fencing_token);
     p.key("warning_s");
     if (notice_s) {
         p.number(*notice_s);
@@ -328,15 +330,15 @@
     auto m = Message::parse(body);
     ASSERT_TRUE(m);
     uint64_t e = m->root()["epoch"].count_or(0);
-    if (e < epoch) return;  // dropped
-    epoch = e;
+    if (e < fencing_token) return;  // dropped
+    fencing_token = e;
     Node commands = m->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
         auto task = *TaskName::parse(*commands.at(i)["piece"].text());
         uint64_t attempt = *commands.at(i)["try"].count();
         auto it = std::find_if(tasks.begin(), tasks.end(),
-                               [&](const ReportedTask& t) { return t.name == task && t.attempt == attempt; });
+                               [&](const TaskStatus& t) { return t.name == task && t.attempt == attempt; });
         if (verb == "launch" && it == tasks.end())
             tasks.push_back({task, attempt, TaskPhase::kRunning, ExitCause::kNone, false});
         if (verb == "halt" && it != tasks.end()) {
@@ -355,7 +357,7 @@
     co_return a.status;
 }
 
-ReportedTask* FakeWorker::find(const std::string& task) {
+TaskStatus* FakeWorker::find(const std::string& task) {
     for (auto& t : tasks)
         if (t.name.text() == task) return &t;
     return nullptr;
@@ -423,7 +425,7 @@
         t.name = "team";
         t.gpus_max = 8;
         c.teams = {t};
-        c.report_s = 3;
+        c.heartbeat_interval_s = 3;
         c.lease_s = 24;
         c.gang_wait_s = 40;
         c.gang_peer_s = 4;
@@ -504,7 +506,7 @@
     for (int i = 0; i < 20; ++i) {
         int l = leader();
         if (l >= 0 && send_report(w, l) == 200 &&
-            w.epoch == nodes[static_cast<size_t>(l)]->election().epoch())
+            w.fencing_token == nodes[static_cast<size_t>(l)]->election().fencing_token())
             return;
         run(0.5);
     }
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -9,9 +9,9 @@
 #include <set>
 
 #include "base/log.h"
+#include "controller/controller.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "node.h"
 
 namespace hareshore::test {
 
@@ -117,8 +117,8 @@
 struct FakeWorker {
     std::string name = "vm-000001", addr = "127.0.0.1:9", machine_type = "g2", zone = "a";
     bool spot = false;
-    uint64_t session = 1, seq = 0, epoch = 0;
-    std::vector<ReportedTask> tasks;
+    uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
+    std::vector<TaskStatus> tasks;
     std::optional<double> notice_s;  // spot notice
 
     std::string report();
@@ -126,7 +126,7 @@
     // Reports to a node and carries out what it answers; the status.
     Task<int> send_report(Loop& loop, Address node);
     void carry_out(const std::string& body);
-    ReportedTask* find(const std::string& task);
+    TaskStatus* find(const std::string& task);
 };
 
 std::string job_body(const std::string& id,
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -51,22 +51,22 @@
         JobSpec spec;
         spec.id = id;
         spec.team = team;
-        spec.shape = Shape::kGang;
+        spec.kind = JobKind::kGang;
         spec.tasks = tasks;
         spec.cpus = machine_type.cpus;
         spec.gpus = machine_type.gpus;
         spec.memory_gb = machine_type.memory_gb;
         spec.zone = "a";
-        spec.one_zone = true;
+        spec.single_zone = true;
         spec.estimate_s = kGangRoomIn_s;
         return spec;
     }
 
-    JobSpec array(Rank rank, Seconds estimate_s) {
+    JobSpec array(PriorityClass rank, Seconds estimate_s) {
         JobSpec spec;
         spec.id = "array";
         spec.team = "waiting";
-        spec.rank = rank;
+        spec.priority = rank;
         spec.tasks = 1;
         spec.cpus = spec.gpus = spec.memory_gb = 1;
         spec.estimate_s = estimate_s;
@@ -74,23 +74,23 @@
     }
 
     // As a leader reads it at its take-over.
-    Job& inherit(JobSpec spec, Seconds age_s, std::map<uint32_t, Bound> live = {}) {
+    Job& inherit(JobSpec spec, Seconds age_s, std::map<uint32_t, PlacementRecord> live = {}) {
         JobRecord record;
-        record.accepted_wall = kWallNow - age_s;
+        record.accepted_wall = {kWallNow - age_s};
         record.next_attempt = live.empty() ? 1 : live.begin()->second.attempt + 1;
         record.spec = std::move(spec);
         record.live = std::move(live);
-        return jobs.load(record, ++revision, kNow, kWallNow);
+        return jobs.load(record, ++revision, kNow, {kWallNow});
     }
 
-    Machine& report(const std::string& name, const std::string& zone, std::vector<ReportedTask> tasks) {
+    Machine& report(const std::string& name, const std::string& zone, std::vector<TaskStatus> tasks) {
         Machine& machine = cluster.ensure(name, kNow);
-        Report report;
+        WorkerHeartbeat report;
         report.machine = name;
         report.zone = zone;
         report.machine_type = cluster.machine_types.front().name;
-        report.session = 1;
-        report.seq = 1;
+        report.incarnation = 1;
+        report.sequence = 1;
         report.tasks = std::move(tasks);
         machine.reported = machine.current = true;
         jobs.apply(cluster, machine, report, true, kNow);
@@ -99,7 +99,7 @@
 
     // The machine in the other zone asks for work.
     std::vector<Binding> round() {
-        cluster.recount(jobs, kNow, 10);
+        recount(cluster, jobs, kNow, 10);
         return schedule(cluster, jobs, {config, settings, kNow, {other_zone}});
     }
 };
@@ -107,30 +107,30 @@
 }  // namespace
 
 TEST_F(Starvation, AGangThatLacksMachinesKeepsItsTeamsLimitFromLowerWork) {
-    inherit(array(Rank::kIdle, 2 * kGangRoomIn_s), 5);
+    inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
     EXPECT_TRUE(round().empty()) << "it would still hold the limit when the machines come free";
-    EXPECT_EQ(jobs.find("gang")->why, Wait::kGangRoom);
-    EXPECT_EQ(jobs.find("array")->why, Wait::kTeamLimit);
+    EXPECT_EQ(jobs.find("gang")->wait_reason, WaitReason::kGangRoom);
+    EXPECT_EQ(jobs.find("array")->wait_reason, WaitReason::kTeamLimit);
 }
 
 TEST_F(Starvation, TheLimitIsLentToLowerWorkThatEndsBeforeTheGangHasRoom) {
-    inherit(array(Rank::kIdle, kGangRoomIn_s / 2), 5);
+    inherit(array(PriorityClass::kIdle, kGangRoomIn_s / 2), 5);
     EXPECT_EQ(round().size(), 1u);
 }
 
 TEST_F(Starvation, TheLimitIsLentWhileNoRoomIsInSight) {
-    cluster.machine("vm-2")->condemned = true;
-    inherit(array(Rank::kIdle, 2 * kGangRoomIn_s), 5);
+    cluster.machine("vm-2")->cordoned = true;
+    inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
     EXPECT_EQ(round().size(), 1u);
 }
 
 TEST_F(Starvation, AGangThatDoesNotStarveKeepsNoLimitFromWorkOfItsOwnRank) {
-    inherit(array(Rank::kStandard, 2 * kGangRoomIn_s), 5);
+    inherit(array(PriorityClass::kStandard, 2 * kGangRoomIn_s), 5);
     EXPECT_EQ(round().size(), 1u);
 }
 
 TEST_F(Starvation, AStarvedGangLendsNothingOfItsLimit) {
     jobs.find("gang")->accepted -= settings.begin_bound_s;
-    inherit(array(Rank::kIdle, 0), 5);
+    inherit(array(PriorityClass::kIdle, 0), 5);
     EXPECT_TRUE(round().empty()) << "not even to work that claims to take no time";
 }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,5 +1,7 @@
 // Beside the production version and under the state service's later limits: what is written when, that it
 // fits, and that no task is lost on the way.
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <random>
 #include <set>
@@ -36,7 +38,7 @@
     r.spec.id = "job-000412";
     r.spec.job_class = "train";
     r.spec.team = "vision";
-    r.spec.rank = Rank::kHigh;
+    r.spec.priority = PriorityClass::kHigh;
     r.spec.tasks = 16;
     r.spec.cpus = 8;
     r.spec.gpus = 1;
@@ -45,13 +47,13 @@
     r.spec.image_gb = 6.2;
     r.spec.machine_types = {"g8", "g2"};
     r.spec.zone = "zone a";
-    r.spec.one_zone = true;
+    r.spec.single_zone = true;
     r.spec.spot = true;
     r.spec.estimate_s = 240;
     r.spec.checkpoint_s = 30;
     r.spec.save_s = 4;
     r.spec.due_s = 900;
-    r.accepted_wall = 1796181234.125;
+    r.accepted_wall = {1796181234.125};
     for (uint32_t n : {0u, 1u, 2u, 5u, 9u, 10u}) r.done.add(n);
     r.next_attempt = 21;
     r.live[3] = {8, "vm-000003", "zone a"};
@@ -79,7 +81,7 @@
     r.spec.id = id;
     r.spec.team = "team";
     r.spec.zone = "";
-    r.spec.one_zone = false;
+    r.spec.single_zone = false;
     r.spec.machine_types = {};
     r.spec.cpus = r.spec.memory_gb = 0.01;
     r.spec.gpus = 0;
@@ -93,7 +95,7 @@
 }
 
 void keep(Site& s, const std::string& key, std::string data) {
-    Txn t;
+    Transaction t;
     t.expect(key, 0).put(key, std::move(data));
     ASSERT_EQ(s.state.apply(t.pack()).status, 200);
 }
@@ -235,7 +237,7 @@
         r.next_attempt = 1;
         // Of the largest, the last part; what came before is one range.
         for (uint32_t n = 0; n + 10'000 < tasks; ++n) r.done.add(n);
-        Job& j = jobs.load(r, 5, 0, 0);
+        Job& j = jobs.load(r, 5, 0, {0});
         size_t most_live = 0, steps = 0;
         std::vector<Machine> machines(600);
         for (auto& h : machines) {
@@ -244,7 +246,7 @@
         }
         machines[0].name = "a machine whose name follows no pattern at all";
         uint64_t record_format = 1;
-        while (!j.over() && steps < 400'000) {
+        while (!j.finished() && steps < 400'000) {
             ++steps;
             if (steps == 3000) record_format = 2;
             auto choice = rng() % 10;
@@ -262,9 +264,9 @@
                 std::string machine = it->second.machine;
                 if (choice < 9 && (tasks < 2000 || steps % 400 != 0)) {
                     Machine& x = cluster.ensure(machine, 0);
-                    Report report;
+                    WorkerHeartbeat report;
                     report.machine = machine;
-                    report.seq = x.seq + 1;
+                    report.sequence = x.sequence + 1;
                     report.tasks = {{{"job-1", it->first},
                                      it->second.attempt,
                                      TaskPhase::kExited,
@@ -272,7 +274,7 @@
                                      false}};
                     jobs.apply(cluster, x, report, false, 0);
                 } else {
-                    jobs.machine_gone(machine, 0);
+                    jobs.machine_deleted(machine, 0);
                 }
             }
             most_live = std::max(most_live, j.live.size());
@@ -284,7 +286,7 @@
             }
             ASSERT_LE(json_size(now.pack(2)), j.record_bytes(2) + 16);
         }
-        EXPECT_TRUE(j.over()) << tasks << " tasks, " << j.done.size() << " done";
+        EXPECT_TRUE(j.finished()) << tasks << " tasks, " << j.done.size() << " done";
         if (tasks > 200) {
             EXPECT_GE(most_live, 100u) << tasks;
         }
