--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -35,6 +35,29 @@
 
 }  // namespace
 
+// The checks of one term: they fail once the election has gone on to another.
+class Controller::TermChecks : public Leadership {
+  public:
+    TermChecks(Controller& controller, uint64_t fencing_token)
+        : controller_(controller), fencing_token_(fencing_token) {}
+
+    Seconds cancellations_known_until(Seconds since) const override {
+        return controller_.cancellations_known_until(since);
+    }
+    bool confirmed() const override { return is_current() && controller_.election_.confirmed(); }
+    bool no_other_leader() const override { return is_current() && controller_.no_other_leader(); }
+    bool all_peers_upgraded() const override { return controller_.all_upgraded(); }
+    void deposed(const char* reason) override {
+        if (is_current()) controller_.election_.deposed(reason);
+    }
+
+  private:
+    bool is_current() const { return controller_.election_.fencing_token() == fencing_token_; }
+
+    Controller& controller_;
+    uint64_t fencing_token_;
+};
+
 Controller::Controller(Loop& loop, const Config& config, const Settings& settings)
     : loop_(loop),
       config_(config),
@@ -163,21 +186,10 @@
             leader_.reset();
         }
         if (!leader_ && election_.leading()) {
-            Leader::Term term{election_.fencing_token(), election_.mod_revision(), kLeaderKey};
-            uint64_t fencing_token = election_.fencing_token();
+            LeaderTerm term{election_.fencing_token(), election_.mod_revision(), kLeaderKey};
+            LeaderEnvironment environment{loop_, config_, settings_, state_, cloud_, record_format_};
             leader_ = std::make_shared<Leader>(
-                loop_, config_, settings_, state_, cloud_, term, machine_types_,
-                [this](Seconds since) { return cancellations_known_until(since); },
-                [this, fencing_token] {
-                    return election_.fencing_token() == fencing_token && election_.confirmed();
-                },
-                [this, fencing_token] {
-                    return election_.fencing_token() == fencing_token && no_other_leader();
-                },
-                [this, fencing_token](const char* why) {
-                    if (election_.fencing_token() == fencing_token) election_.deposed(why);
-                },
-                record_format_, [this] { return all_upgraded(); });
+                environment, term, std::make_unique<TermChecks>(*this, term.fencing_token), machine_types_);
             leader_->start();
         }
     }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -20,6 +20,8 @@
     std::shared_ptr<Leader> leader() const { return leader_; }
 
   private:
+    class TermChecks;
+
     Task<void> follow_election();
     Task<void> learn_machine_types();
     Task<void> follow_record_format();
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -17,29 +17,23 @@
 
 }  // namespace
 
-Leader::Leader(Loop& loop, const Config& config, const Settings& settings, StoreClient& state, Cloud& cloud,
-               Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound,
-               Confirmed confirmed, NoOtherLeader no_other_leader, Deposed deposed,
-               RecordFormat& record_format, AllUpgraded all_upgraded)
-    : loop_(loop),
-      config_(config),
-      settings_(settings),
-      state_(state),
-      cloud_(cloud),
+Leader::Leader(const LeaderEnvironment& environment, LeaderTerm term, std::unique_ptr<Leadership> leadership,
+               std::vector<MachineType> machine_types)
+    : loop_(environment.loop),
+      config_(environment.config),
+      settings_(environment.settings),
+      state_(environment.store),
+      cloud_(environment.cloud),
+      record_format_(environment.record_format),
       term_(std::move(term)),
-      renewal_bound_(std::move(renewal_bound)),
-      confirmed_(std::move(confirmed)),
-      no_other_leader_(std::move(no_other_leader)),
-      deposed_(std::move(deposed)),
-      record_format_(record_format),
-      all_upgraded_(std::move(all_upgraded)),
-      writes_(config.write_rps * constants::kLeaderWriteShare,
-              std::max(2.0, config.write_rps * constants::kLeaderWriteShare)),
-      ready_(loop),
-      dirty_(loop),
-      ask_(loop),
-      pass_done_(loop),
-      scope_(loop) {
+      leadership_(std::move(leadership)),
+      writes_(config_.write_rps * constants::kLeaderWriteShare,
+              std::max(2.0, config_.write_rps * constants::kLeaderWriteShare)),
+      ready_(loop_),
+      dirty_(loop_),
+      ask_(loop_),
+      pass_done_(loop_),
+      scope_(loop_) {
     cluster_.machine_types = std::move(machine_types);
 }
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,39 +1,21 @@
 // What the leading controller does: it keeps the view of jobs and machines, binds tasks as reports
 // arrive, commits before it launches, and rents and returns machines.
 #pragma once
-#include <functional>
-#include <random>
+#include <memory>
 
 #include "base/token_bucket.h"
 #include "fleet/scaling_plan.h"
 #include "jobs/record_format.h"
 #include "jobs/resource_accounting.h"
+#include "leader/leadership.h"
 #include "scheduler/scheduler.h"
 
 namespace hareshore {
 
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
-    struct Term {
-        uint64_t fencing_token = 0;
-        uint64_t mod_revision = 0;  // of the leadership key
-        std::string key;            // the leadership key
-    };
-    // Until when the peers confirm that no cancellation was told that this node could be missing, given
-    // that it misses none told before `since`. Which were told it hears by observe_cancellation().
-    using RenewalBound = std::function<Seconds(Seconds since)>;
-    // Whether this leadership is certain now.
-    using Confirmed = std::function<bool()>;
-    // Whether no other leadership can exist, though the state service does not say so.
-    using NoOtherLeader = std::function<bool()>;
-    using Deposed = std::function<void(const char* why)>;
-    // Whether every peer has said that it knows the newest format of records.
-    using AllUpgraded = std::function<bool()>;
-
-    Leader(Loop& loop, const Config& config, const Settings& settings, StoreClient& state, Cloud& cloud,
-           Term term, std::vector<MachineType> machine_types, RenewalBound renewal_bound, Confirmed confirmed,
-           NoOtherLeader no_other_leader, Deposed deposed, RecordFormat& record_format,
-           AllUpgraded all_upgraded);
+    Leader(const LeaderEnvironment& environment, LeaderTerm term, std::unique_ptr<Leadership> leadership,
+           std::vector<MachineType> machine_types);
     void start();
     void stop();
     bool stopped() const { return stopped_; }
@@ -112,13 +94,9 @@
     const Settings& settings_;
     StoreClient& state_;
     Cloud& cloud_;
-    Term term_;
-    RenewalBound renewal_bound_;
-    Confirmed confirmed_;
-    NoOtherLeader no_other_leader_;
-    Deposed deposed_;
     RecordFormat& record_format_;
-    AllUpgraded all_upgraded_;
+    LeaderTerm term_;
+    std::unique_ptr<Leadership> leadership_;
 
     JobTable jobs_;
     Cluster cluster_;
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -182,7 +182,7 @@
             if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
         if (r.status == StoreStatus::kConflict) {
             if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
-                deposed_("the leadership key has changed");
+                leadership_->deposed("the leadership key has changed");
                 co_return;
             }
             for (const auto& id : ids)
@@ -210,7 +210,7 @@
 // once and stays.
 Task<void> Leader::raise_record_format() {
     while (record_format_.kept < kNewestRecordFormat) {
-        if (all_upgraded_()) {
+        if (leadership_->all_peers_upgraded()) {
             Transaction txn;
             txn.expect(term_.key, term_.mod_revision)
                 .expect(kRecordFormatKey, 0)
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -15,8 +15,8 @@
     Seconds now = loop_.now();
     // What was known once stays known, also when a peer begins anew and can no longer speak for it.
     cancellations_known_until_ = std::max(cancellations_known_until_, watched_until_);
-    cancellations_known_until_ =
-        std::max(cancellations_known_until_, renewal_bound_(cancellations_known_until_));
+    cancellations_known_until_ = std::max(cancellations_known_until_,
+                                          leadership_->cancellations_known_until(cancellations_known_until_));
     return now < cancellations_known_until_ + span;
 }
 
@@ -54,7 +54,7 @@
 Task<Response> Leader::handle_heartbeat(WorkerHeartbeat r, Seconds hold, bool direct) {
     Response no{503, "", 0, "application/msgpack"};
     if (r.fencing_token > term_.fencing_token) {
-        deposed_("a worker has seen a later epoch");
+        leadership_->deposed("a worker has seen a later epoch");
         co_return no;
     }
     Seconds began = loop_.now();
