--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -1,11 +1,12 @@
 // Input that is refused: settings, by the program itself, and submissions.
+#include <gtest/gtest.h>
 #include <sys/wait.h>
 
 #include <algorithm>
 #include <cstdio>
 #include <fstream>
 
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -86,15 +87,15 @@
 
 namespace {
 
-using FieldChange = std::function<void(std::map<std::string, std::string>&)>;
+using FieldChange = JobFieldsChange;
 
 const char* const kNeeded[] = {"ref",   "jobclass",  "owner",     "shape",      "rank",    "pieces",
                                "vcpus", "cards",     "memory_gb", "bundle",     "size_gb", "one_zone",
                                "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
 const char* const kOptional[] = {"flavors", "cove", "due_s"};
 
-void shape(std::map<std::string, std::string>& f, const char* name) {
-    f["shape"] = Packer().text(name).take();
+void shape(JobFields& f, const char* name) {
+    f["shape"] = packed_text(name);
 }
 
 }  // namespace
@@ -102,12 +103,11 @@
 // Whatever its shape: no field that is needed may be missing, null or of another type; those that may be null
 // may be missing.
 TEST(BadInput, SubmissionsNeedAllTheirFields) {
-    Site site;
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
+    Deployment deployment;
+    ASSERT_TRUE(deployment.start_and_elect());
+    deployment.run(1);
     auto submit = [&](const std::string& id, const FieldChange& change) {
-        return site.call(0, "POST", "/v2/runs", job_body(id, change)).status;
+        return deployment.call(0, "POST", "/v2/runs", job_body(id, change)).status;
     };
     int accepted = 0;
     for (const char* name : {"sweep", "ensemble", "standing"}) {
@@ -125,47 +125,47 @@
                              }),
                       400)
                 << name << ' ' << field;
-            EXPECT_EQ(with(Packer().null().take()), 400) << name << ' ' << field;
+            EXPECT_EQ(with(packed_null()), 400) << name << ' ' << field;
             EXPECT_EQ(with(Packer().list(0).take()), 400) << name << ' ' << field;
         }
         for (const char* field : kOptional) {
             EXPECT_EQ(submit("job-1",
                              [&](auto& f) {
                                  shape(f, name);
-                                 f[field] = Packer().flag(true).take();
+                                 f[field] = packed_flag(true);
                              }),
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
                              [&](auto& f) {
                                  shape(f, name);
-                                 f[field] = Packer().null().take();
+                                 f[field] = packed_null();
                              }),
                       201)
                 << name << ' ' << field;
         }
     }
-    EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
 }
 
 // One task that is too large for each machine that its job allows.
 TEST(BadInput, SubmissionsThatFitNoMachineAreRefusedForGood) {
-    Site site;
+    Deployment deployment;
     MachineType large = small_machine_type();
     large.name = "g8";
     large.gpus = 8;
     large.cpus = 64;
-    site.cloud.machine_types = {small_machine_type(), large};
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
+    deployment.cloud.machine_types = {small_machine_type(), large};
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
     auto submit = [&](const std::string& id, const char* field, double amount,
                       const char* machine_type = nullptr) {
-        return site
+        return deployment
             .call(0, "POST", "/v2/runs",
                   job_body(id,
                            [&](auto& f) {
-                               f[field] = Packer().number(amount).take();
+                               f[field] = packed_number(amount);
                                if (machine_type) f["flavors"] = Packer().list(1).text(machine_type).take();
                            }))
             .status;
@@ -175,23 +175,24 @@
     EXPECT_EQ(submit("job-1", "memory_gb", 65), 422);
     EXPECT_EQ(submit("job-1", "cards", 3, "g2"), 422) << "only the larger type has as many";
     EXPECT_EQ(submit("job-1", "cards", 1, "g99"), 422) << "no such type";
-    EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(submit("job-2", "cards", 3, "g8"), 201);
     EXPECT_EQ(submit("job-3", "cards", 3), 201);
     EXPECT_EQ(submit("job-2", "cards", 3, "g2"), 200) << "known already";
     // Types that are not known yet decide nothing; what is malformed stays so.
-    site.kill(0);
-    site.state.rows.erase("flavors");
-    site.cloud.down = true;
-    site.start(0);
-    site.run(3);
+    deployment.kill(0);
+    deployment.store.rows.erase("flavors");
+    deployment.cloud.down = true;
+    deployment.start(0);
+    deployment.run(3);
     EXPECT_EQ(submit("job-4", "cards", 9), 503);
     EXPECT_EQ(submit("job-4", "cards", -1), 400);
     EXPECT_EQ(submit("job-2", "cards", 9), 200);
-    site.cloud.down = false;
+    deployment.cloud.down = false;
     int status = 0;
     // The fake clock stands still while requests are under way, so that time has to pass between them.
-    for (Seconds end = site.loop.now() + 10; status != 422 && site.loop.now() < end; site.run(0.5))
+    for (Seconds end = deployment.loop.now() + 10; status != 422 && deployment.loop.now() < end;
+         deployment.run(0.5))
         status = submit("job-4", "cards", 9);
     EXPECT_EQ(status, 422);
 }
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -1,22 +1,19 @@
 // Cancellations that a leader cannot read from the state service: what its peers tell it of them, and when
 // it must let leases run out because they may not have.
+#include <gtest/gtest.h>
+
 #include "base/constants.h"
 #include "peer/frames.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
 
 namespace {
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
-    return m ? m->root()["phase"].text_or("") : "";
-}
-
 // A peer of the only controller, played by a script: it answers heartbeats, and sends its own once a second.
 struct ScriptedPeer {
-    Site& site;
+    Deployment& deployment;
     uint64_t incarnation = 77;
     uint8_t record_format = peer::kPeerFormat;  // 0: the version in production, which knows no cancellations
     uint32_t announced = 0;                     // cancellations that it says it told users of
@@ -29,40 +26,40 @@
     File listener;
     Scope scope;
 
-    explicit ScriptedPeer(Site& s)
-        : site(s),
-          announced_last(s.loop.now()),
-          listener(s.loop, listen_on(s.configs[1].peer_listen)),
-          scope(s.loop) {
+    explicit ScriptedPeer(Deployment& owner)
+        : deployment(owner),
+          announced_last(deployment.loop.now()),
+          listener(deployment.loop, listen_on(deployment.configs[1].peer_listen)),
+          scope(deployment.loop) {
         scope.spawn(accept(), "sibling");
         scope.spawn(heartbeats(), "sibling's beats");
     }
     ~ScriptedPeer() {
         scope.cancel();
-        unwind(site.loop);
+        unwind(deployment.loop);
     }
     peer::Heartbeat heartbeat() const {
         peer::Heartbeat b{};
-        peer::set_label(b, site.configs[1].label);
+        peer::set_label(b, deployment.configs[1].label);
         b.incarnation = incarnation;
         b.record_format = record_format;
         b.cancellations_announced = record_format ? announced : 0;
         b.state_age_ms = UINT32_MAX;
-        b.quiet_ms = static_cast<uint32_t>((site.loop.now() - announced_last) * 1000);
+        b.quiet_ms = static_cast<uint32_t>((deployment.loop.now() - announced_last) * 1000);
         return b;
     }
     Task<void> accept() {
         while (true) {
             int fd = accept_from(listener.fd());
             if (fd < 0) {
-                co_await site.loop.readable(listener, -1);
+                co_await deployment.loop.readable(listener, -1);
             } else {
                 scope.spawn(serve(fd), "sibling's link");
             }
         }
     }
     Task<void> serve(int fd) {
-        Stream stream(site.loop, fd);
+        Stream stream(deployment.loop, fd);
         peer::Reader reader;
         while (true) {
             Stream::Read got = co_await stream.read(-1);
@@ -92,11 +89,11 @@
         }
     }
     Task<void> heartbeats() {
-        std::shared_ptr<Stream> stream =
-            co_await connect_to(site.loop, site.configs[0].peer_listen, site.loop.now() + 1);
+        std::shared_ptr<Stream> stream = co_await connect_to(
+            deployment.loop, deployment.configs[0].peer_listen, deployment.loop.now() + 1);
         if (stream) scope.spawn(count_unknown(stream), "answers to the sibling's beats");
         while (stream) {
-            co_await site.loop.sleep(0.93);
+            co_await deployment.loop.sleep(0.93);
             co_await stream->write(
                 peer::pack(peer::Kind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
         }
@@ -104,30 +101,31 @@
 };
 
 // Reports every 2 s for so long; the last status.
-int report(Site& s, FakeWorker& w, int node, Seconds time) {
+int report(Deployment& deployment, FakeWorker& w, int node, Seconds time) {
     int status = 0;
-    for (Seconds end = s.loop.now() + time; s.loop.now() < end;) {
-        s.run(2);
-        status = s.send_report(w, node);
+    for (Seconds end = deployment.loop.now() + time; deployment.loop.now() < end;) {
+        deployment.run(2);
+        status = deployment.send_report(w, node);
     }
     return status;
 }
 
 // A controller that leads, with a scripted peer and a worker with a task of each job.
 struct Pair {
-    Site s{2};
+    Deployment deployment{2};
     std::unique_ptr<ScriptedPeer> peer;
     FakeWorker w;
     explicit Pair(uint8_t record_format, std::vector<std::string> jobs = {}) {
-        s.run(1);
-        peer = std::make_unique<ScriptedPeer>(s);
+        deployment.run(1);
+        peer = std::make_unique<ScriptedPeer>(deployment);
         peer->record_format = record_format;
-        s.start(0);
-        EXPECT_TRUE(s.until([&] { return s.leader() == 0; }));
-        s.run(6);
-        s.settle(w);
-        for (const auto& id : jobs) EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
-        EXPECT_EQ(report(s, w, 0, 4), 200);
+        deployment.start(0);
+        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        deployment.run(6);
+        deployment.settle(w);
+        for (const auto& id : jobs)
+            EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
+        EXPECT_EQ(report(deployment, w, 0, 4), 200);
         EXPECT_EQ(w.tasks.size(), jobs.size());
     }
     bool runs(const std::string& task) {
@@ -143,61 +141,60 @@
 // peers' word for which jobs were cancelled either this task outlived cancel_s or every lease ended.
 TEST(Cancellation, AnnouncedByAPeerWhileTheLeaderIsRefusedEndsItsTasksAndNoOthers) {
     for (int n : {2, 3, 5}) {
-        Site s(n);
-        for (int i = 0; i < n; ++i) s.start(i);
-        ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-        int leader = s.leader(), other = (leader + 1) % n;
-        s.run(6);
+        Deployment deployment(n);
+        for (int i = 0; i < n; ++i) deployment.start(i);
+        ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
+        int leader = deployment.leader(), other = (leader + 1) % n;
+        deployment.run(6);
         FakeWorker w;
-        s.settle(w);
+        deployment.settle(w);
         for (const char* id : {"job-1", "job-2"})
-            ASSERT_EQ(s.call(other, "POST", "/v2/runs", job_body(id)).status, 201);
-        EXPECT_EQ(report(s, w, leader, 4), 200);
+            ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", job_body(id)).status, 201);
+        EXPECT_EQ(report(deployment, w, leader, 4), 200);
         ASSERT_TRUE(w.find("job-1/0") && w.find("job-2/0"));
-        s.state.refused.insert(leader);
-        s.run(0.3);
-        ASSERT_EQ(phase_of(s.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
-        s.run(0.5);
-        s.state.down = true;
-        Seconds announced = s.loop.now();
-        EXPECT_EQ(report(s, w, leader, 4), 200);
+        deployment.store.refused_nodes.insert(leader);
+        deployment.run(0.3);
+        ASSERT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+        deployment.run(0.5);
+        deployment.store.down = true;
+        Seconds announced = deployment.loop.now();
+        EXPECT_EQ(report(deployment, w, leader, 4), 200);
         EXPECT_TRUE(!w.find("job-1/0") || w.find("job-1/0")->phase == TaskPhase::kExited);
-        EXPECT_EQ(report(s, w, leader, s.configs[0].cancel_s + 20), 200) << "all is known: no lease need end";
-        EXPECT_EQ(s.leader(), leader);
-        EXPECT_EQ(w.find("job-2/0")->phase, TaskPhase::kRunning) << s.loop.now() - announced;
-        s.state.outage_is_over();
-        s.state.down = false;
-        s.state.refused.clear();
-        s.run(3);
-        EXPECT_EQ(report(s, w, leader, 8), 200);
-        EXPECT_TRUE(s.state.rows.count("f/job-1"));
-        EXPECT_EQ(phase_of(s.call(other, "GET", "/v2/runs/job-2")), "running");
+        EXPECT_EQ(report(deployment, w, leader, deployment.configs[0].cancel_s + 20), 200)
+            << "all is known: no lease need end";
+        EXPECT_EQ(deployment.leader(), leader);
+        EXPECT_EQ(w.find("job-2/0")->phase, TaskPhase::kRunning) << deployment.loop.now() - announced;
+        deployment.store.restart_leases();
+        deployment.store.down = false;
+        deployment.store.refused_nodes.clear();
+        deployment.run(3);
+        EXPECT_EQ(report(deployment, w, leader, 8), 200);
+        EXPECT_TRUE(deployment.store.rows.count("f/job-1"));
+        EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-2")), "running");
     }
 }
 
 // A cancellation may be confirmed after a new leader has read the job's record and told before it has read
 // them all: its view must not take the job for one that goes on.
 TEST(Cancellation, AnnouncedWhileANewLeaderReadsTheRecordsCounts) {
-    Site s(2);
-    s.start(0);
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-    int first = s.leader();
-    s.run(4);
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int first = deployment.leader();
+    deployment.run(4);
     FakeWorker w;
-    s.settle(w);
-    ASSERT_EQ(s.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(report(s, w, first, 4), 200);
+    deployment.settle(w);
+    ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    EXPECT_EQ(report(deployment, w, first, 4), 200);
     ASSERT_TRUE(w.find("job-1/0"));
-    s.kill(first);
-    s.state.end_lease(s.state.rows.at("leader").lease);
-    ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-    Controller& node = *s.nodes[static_cast<size_t>(1 - first)];
-    ASSERT_TRUE(s.until([&] { return node.leader() != nullptr; }));
+    deployment.kill(first);
+    deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
+    Controller& node = deployment.node(1 - first);
+    ASSERT_TRUE(deployment.until([&] { return node.leader() != nullptr; }));
     ASSERT_EQ(node.leader()->jobs().size(), 0u);
     node.leader()->note_cancellation("job-1");
-    s.settle(w);
-    EXPECT_EQ(report(s, w, 1 - first, 4), 200);
+    deployment.settle(w);
+    EXPECT_EQ(report(deployment, w, 1 - first, 4), 200);
     const ReportedTask* t = w.find("job-1/0");
     EXPECT_TRUE(!t || t->phase == TaskPhase::kExited);
 }
@@ -206,50 +203,50 @@
 // does not know, and its silence about cancellations counts as before.
 TEST(Cancellation, BesideTheVersionInProductionSilenceCounts) {
     Pair p(0, {"job-1"});
-    ASSERT_EQ(phase_of(p.s.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
-    p.s.run(3);
+    ASSERT_EQ(phase_of(p.deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+    p.deployment.run(3);
     EXPECT_EQ(p.peer->unknown, 0) << "it would close the connection";
-    p.s.state.down = true;
-    EXPECT_EQ(report(p.s, p.w, 0, 60), 200) << "it has told nobody";
-    p.peer->announced_last = p.s.loop.now();
-    EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.s, p.w, 0, 12), 503) << "which it was is not known";
+    p.deployment.store.down = true;
+    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200) << "it has told nobody";
+    p.peer->announced_last = p.deployment.loop.now();
+    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503) << "which it was is not known";
 }
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
 TEST(Cancellation, AMissingNameEndsTheRightToRenewInTime) {
     Pair p(peer::kPeerFormat, {"job-1", "job-2"});
-    p.s.state.down = true;
-    EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
-    p.peer->announced_last = p.s.loop.now();
+    p.deployment.store.down = true;
+    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
+    p.peer->announced_last = p.deployment.loop.now();
     p.peer->announced = 1;
-    EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.s, p.w, 0, 12), 503);
+    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503);
     EXPECT_TRUE(p.runs("job-1/0") && p.runs("job-2/0"));
 }
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
 TEST(Cancellation, NamesCountOnceAndInCommand) {
     Pair p(peer::kPeerFormat, {"job-1", "job-2"});
-    p.s.state.down = true;
-    p.s.run(2);
-    p.peer->announced_last = p.s.loop.now();
+    p.deployment.store.down = true;
+    p.deployment.run(2);
+    p.peer->announced_last = p.deployment.loop.now();
     p.peer->announced = 1;
     p.peer->sends = {"job-1"};
-    EXPECT_EQ(report(p.s, p.w, 0, 6), 200);
+    EXPECT_EQ(report(p.deployment, p.w, 0, 6), 200);
     EXPECT_TRUE(!p.runs("job-1/0") && p.runs("job-2/0"));
-    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced_last = p.deployment.loop.now();
     p.peer->announced = 2;
     p.peer->sends = {"job-1", "job-2"};
-    EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
+    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
     EXPECT_FALSE(p.runs("job-2/0"));
     // One is left out: what comes after it says nothing of it.
-    p.peer->announced_last = p.s.loop.now();
+    p.peer->announced_last = p.deployment.loop.now();
     p.peer->announced = 4;
     p.peer->from = 3;
     p.peer->sends = {"job-9"};
-    EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.s, p.w, 0, 12), 503);
+    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503);
 }
 
 // The heartbeat that a peer sends by itself is up to a second newer than its last answer. Taken together, its
@@ -257,30 +254,32 @@
 TEST(Cancellation, ALaterHeartbeatSaysNothingOfAnEarlierAnswer) {
     Pair p(0);
     // Seen fresh by a watch that began up to 3 s ago, and cut off now.
-    p.s.state.refused.insert(0);
-    p.s.state.down = true;
-    p.s.run(0.2);
-    p.peer->announced_last = p.s.loop.now();
-    Seconds announced = p.s.loop.now();
-    while (p.s.loop.now() < announced + p.s.configs[0].cancel_s - p.s.configs[0].lease_s) {
-        p.s.run(0.2);
-        p.s.send_report(p.w, 0);
+    p.deployment.store.refused_nodes.insert(0);
+    p.deployment.store.down = true;
+    p.deployment.run(0.2);
+    p.peer->announced_last = p.deployment.loop.now();
+    Seconds announced = p.deployment.loop.now();
+    while (p.deployment.loop.now() <
+           announced + p.deployment.configs[0].cancel_s - p.deployment.configs[0].lease_s) {
+        p.deployment.run(0.2);
+        p.deployment.send_report(p.w, 0);
     }
     for (int i = 0; i < 40; ++i) {
-        p.s.run(0.2);
-        ASSERT_EQ(p.s.send_report(p.w, 0), 503) << i;
+        p.deployment.run(0.2);
+        ASSERT_EQ(p.deployment.send_report(p.w, 0), 503) << i;
     }
 }
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
 TEST(Cancellation, WhatWasVouchedForStaysKnown) {
     Pair p(peer::kPeerFormat);
-    p.s.state.down = true;
-    EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
+    p.deployment.store.down = true;
+    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
     p.peer->incarnation = 78;
-    p.peer->announced_last = p.s.loop.now();
-    EXPECT_EQ(report(p.s, p.w, 0, 16), 200) << "within the span from its last word";
-    EXPECT_EQ(report(p.s, p.w, 0, 12), 503) << "its last process may have told of one before it ended";
+    p.peer->announced_last = p.deployment.loop.now();
+    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span from its last word";
+    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503)
+        << "its last process may have told of one before it ended";
 }
 
 // In the heartbeat's format of the version in production the label is padded to 32 bytes; ours stands in the
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -1,12 +1,15 @@
 // What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
 // frames between controllers. A name in the code that changes must not move a byte of it, since processes of
 // both versions serve side by side on the same data.
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
 #include <algorithm>
 #include <cstring>
 
 #include "jobs/record.h"
 #include "peer/frames.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -230,13 +233,14 @@
 }
 
 // The only controller of a deployment, elected for the term after the stored one.
-void lead_after(Site& site, uint64_t last_epoch) {
+void lead_after(Deployment& deployment, uint64_t last_epoch) {
     Txn txn;
     txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.state.rows.count("form") == 1; }));
-    site.run(1);
+    ASSERT_EQ(deployment.store.apply(txn.pack()).status, 200);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until(
+        [&] { return deployment.leader() == 0 && deployment.store.rows.count("form") == 1; }));
+    deployment.run(1);
 }
 
 std::string from_hex(std::string_view hex) {
@@ -292,10 +296,10 @@
     return frame.value_or(peer::Frame{});
 }
 
-void store(Site& site, const std::string& key, std::string value) {
+void store(Deployment& deployment, const std::string& key, std::string value) {
     Txn txn;
     txn.expect(key, 0).put(key, std::move(value));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
+    ASSERT_EQ(deployment.store.apply(txn.pack()).status, 200);
 }
 
 }  // namespace
@@ -352,63 +356,64 @@
 }
 
 TEST(ProductionBytes, KeysOfAnElectionAreWritten) {
-    Site site;
-    lead_after(site, kStoredEpoch - 1);
-    ASSERT_EQ(site.leader(), 0);
-    EXPECT_EQ(to_hex(site.state.rows.at("leader").data), kLeaderValue);
-    EXPECT_EQ(to_hex(site.state.rows.at("term").data), kTermValue);
-    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+    Deployment deployment;
+    lead_after(deployment, kStoredEpoch - 1);
+    ASSERT_EQ(deployment.leader(), 0);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("leader").data), kLeaderValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("term").data), kTermValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
 TEST(ProductionBytes, TheLeadersKeyIsRead) {
-    Site site(2);
-    store(site, "leader", from_hex(kLeaderValue));
-    site.start(1);
-    ASSERT_TRUE(site.until([&] { return site.nodes[1]->election().leader() == "node-0"; }));
-    EXPECT_EQ(site.nodes[1]->election().known_epoch(), kStoredEpoch);
-    EXPECT_FALSE(site.nodes[1]->election().leading());
+    Deployment deployment(2);
+    store(deployment, "leader", from_hex(kLeaderValue));
+    deployment.start(1);
+    ASSERT_TRUE(deployment.until([&] { return deployment.node(1).election().leader() == "node-0"; }));
+    EXPECT_EQ(deployment.node(1).election().known_epoch(), kStoredEpoch);
+    EXPECT_FALSE(deployment.node(1).election().leading());
 }
 
 TEST(ProductionBytes, TheTermIsReadAndNotUsedAgain) {
-    Site site;
-    store(site, "term", from_hex(kTermValue));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    EXPECT_EQ(site.nodes[0]->election().epoch(), kStoredEpoch + 1);
+    Deployment deployment;
+    store(deployment, "term", from_hex(kTermValue));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    EXPECT_EQ(deployment.node(0).election().epoch(), kStoredEpoch + 1);
 }
 
 // The key is there, so records are written in format 2 also while nothing is known of the other controller.
 TEST(ProductionBytes, TheRecordFormatIsReadAndKept) {
-    Site site(2);
-    store(site, "form", from_hex(kRecordFormatValue));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
-    ASSERT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto record = Message::parse(site.state.rows.at("j/job-1").data);
+    Deployment deployment(2);
+    store(deployment, "form", from_hex(kRecordFormatValue));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    auto record = Message::parse(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
     EXPECT_EQ(record->root()["v"].count_or(0), 2u);
-    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
 TEST(ProductionBytes, RecordsAreTakenOverFromTheStateService) {
-    Site site;
-    store(site, "j/job-000731", from_hex(kArrayFormat2));
-    store(site, "j/job-000733", from_hex(kServiceFormat1));
-    store(site, "f/job-000734", from_hex(kDoneFinal));
-    store(site, "f/job-000735", from_hex(kCancelledFinal));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
+    Deployment deployment;
+    store(deployment, "j/job-000731", from_hex(kArrayFormat2));
+    store(deployment, "j/job-000733", from_hex(kServiceFormat1));
+    store(deployment, "f/job-000734", from_hex(kDoneFinal));
+    store(deployment, "f/job-000735", from_hex(kCancelledFinal));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
     auto phase = [&](const std::string& id) {
-        auto answer = Message::parse(site.call(0, "GET", "/v2/runs/" + id).body);
+        auto answer = Message::parse(deployment.call(0, "GET", "/v2/runs/" + id).body);
         return answer ? answer->root()["phase"].text_or("") : "";
     };
     EXPECT_EQ(phase("job-000731"), "running");
     EXPECT_EQ(phase("job-000733"), "running");
     EXPECT_EQ(phase("job-000734"), "done");
     EXPECT_EQ(phase("job-000735"), "withdrawn");
-    EXPECT_EQ(to_hex(site.state.rows.at("j/job-000731").data), kArrayFormat2) << "unchanged until it changes";
+    EXPECT_EQ(to_hex(deployment.store.rows.at("j/job-000731").data), kArrayFormat2)
+        << "unchanged until it changes";
 }
 
 TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
@@ -451,13 +456,14 @@
 }
 
 TEST(ProductionBytes, RelaysAreAnswered) {
-    Site site;
-    lead_after(site, kStoredEpoch - 1);
+    Deployment deployment;
+    lead_after(deployment, kStoredEpoch - 1);
     std::string answer;
-    Scope scope(site.loop);
-    scope.spawn(exchange_frame(site.loop, site.configs[0].peer_listen, from_hex(kRelayFrame), answer),
-                "relay");
-    site.run(4);
+    Scope scope(deployment.loop);
+    scope.spawn(
+        exchange_frame(deployment.loop, deployment.configs[0].peer_listen, from_hex(kRelayFrame), answer),
+        "relay");
+    deployment.run(4);
     EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
     peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
     EXPECT_EQ(frame.kind, peer::Kind::kRelayAnswer);
--- a/tests/fault_scenarios_test.cc
+++ b/tests/fault_scenarios_test.cc
@@ -6,366 +6,351 @@
 
 #include <random>
 
-#include "fault_scenario.h"
+#include "scenario/fault_script.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
 
 namespace {
 
-struct FaultScenario {
-    const char* name;
-    int nodes, machines;
-    std::function<void(World&)> play;
-};
-
-void PrintTo(const FaultScenario& m, std::ostream* out) {
-    *out << m.name;
-}
-
-const std::vector<FaultScenario> kFaultScenarios{
+const std::vector<FaultScript> kFaultScripts{
     {"LeadersChangeTenTimes", 2, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 60);
-         w.submit("job-2", 2, 300);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 60);
+         scenario.submit("job-2", 2, 300);
          for (int i = 0; i < 10; ++i) {
-             if (i == 5) w.outage(true);
-             if (i == 6) w.outage(false);
-             if (i == 3) w.cancel("job-2");
-             int first = w.site.leader();
-             if (first >= 0) w.site.kill(first);
-             w.site.run(4);
-             for (int k : {0, 1})
-                 if (!w.site.nodes[static_cast<size_t>(k)]) w.site.start(k);
-             w.site.run(8);
+             if (i == 5) scenario.begin_store_outage();
+             if (i == 6) scenario.end_store_outage();
+             if (i == 3) scenario.cancel("job-2");
+             scenario.kill_leader();
+             scenario.deployment.run(4);
+             scenario.start_all_killed();
+             scenario.deployment.run(8);
          }
      }},
     {"QuestionsMeetTheEnd", 2, 3,
-     [](World& w) {
+     [](FaultScenario& scenario) {
          for (int i = 1; i <= 4; ++i) {
              std::string id = "job-" + std::to_string(i);
-             w.submit(id, 1, 5);
-             w.starts(id);
-             w.site.until([&] { return w.done.count(id) > 0; }, 30);
-             if (i % 2) w.cancel(id);
-             w.said(id, w.ask("POST", "/v2/runs", w.bodies[id]));
-             w.poll(id);
+             scenario.submit(id, 1, 5);
+             scenario.starts(id);
+             scenario.deployment.until([&] { return scenario.jobs.done.count(id) > 0; }, 30);
+             if (i % 2) scenario.cancel(id);
+             scenario.jobs.check_answer(id, scenario.ask("POST", "/v2/runs", scenario.jobs.bodies[id]));
+             scenario.poll(id);
          }
      }},
     {"MoreWorkThanRoomOverSlowLinks", 2, 6,
-     [](World& w) {
-         for (auto& g : w.gates) g->delay = 0.4;
+     [](FaultScenario& scenario) {
+         for (auto& g : scenario.store_proxies) g->delay = 0.4;
          for (int i = 1; i <= 8; ++i)
-             w.submit("job-" + std::to_string(i), 3, 15,
-                      [&](auto& f) { f["rank"] = packed_text(i % 3 ? "idle" : "production"); });
-         w.cancel("job-5");
-         w.site.run(30);
+             scenario.submit("job-" + std::to_string(i), 3, 15,
+                             [&](auto& f) { f["rank"] = packed_text(i % 3 ? "idle" : "production"); });
+         scenario.cancel("job-5");
+         scenario.deployment.run(30);
      }},
     {"AHeldReportComesToTheNewLeader", 2, 4,
-     [](World& w) {
-         w.submit("job-1", 1, 80);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         LiveMachine* m = w.holder("job-1");
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 1, 80);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         SimulatedMachine* m = scenario.fleet.holder("job-1");
          // From before the launch: it lacks the task.
          std::string old = m->reports.at(m->reports.size() / 2);
-         int first = w.leader();
+         int first = scenario.await_leader();
          m->cut = true;
-         w.site.kill(first);
+         scenario.deployment.kill(first);
          for (int i = 0; i < 12; ++i) {
-             w.site.call(w.leader(), "POST", "/hello", old);
-             w.site.run(0.5);
+             scenario.deployment.call(scenario.await_leader(), "POST", "/hello", old);
+             scenario.deployment.run(0.5);
          }
          m->cut = false;
-         w.site.start(first);
+         scenario.deployment.start(first);
      }},
     {"CancelledAsTheLeaderIsRefusedAndThenAll", 3, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 400);
-         w.submit("job-2", 2, 60);
-         ASSERT_TRUE(w.starts("job-1"));
-         int first = w.leader();
-         w.alone(first, true);
-         w.next_node = static_cast<size_t>(first) + 1;
-         w.cancel("job-1");
-         w.site.run(1);
-         w.outage(true);
-         w.site.run(61);
-         w.outage(false);
-         w.alone(first, false);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 400);
+         scenario.submit("job-2", 2, 60);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         int first = scenario.await_leader();
+         scenario.refuse_store(first);
+         scenario.ask_first(first + 1);
+         scenario.cancel("job-1");
+         scenario.deployment.run(1);
+         scenario.begin_store_outage();
+         scenario.deployment.run(61);
+         scenario.end_store_outage();
+         scenario.allow_store(first);
      }},
     {"ALeaderEndsWhileMachinesCannotBeReached", 2, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 100);
-         w.submit("job-2", 2, 300);
-         ASSERT_TRUE(w.starts("job-2"));
-         w.site.run(4);
-         w.fleet[0]->mute = w.fleet[1]->deaf = true;
-         int first = w.leader();
-         w.cancel("job-2");
-         w.site.kill(first);
-         w.site.run(30);
-         w.site.start(first);
-         w.fleet[0]->mute = w.fleet[1]->deaf = false;
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 100);
+         scenario.submit("job-2", 2, 300);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         scenario.deployment.run(4);
+         scenario.fleet.machine(0).cannot_report = scenario.fleet.machine(1).cannot_hear = true;
+         int first = scenario.await_leader();
+         scenario.cancel("job-2");
+         scenario.deployment.kill(first);
+         scenario.deployment.run(30);
+         scenario.deployment.start(first);
+         scenario.fleet.machine(0).cannot_report = scenario.fleet.machine(1).cannot_hear = false;
      }},
     {"AZoneIsCutOffForLongerThanALease", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 6, 60);
-         w.submit("job-2", 2, 300);
-         ASSERT_TRUE(w.starts("job-2"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->cut = m->w.zone == "b";
-         w.cancel("job-2");
-         int first = w.leader();
-         w.site.kill(first);
-         w.site.run(30);
-         w.site.start(first);
-         w.site.run(30);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 6, 60);
+         scenario.submit("job-2", 2, 300);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->cut = m->worker.zone == "b";
+         scenario.cancel("job-2");
+         int first = scenario.await_leader();
+         scenario.deployment.kill(first);
+         scenario.deployment.run(30);
+         scenario.deployment.start(first);
+         scenario.deployment.run(30);
      }},
     {"ACommandIsHeldAndTheMachineGoesOn", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 4, 300);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->hung = !m->w.tasks.empty();
-         w.cancel("job-1");
-         w.submit("job-2", 8, 20);
-         w.site.run(10);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 300);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->hung = !m->worker.tasks.empty();
+         scenario.cancel("job-1");
+         scenario.submit("job-2", 8, 20);
+         scenario.deployment.run(10);
      }},
     {"TheStateServiceIsSlowAndRefusesOneAndThenAll", 3, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 400);
-         w.submit("job-2", 2, 60);
-         ASSERT_TRUE(w.starts("job-2"));
-         for (auto& g : w.gates) g->delay = 0.8;
-         int first = w.leader();
-         w.alone(first, true);
-         w.next_node = static_cast<size_t>(first) + 1;
-         w.cancel("job-1");
-         w.poll("job-2");
-         w.site.run(2);
-         w.outage(true);
-         w.site.run(58);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 400);
+         scenario.submit("job-2", 2, 60);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         for (auto& g : scenario.store_proxies) g->delay = 0.8;
+         int first = scenario.await_leader();
+         scenario.refuse_store(first);
+         scenario.ask_first(first + 1);
+         scenario.cancel("job-1");
+         scenario.poll("job-2");
+         scenario.deployment.run(2);
+         scenario.begin_store_outage();
+         scenario.deployment.run(58);
      }},
     {"TransactionsAreCarriedOutLate", 2, 4,
-     [](World& w) {
+     [](FaultScenario& scenario) {
          auto rng = std::make_shared<std::mt19937>(5);
-         w.site.state.let_through = [rng](const std::string&) { return (*rng)() % 4 != 0; };
-         for (int i = 1; i <= 5; ++i) w.submit("job-" + std::to_string(i), 2, 12);
+         scenario.deployment.store.let_through = [rng](const std::string&) { return (*rng)() % 4 != 0; };
+         for (int i = 1; i <= 5; ++i) scenario.submit("job-" + std::to_string(i), 2, 12);
          for (int i = 0; i < 20; ++i) {
-             w.site.run(3);
-             for (const auto& body : std::exchange(w.site.state.late, {})) w.site.state.apply(body);
-             if (i == 4) w.cancel("job-3");
-             if (i == 8) w.site.kill(w.leader());
-             if (i == 10)
-                 for (int k : {0, 1})
-                     if (!w.site.nodes[static_cast<size_t>(k)]) w.site.start(k);
+             scenario.deployment.run(3);
+             scenario.apply_held_transactions();
+             if (i == 4) scenario.cancel("job-3");
+             if (i == 8) scenario.deployment.kill(scenario.await_leader());
+             if (i == 10) scenario.start_all_killed();
          }
          // A cancellation without an answer, and a placement's, arrive when their jobs are over.
          for (const char* id : {"job-6", "job-7"}) {
              bool users = std::string(id) == "job-6", kept = false;
-             w.site.state.let_through = {};
-             w.submit(id, 1, 8);
-             w.site.state.let_through = [=, &kept](const std::string& body) {
+             scenario.deployment.store.let_through = {};
+             scenario.submit(id, 1, 8);
+             scenario.deployment.store.let_through = [=, &kept](const std::string& body) {
                  bool hers = body.find(id) != std::string::npos &&
                              (body.find("leader") == std::string::npos) == users;
                  return !hers || std::exchange(kept, true);
              };
-             if (users) w.site.call(w.leader(), "POST", std::string("/v2/runs/") + id + "/withdraw");
-             w.site.until([&] { return w.done.count(id) > 0; }, 60);
-             w.site.run(4);
-             w.poll(id);
+             if (users)
+                 scenario.deployment.call(scenario.await_leader(), "POST",
+                                          std::string("/v2/runs/") + id + "/withdraw");
+             scenario.deployment.until([&] { return scenario.jobs.done.count(id) > 0; }, 60);
+             scenario.deployment.run(4);
+             scenario.poll(id);
              EXPECT_TRUE(kept);
-             for (const auto& body : std::exchange(w.site.state.late, {})) w.site.state.apply(body);
-             w.site.run(4);
-             w.poll(id);
-             w.site.state.let_through = {};
+             scenario.apply_held_transactions();
+             scenario.deployment.run(4);
+             scenario.poll(id);
+             scenario.deployment.store.let_through = {};
          }
      }},
     {"OldReportsComeAfterNewerOnes", 2, 3,
-     [](World& w) {
-         w.double_reports = true;
-         w.submit("job-1", 4, 40);
-         w.submit("job-2", 2, 300);
-         w.site.run(15);
-         EXPECT_EQ(w.launches["job-1"], 4) << "no copy shows that a task is gone";
-         w.fleet[0]->cut = true;
-         w.site.run(26);
-         w.fleet[0]->cut = false;
-         w.cancel("job-2");
-         int first = w.leader();
-         w.site.kill(first);
-         w.site.run(15);
-         w.site.start(first);
-         w.site.run(20);
-         w.double_reports = false;
+     [](FaultScenario& scenario) {
+         scenario.fleet.repeat_old_reports(true);
+         scenario.submit("job-1", 4, 40);
+         scenario.submit("job-2", 2, 300);
+         scenario.deployment.run(15);
+         EXPECT_EQ(scenario.fleet.launches("job-1"), 4) << "no copy shows that a task is gone";
+         scenario.fleet.machine(0).cut = true;
+         scenario.deployment.run(26);
+         scenario.fleet.machine(0).cut = false;
+         scenario.cancel("job-2");
+         int first = scenario.await_leader();
+         scenario.deployment.kill(first);
+         scenario.deployment.run(15);
+         scenario.deployment.start(first);
+         scenario.deployment.run(20);
+         scenario.fleet.repeat_old_reports(false);
      }},
     {"ATeamIsAtItsLimitWhenTheLeaderChanges", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 6, 60);
-         w.submit("job-2", 2, 300);
-         w.submit("job-3", 4, 20);
-         ASSERT_TRUE(w.starts("job-2"));
-         w.site.run(4);
-         w.fleet[0]->cut = w.fleet[1]->hung = true;
-         int first = w.leader();
-         w.site.kill(first);
-         w.cancel("job-2");
-         w.site.run(20);
-         w.fleet[0]->cut = w.fleet[1]->hung = false;
-         w.site.run(10);
-         w.site.start(first);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 6, 60);
+         scenario.submit("job-2", 2, 300);
+         scenario.submit("job-3", 4, 20);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         scenario.deployment.run(4);
+         scenario.fleet.machine(0).cut = scenario.fleet.machine(1).hung = true;
+         int first = scenario.await_leader();
+         scenario.deployment.kill(first);
+         scenario.cancel("job-2");
+         scenario.deployment.run(20);
+         scenario.fleet.machine(0).cut = scenario.fleet.machine(1).hung = false;
+         scenario.deployment.run(10);
+         scenario.deployment.start(first);
      }},
     {"AllControllersAreAwayForLongerThanALease", 2, 3,
-     [](World& w) {
-         w.submit("job-1", 4, 50);
-         w.submit("job-2", 1, 300);
-         ASSERT_TRUE(w.starts("job-2"));
-         w.site.run(4);
-         w.holder("job-1")->hung = true;
-         w.cancel("job-2");
-         w.site.kill(0);
-         w.site.kill(1);
-         w.site.run(30);
-         w.site.start(0);
-         w.site.run(10);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 50);
+         scenario.submit("job-2", 1, 300);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         scenario.deployment.run(4);
+         scenario.fleet.holder("job-1")->hung = true;
+         scenario.cancel("job-2");
+         scenario.deployment.kill(0);
+         scenario.deployment.kill(1);
+         scenario.deployment.run(30);
+         scenario.deployment.start(0);
+         scenario.deployment.run(10);
      }},
     {"ALoneLeaderKeepsItsWorkers", 3, 6,
-     [](World& w) {
-         w.submit("job-1", 4, 400);
-         w.submit("job-2", 2, 60);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         int first = w.leader();
-         w.alone(first, true);
-         w.apart(first, true);
-         for (auto& m : w.fleet) m->node = first;
-         w.site.run(1);
-         w.next_node = static_cast<size_t>(first) + 1;
-         w.cancel("job-1");
-         w.site.run(60);
-         EXPECT_TRUE(w.site.cloud.deleted.empty()) << "it takes nobody's silence for an end";
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 400);
+         scenario.submit("job-2", 2, 60);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         int first = scenario.await_leader();
+         scenario.refuse_store(first);
+         scenario.cut_peer_links(first);
+         for (auto& m : scenario.fleet.machines()) m->node = first;
+         scenario.deployment.run(1);
+         scenario.ask_first(first + 1);
+         scenario.cancel("job-1");
+         scenario.deployment.run(60);
+         EXPECT_TRUE(scenario.deployment.cloud.deleted.empty()) << "it takes nobody's silence for an end";
      }},
     {"SmallJobsEndFarApartAcrossAChangeOfLeader", 2, 3,
-     [](World& w) {
-         w.submit("job-1", 3, 10);
-         ASSERT_TRUE(w.starts("job-1"));
-         for (auto& m : w.fleet)
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 3, 10);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         for (auto& m : scenario.fleet.machines())
              for (auto& [name, end] : m->ends)
                  if (name != "job-1/0") end += 40;
-         w.site.run(11);
-         w.poll("job-1");
-         int first = w.leader();
-         w.site.kill(first);
-         w.site.run(10);
-         w.poll("job-1");
-         w.site.start(first);
+         scenario.deployment.run(11);
+         scenario.poll("job-1");
+         int first = scenario.await_leader();
+         scenario.deployment.kill(first);
+         scenario.deployment.run(10);
+         scenario.poll("job-1");
+         scenario.deployment.start(first);
      }},
     {"WorkersCannotOpenConnections", 2, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 60);
-         w.submit("job-2", 2, 300);
-         ASSERT_TRUE(w.starts("job-2"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->mute = m->w.zone == "a";
-         w.cancel("job-2");
-         w.site.run(2);
-         EXPECT_FALSE(w.holder("job-2")) << "a direct command halts it";
-         w.site.run(35);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 60);
+         scenario.submit("job-2", 2, 300);
+         ASSERT_TRUE(scenario.starts("job-2"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->cannot_report = m->worker.zone == "a";
+         scenario.cancel("job-2");
+         scenario.deployment.run(2);
+         EXPECT_FALSE(scenario.fleet.holder("job-2")) << "a direct command halts it";
+         scenario.deployment.run(35);
      }},
     // What a lone leader knows to be cancelled is no reason either to return what another stopped.
     {"ALoneLeaderTakesNoSilenceForAnEnd", 3, 6,
-     [](World& w) {
-         w.submit("job-1", 2, 400);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         int first = w.leader();
-         std::vector<LiveMachine*> held;
-         for (auto& m : w.fleet)
-             if (!m->w.tasks.empty()) held.push_back(m.get());
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 2, 400);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         int first = scenario.await_leader();
+         std::vector<SimulatedMachine*> held;
+         for (auto& m : scenario.fleet.machines())
+             if (!m->worker.tasks.empty()) held.push_back(m.get());
          for (auto* m : held) m->hung = true;
-         w.cancel("job-1");
-         w.alone(first, true);
-         w.apart(first, true);
-         w.site.run(5);
+         scenario.cancel("job-1");
+         scenario.refuse_store(first);
+         scenario.cut_peer_links(first);
+         scenario.deployment.run(5);
          for (auto* m : held) {
              m->node = (first + 1) % 3;
              m->hung = false;
          }
-         w.site.run(55);
-         EXPECT_TRUE(w.site.cloud.deleted.empty());
+         scenario.deployment.run(55);
+         EXPECT_TRUE(scenario.deployment.cloud.deleted.empty());
      }},
     {"CancelledOnMachinesThatOnlyCommandsReachAsTheLeaderEnds", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 4, 400);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->mute = m->cut = !m->w.tasks.empty();
-         int first = w.leader();
-         w.cancel("job-1");
-         w.site.run(0.2);
-         w.site.kill(first);
-         for (auto& m : w.fleet) m->cut = false;
-         w.site.run(14);
-         EXPECT_FALSE(w.holder("job-1")) << "halted by the new leader, which they never reach";
-         EXPECT_TRUE(w.site.cloud.deleted.empty());
-         w.site.start(first);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 400);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->cannot_report = m->cut = !m->worker.tasks.empty();
+         int first = scenario.await_leader();
+         scenario.cancel("job-1");
+         scenario.deployment.run(0.2);
+         scenario.deployment.kill(first);
+         for (auto& m : scenario.fleet.machines()) m->cut = false;
+         scenario.deployment.run(14);
+         EXPECT_FALSE(scenario.fleet.holder("job-1")) << "halted by the new leader, which they never reach";
+         EXPECT_TRUE(scenario.deployment.cloud.deleted.empty());
+         scenario.deployment.start(first);
      }},
     // A hung machine cannot be stopped and may go on: only its deletion ends what was cancelled there.
     {"CancelledOnHungMachinesOfACutZone", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 6, 400);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->cut = m->w.zone == "a";
-         w.holder("job-1")->hung = true;
-         for (auto& m : w.fleet)
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 6, 400);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->cut = m->worker.zone == "a";
+         scenario.fleet.holder("job-1")->hung = true;
+         for (auto& m : scenario.fleet.machines())
              if (m->cut) m->hung = true;
-         w.site.cloud.down = true;
-         w.cancel("job-1");
-         w.site.run(35);
-         w.site.cloud.down = false;
-         w.site.run(25);
+         scenario.deployment.cloud.down = true;
+         scenario.cancel("job-1");
+         scenario.deployment.run(35);
+         scenario.deployment.cloud.down = false;
+         scenario.deployment.run(25);
      }},
     {"CancelledOnAHungMachineAsTheStateServiceIsAway", 2, 4,
-     [](World& w) {
-         w.submit("job-1", 4, 400);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         w.holder("job-1")->hung = true;
-         w.cancel("job-1");
-         w.site.run(0.2);
-         w.outage(true);
-         w.site.run(62);
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 4, 400);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         scenario.fleet.holder("job-1")->hung = true;
+         scenario.cancel("job-1");
+         scenario.deployment.run(0.2);
+         scenario.begin_store_outage();
+         scenario.deployment.run(62);
      }},
     {"CancelledOnAHungMachineAsLeadersChange", 2, 6,
-     [](World& w) {
-         w.submit("job-1", 6, 400);
-         ASSERT_TRUE(w.starts("job-1"));
-         w.site.run(4);
-         for (auto& m : w.fleet) m->cut = m->hung = m->w.zone == "a";
-         w.cancel("job-1");
+     [](FaultScenario& scenario) {
+         scenario.submit("job-1", 6, 400);
+         ASSERT_TRUE(scenario.starts("job-1"));
+         scenario.deployment.run(4);
+         for (auto& m : scenario.fleet.machines()) m->cut = m->hung = m->worker.zone == "a";
+         scenario.cancel("job-1");
          for (int i = 0; i < 2; ++i) {
-             int first = w.leader();
-             w.site.kill(first);
-             w.site.run(15);
-             w.site.start(first);
+             int first = scenario.await_leader();
+             scenario.deployment.kill(first);
+             scenario.deployment.run(15);
+             scenario.deployment.start(first);
          }
-         w.site.run(30);
+         scenario.deployment.run(30);
      }},
 };
 
-class FaultScenarios : public testing::TestWithParam<FaultScenario> {};
+class FaultScenarios : public testing::TestWithParam<FaultScript> {};
 
 }  // namespace
 
 TEST_P(FaultScenarios, BreakNoRule) {
-    World w(GetParam().nodes, GetParam().machines);
-    GetParam().play(w);
-    w.calm();
-    EXPECT_TRUE(w.starts_after_announced.empty())
-        << w.starts_after_announced.front() << " started after its withdrawal";
+    FaultScenario scenario(GetParam().controllers, GetParam().machines);
+    GetParam().play(scenario);
+    scenario.end_faults_and_check();
 }
 
-INSTANTIATE_TEST_SUITE_P(Two, FaultScenarios, testing::ValuesIn(kFaultScenarios),
-                         [](const auto& i) { return std::string(i.param.name); });
+INSTANTIATE_TEST_SUITE_P(Two, FaultScenarios, testing::ValuesIn(kFaultScripts), name_of);
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -1,8 +1,9 @@
+#include <gtest/gtest.h>
 #include <sys/socket.h>
 
 #include <random>
 
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -4,7 +4,10 @@
 //
 // What is guarded against: a fixed limit below the largest fleet, and work for each report that looks at all
 // machines.
-#include "standins.h"
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -17,11 +20,11 @@
 constexpr Seconds kTakeOver_s = 10;    // of the fake clock: election, records, two rounds of reports
 
 struct LargeFleet : testing::Test {
-    Site site{2};
+    Deployment deployment{2};
     std::vector<FakeWorker> workers{kMachines};
 
     LargeFleet() {
-        for (Config& config : site.configs) {
+        for (Config& config : deployment.configs) {
             config.sockets = 2 * kMachines;
             config.teams[0].gpus_max = 0;
             config.state_rps = 2000;
@@ -31,19 +34,19 @@
         for (size_t i = 0; i < kMachines; ++i) {
             FakeWorker& worker = workers[i];
             worker.name = fmt::format("vm-{:06}", i + 1);
-            worker.zone = site.configs[0].zones[i % 2];
+            worker.zone = deployment.configs[0].zones[i % 2];
             ListedMachine listed;
             listed.name = worker.name;
             listed.addr = worker.addr;
             listed.machine_type = worker.machine_type;
             listed.zone = worker.zone;
-            site.cloud.machines[worker.name] = listed;
+            deployment.cloud.machines[worker.name] = listed;
         }
     }
 
     std::shared_ptr<Leader> leader() {
-        int node = site.leader();
-        return node < 0 ? nullptr : site.nodes[static_cast<size_t>(node)]->leader();
+        int node = deployment.leader();
+        return node < 0 ? nullptr : deployment.node(node).leader();
     }
 
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
@@ -57,9 +60,9 @@
     // All machines report at once; how many were answered 200.
     size_t all_report() {
         size_t answered = 0;
-        Scope scope(site.loop);
+        Scope scope(deployment.loop);
         for (FakeWorker& worker : workers) scope.spawn(report_once(leader(), worker, answered), "report");
-        site.until([&] { return scope.size() == 0; }, 5);
+        deployment.until([&] { return scope.size() == 0; }, 5);
         return answered;
     }
 
@@ -71,11 +74,11 @@
 
     void submit_jobs() {
         for (size_t i = 0; i < kJobs; ++i) {
-            auto body = job_body(fmt::format("job-{:06}", i), [](std::map<std::string, std::string>& fields) {
+            auto body = job_body(fmt::format("job-{:06}", i), [](JobFields& fields) {
                 Packer tasks;
                 fields["pieces"] = tasks.count(kTasksPerJob).take();
             });
-            ASSERT_EQ(site.call(0, "POST", "/v2/runs", body).status, 201);
+            ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", body).status, 201);
         }
     }
 };
@@ -83,35 +86,37 @@
 }  // namespace
 
 TEST_F(LargeFleet, IsFilledKeptAndTakenOver) {
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return leader() && leader()->loaded_for() > 0; }));
-    site.start(1);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return leader() && leader()->loaded_for() > 0; }));
+    deployment.start(1);
     EXPECT_EQ(all_report(), kMachines);
     EXPECT_EQ(leader()->machines_reported(), kMachines);
-    ASSERT_TRUE(site.until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
+    ASSERT_TRUE(deployment.until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
     submit_jobs();
     for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round) all_report();
     ASSERT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
     all_report();  // all is known to run
 
     // Full machines without news ask for nothing: only the passes of the clock are left.
-    Seconds began = site.loop.now();
+    Seconds began = deployment.loop.now();
     uint64_t passes = leader()->passes_done();
     EXPECT_EQ(all_report(), kMachines);
-    EXPECT_LE(leader()->passes_done() - passes, 2 + (site.loop.now() - began) / constants::kFleetTick_s);
+    EXPECT_LE(leader()->passes_done() - passes,
+              2 + (deployment.loop.now() - began) / constants::kFleetTick_s);
 
     // All reports that come to a new leader at once share a few passes, and nothing is started again.
-    site.kill(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 1 && leader() && leader()->loaded_for() > 0; }));
-    began = site.loop.now();
+    deployment.kill(0);
+    ASSERT_TRUE(
+        deployment.until([&] { return deployment.leader() == 1 && leader() && leader()->loaded_for() > 0; }));
+    began = deployment.loop.now();
     EXPECT_EQ(all_report(), kMachines);
     EXPECT_EQ(all_report(), kMachines) << "with this epoch known";
     EXPECT_LE(leader()->passes_done(), 20u);
-    EXPECT_LT(site.loop.now() - began, kTakeOver_s);
+    EXPECT_LT(deployment.loop.now() - began, kTakeOver_s);
     EXPECT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
     for (const FakeWorker& worker : workers)
         for (const ReportedTask& task : worker.tasks) ASSERT_EQ(task.phase, TaskPhase::kRunning);
-    EXPECT_TRUE(site.cloud.deleted.empty());
+    EXPECT_TRUE(deployment.cloud.deleted.empty());
 }
 
 namespace {
@@ -128,18 +133,19 @@
 // A controller that falls behind by more than a worker waits finds only reports that were given up. Taking
 // them in costs as much as those that are answered, so that it would stay behind for ever.
 TEST(Overload, AReportThatItsWorkerHasGivenUpIsNotTakenIn) {
-    Site site;
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.nodes[0]->leader(); }));
-    site.run(1);
+    Deployment deployment;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0 && deployment.node(0).leader(); }));
+    deployment.run(1);
     FakeWorker worker;
-    Scope scope(site.loop);
+    Scope scope(deployment.loop);
     bool sent = false;
     // The server's routine for the connection is started after both ends have done their part.
-    scope.spawn(send_and_leave(site.loop, site.configs[0].listen, worker.report(), sent), "worker");
-    ASSERT_TRUE(site.until([&] { return sent; }));
-    site.run(2);
-    EXPECT_EQ(site.nodes[0]->leader()->machines_reported(), 0u);
-    site.settle(worker);
-    EXPECT_EQ(site.nodes[0]->leader()->machines_reported(), 1u);
+    scope.spawn(send_and_leave(deployment.loop, deployment.configs[0].listen, worker.report(), sent),
+                "worker");
+    ASSERT_TRUE(deployment.until([&] { return sent; }));
+    deployment.run(2);
+    EXPECT_EQ(deployment.node(0).leader()->machines_reported(), 0u);
+    deployment.settle(worker);
+    EXPECT_EQ(deployment.node(0).leader()->machines_reported(), 1u);
 }
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -4,7 +4,7 @@
 #include "base/constants.h"
 #include "fleet/plan.h"
 #include "scheduler/scheduler.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 
@@ -276,15 +276,13 @@
     auto t0 = task("job-1", 0, 1, TaskPhase::kRunning), t1 = task("job-1", 1, 1, TaskPhase::kRunning);
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(g.started);
-    t0.phase = TaskPhase::kExited;
-    t0.cause = ExitCause::kPeersGone;
+    test::exit_task(t0, ExitCause::kPeersGone);
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(pull({&x, &y}).empty());
     EXPECT_EQ(g.why, Wait::kOldAttempt);
     auto o = jobs.commands(h, true);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
-    t1.phase = TaskPhase::kExited;
-    t1.cause = ExitCause::kStopped;
+    test::exit_task(t1, ExitCause::kStopped);
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
     EXPECT_EQ(pull({&x, &y}).size(), 2u);
     EXPECT_EQ(g.live.at(0).attempt, 2u);
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -1,12 +1,15 @@
 // The state service's later limits when they fall at a bad moment: before records of format 2 may be written,
 // in a take-over, with a transaction under way, over records of the earlier format, and under a burst of
 // submissions.
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
 #include <algorithm>
 #include <set>
 
 #include "base/bucket.h"
 #include "base/constants.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -17,24 +20,19 @@
 constexpr size_t kLaterTxnOps = 4;
 constexpr double kLaterWriteRate = 15;
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
-    return m ? m->root()["phase"].text_or("") : "";
-}
-
 // The settings announce the limits; the service keeps today's until limits_fall().
-void announce_limits(Site& s) {
-    for (auto& c : s.configs) {
+void announce_limits(Deployment& deployment) {
+    for (auto& c : deployment.configs) {
         c.next_value_bytes = kLaterValueBytes;
         c.txn_ops = std::min(c.txn_ops, kLaterTxnOps);
         c.write_rps = std::min(c.write_rps, kLaterWriteRate);
     }
-    s.state.value_bytes = s.configs[0].value_bytes;
+    deployment.store.value_bytes = deployment.configs[0].value_bytes;
 }
 
-void limits_fall(Site& s) {
-    s.state.value_bytes = kLaterValueBytes;
-    s.state.txn_ops = kLaterTxnOps;
+void limits_fall(Deployment& deployment) {
+    deployment.store.value_bytes = kLaterValueBytes;
+    deployment.store.txn_ops = kLaterTxnOps;
 }
 
 // An array whose tasks all run, on so many machines in two zones.
@@ -59,24 +57,24 @@
     return r;
 }
 
-void store(Site& s, const JobRecord& r) {
+void store(Deployment& deployment, const JobRecord& r) {
     Txn t;
     t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
-    ASSERT_EQ(s.state.apply(t.pack()).status, 200);
+    ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
 }
 
-JobRecord stored(Site& s, const std::string& id) {
-    auto r = JobRecord::unpack(s.state.rows.at(live_key(id)).data);
+JobRecord stored(Deployment& deployment, const std::string& id) {
+    auto r = JobRecord::unpack(deployment.store.rows.at(live_key(id)).data);
     EXPECT_TRUE(r) << id;
     return r.value_or(JobRecord{});
 }
 
-uint64_t format_of(Site& s, const std::string& id) {
-    return Message::parse(s.state.rows.at(live_key(id)).data)->root()["v"].count_or(0);
+uint64_t format_of(Deployment& deployment, const std::string& id) {
+    return Message::parse(deployment.store.rows.at(live_key(id)).data)->root()["v"].count_or(0);
 }
 
-size_t stored_bytes(Site& s, const std::string& id) {
-    return json_text(s.state.rows.at(live_key(id)).data).size();
+size_t stored_bytes(Deployment& deployment, const std::string& id) {
+    return json_text(deployment.store.rows.at(live_key(id)).data).size();
 }
 
 std::vector<FakeWorker> workers_of(const JobRecord& r) {
@@ -93,22 +91,17 @@
     return out;
 }
 
-Task<void> report(Site& s, FakeWorker& w, int node, size_t& answered) {
-    co_await w.send_report(s.loop, s.configs[static_cast<size_t>(node)].listen);
+Task<void> report(Deployment& deployment, FakeWorker& w, int node, size_t& answered) {
+    co_await w.send_report(deployment.loop, deployment.config(node).listen);
     ++answered;
 }
 
 // All workers report at the same time.
-void report_all(Site& s, std::vector<FakeWorker>& workers, int node) {
-    Scope scope(s.loop);
+void report_all(Deployment& deployment, std::vector<FakeWorker>& workers, int node) {
+    Scope scope(deployment.loop);
     size_t answered = 0;
-    for (auto& w : workers) scope.spawn(report(s, w, node, answered), "report");
-    EXPECT_TRUE(s.until([&] { return answered == workers.size(); }, 20));
-}
-
-void exit_task(ReportedTask& t, ExitCause cause) {
-    t.phase = TaskPhase::kExited;
-    t.cause = cause;
+    for (auto& w : workers) scope.spawn(report(deployment, w, node, answered), "report");
+    EXPECT_TRUE(deployment.until([&] { return answered == workers.size(); }, 20));
 }
 
 size_t exits_kept(const std::vector<FakeWorker>& workers) {
@@ -142,107 +135,111 @@
 // The last controller runs this version, but the put of the format is lost, and the limits fall meanwhile.
 // What format 1 cannot hold any more waits for format 2, and nothing else does.
 TEST(LaterLimits, FallenBeforeTheRecordFormatIsPutHoldUpOnlyWhatIsTooLarge) {
-    Site s(2);
-    announce_limits(s);
+    Deployment deployment(2);
+    announce_limits(deployment);
     JobRecord ends = running_array("job-1", 150, 12, 100), cancelled = running_array("job-2", 150, 10, 200);
     ASSERT_GT(json_text(ends.pack(1)).size(), kLaterValueBytes);
-    store(s, ends);
-    store(s, cancelled);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
+    store(deployment, ends);
+    store(deployment, cancelled);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
     auto workers = workers_of(ends);
-    report_all(s, workers, 0);
-    report_all(s, workers, 0);
+    report_all(deployment, workers, 0);
+    report_all(deployment, workers, 0);
     bool lose_record_format = true;
-    s.state.let_through = [&](const std::string& txn) {
+    deployment.store.let_through = [&](const std::string& txn) {
         return !(lose_record_format && puts(txn, kRecordFormatKey));
     };
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return !s.state.late.empty(); })) << "the put of the format is on its way";
-    limits_fall(s);
+    deployment.start(1);
+    ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }))
+        << "the put of the format is on its way";
+    limits_fall(deployment);
 
     for (auto& w : workers)
         for (auto& t : w.tasks)
             if (t.name.task % 2) exit_task(t, ExitCause::kDone);
-    for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
-    EXPECT_EQ(format_of(s, "job-1"), 1U);
+    for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
+    EXPECT_EQ(format_of(deployment, "job-1"), 1U);
     EXPECT_EQ(exits_kept(workers), 75U) << "not forgotten before what came of them is kept";
-    EXPECT_EQ(s.call(1, "POST", "/v2/runs/job-2/withdraw").status, 503) << "its user comes again";
-    EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "running");
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
-    EXPECT_EQ(s.call(1, "POST", "/v2/runs", job_body("job-4")).status, 201);
-    ASSERT_EQ(s.state.rows.count("form"), 0U);
-    int refused = s.state.invalid;
+    EXPECT_EQ(deployment.call(1, "POST", "/v2/runs/job-2/withdraw").status, 503) << "its user comes again";
+    EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "running");
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
+    EXPECT_EQ(deployment.call(1, "POST", "/v2/runs", job_body("job-4")).status, 201);
+    ASSERT_EQ(deployment.store.rows.count("form"), 0U);
+    int refused = deployment.store.invalid_transactions;
     EXPECT_LE(refused, 2) << "the leader's record once, the withdrawal once";
 
     lose_record_format = false;
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }, 5));
-    EXPECT_TRUE(s.until([&] { return format_of(s, "job-1") == 2; }, 3)) << "though nothing of it changes";
-    EXPECT_EQ(stored(s, "job-1").done.size(), 75U);
-    EXPECT_EQ(stored(s, "job-1").live.size(), 75U);
-    for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }, 5));
+    EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 3))
+        << "though nothing of it changes";
+    EXPECT_EQ(stored(deployment, "job-1").done.size(), 75U);
+    EXPECT_EQ(stored(deployment, "job-1").live.size(), 75U);
+    for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
     EXPECT_EQ(exits_kept(workers), 0U);
-    EXPECT_EQ(phase_of(s.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-    EXPECT_EQ(stored(s, "job-2").live.size(), 150U) << "none is free yet";
+    EXPECT_EQ(phase_of(deployment.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+    EXPECT_EQ(stored(deployment, "job-2").live.size(), 150U) << "none is free yet";
     EXPECT_FALSE(ran_twice(workers));
-    EXPECT_EQ(s.state.invalid, refused) << "nothing was refused twice";
+    EXPECT_EQ(deployment.store.invalid_transactions, refused) << "nothing was refused twice";
 }
 
 // The limits fall while a new leader has read some of the records and not the others, with format 2 in force
 // and without.
 TEST(LaterLimits, FallenWhileANewLeaderReadsRecordsLoseNothing) {
     for (bool record_format_put : {true, false}) {
-        Site s(2);
-        announce_limits(s);
+        Deployment deployment(2);
+        announce_limits(deployment);
         std::vector<FakeWorker> workers;
         constexpr int kJobs = 6;
         for (int i = 0; i < kJobs; ++i) {
             JobRecord r = running_array("job-" + std::to_string(i), 140, 10, static_cast<uint32_t>(100 * i));
-            store(s, r);
+            store(deployment, r);
             for (auto& w : workers_of(r)) workers.push_back(std::move(w));
         }
-        s.state.let_through = [&](const std::string& txn) {
+        deployment.store.let_through = [&](const std::string& txn) {
             return record_format_put || !puts(txn, kRecordFormatKey);
         };
-        s.start(0);
-        s.start(1);
-        ASSERT_TRUE(s.until(
-            [&] { return s.leader() >= 0 && (!record_format_put || s.state.rows.contains("form")); }));
-        int first = s.leader(), second = 1 - first;
-        s.run(1);
-        s.kill(first);
-        s.state.page = 1;
-        s.state.end_lease(s.state.rows.at("leader").lease);
-        Controller& node = *s.nodes[static_cast<size_t>(second)];
-        ASSERT_TRUE(s.until([&] { return node.leader() && node.leader()->jobs().size() > 0; }));
+        deployment.start(0);
+        deployment.start(1);
+        ASSERT_TRUE(deployment.until([&] {
+            return deployment.leader() >= 0 && (!record_format_put || deployment.store.rows.contains("form"));
+        }));
+        int first = deployment.leader(), second = 1 - first;
+        deployment.run(1);
+        deployment.kill(first);
+        deployment.store.list_page_size = 1;
+        deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
+        Controller& node = deployment.node(second);
+        ASSERT_TRUE(deployment.until([&] { return node.leader() && node.leader()->jobs().size() > 0; }));
         ASSERT_LT(node.leader()->jobs().size(), static_cast<size_t>(kJobs)) << "it still reads";
-        limits_fall(s);
-        s.start(first);
-        ASSERT_TRUE(s.until([&] { return node.leader()->loaded_for() > 0; }));
+        limits_fall(deployment);
+        deployment.start(first);
+        ASSERT_TRUE(deployment.until([&] { return node.leader()->loaded_for() > 0; }));
         EXPECT_EQ(node.leader()->jobs().size(), static_cast<size_t>(kJobs));
-        s.state.let_through = {};
+        deployment.store.let_through = {};
 
-        report_all(s, workers, second);
+        report_all(deployment, workers, second);
         for (auto& w : workers)
             for (auto& t : w.tasks)
                 if (t.name.task % 4 == 1) exit_task(t, ExitCause::kDone);
-        for (int i = 0; i < 2; ++i) report_all(s, workers, second);
-        s.run(4);
-        ASSERT_EQ(s.leader(), second);
+        for (int i = 0; i < 2; ++i) report_all(deployment, workers, second);
+        deployment.run(4);
+        ASSERT_EQ(deployment.leader(), second);
         for (int i = 0; i < kJobs; ++i) {
             std::string id = "job-" + std::to_string(i);
-            EXPECT_EQ(format_of(s, id), 2U);
-            EXPECT_LE(stored_bytes(s, id), kLaterValueBytes);
-            EXPECT_EQ(stored(s, id).done.size(), 35U);
-            EXPECT_EQ(stored(s, id).live.size(), 105U);
-            EXPECT_GT(json_text(stored(s, id).pack(1)).size(), kLaterValueBytes) << "format 1 cannot hold it";
+            EXPECT_EQ(format_of(deployment, id), 2U);
+            EXPECT_LE(stored_bytes(deployment, id), kLaterValueBytes);
+            EXPECT_EQ(stored(deployment, id).done.size(), 35U);
+            EXPECT_EQ(stored(deployment, id).live.size(), 105U);
+            EXPECT_GT(json_text(stored(deployment, id).pack(1)).size(), kLaterValueBytes)
+                << "format 1 cannot hold it";
         }
-        report_all(s, workers, second);
+        report_all(deployment, workers, second);
         EXPECT_EQ(exits_kept(workers), 0U);
         EXPECT_FALSE(ran_twice(workers));
         if (record_format_put) {
-            EXPECT_EQ(s.state.invalid, 0);
+            EXPECT_EQ(deployment.store.invalid_transactions, 0);
         }
     }
 }
@@ -251,53 +248,54 @@
 // for its size before its conditions are looked at. Nothing is concluded from that.
 TEST(LaterLimits, RefusingTheRepeatOfACarriedOutTransactionLosesNothing) {
     for (bool carried_out : {true, false}) {
-        Site s(2);
-        announce_limits(s);
+        Deployment deployment(2);
+        announce_limits(deployment);
         JobRecord r = running_array("job-1", 150, 12, 100);
-        store(s, r);
-        store(s, running_array("job-2", 150, 10, 200));
-        s.start(0);
-        ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-        s.run(1);
+        store(deployment, r);
+        store(deployment, running_array("job-2", 150, 10, 200));
+        deployment.start(0);
+        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        deployment.run(1);
         auto workers = workers_of(r);
-        report_all(s, workers, 0);
+        report_all(deployment, workers, 0);
         bool lose = true;
-        s.state.let_through = [&](const std::string& txn) {
+        deployment.store.let_through = [&](const std::string& txn) {
             if (!lose) return true;
             if (!puts(txn, "j/job-1") && !puts(txn, "j/job-2") && !puts(txn, "j/job-3")) return true;
             if (carried_out) {
-                EXPECT_EQ(s.state.apply(txn).status, 200);
+                EXPECT_EQ(deployment.store.apply(txn).status, 200);
             }
             return false;
         };
         for (auto& w : workers)
             for (auto& t : w.tasks)
                 if (t.name.task < 50) exit_task(t, ExitCause::kDone);
-        report_all(s, workers, 0);
-        EXPECT_NE(s.call(0, "POST", "/v2/runs/job-2/withdraw").status, 200);
-        EXPECT_NE(s.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
-        ASSERT_GE(s.state.late.size(), 3U);
+        report_all(deployment, workers, 0);
+        EXPECT_NE(deployment.call(0, "POST", "/v2/runs/job-2/withdraw").status, 200);
+        EXPECT_NE(deployment.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
+        ASSERT_GE(deployment.store.held_transactions.size(), 3U);
         lose = false;
-        limits_fall(s);
+        limits_fall(deployment);
         // One that was not carried out comes after all, and is too large.
         int too_large = 0;
-        for (const auto& txn : s.state.late) too_large += s.state.apply(txn).status == 400 ? 1 : 0;
+        for (const auto& txn : deployment.store.held_transactions)
+            too_large += deployment.store.apply(txn).status == 400 ? 1 : 0;
         EXPECT_GE(too_large, 2);
-        s.run(3);
-        report_all(s, workers, 0);
-        EXPECT_EQ(format_of(s, "job-1"), 1U);
+        deployment.run(3);
+        report_all(deployment, workers, 0);
+        EXPECT_EQ(format_of(deployment, "job-1"), 1U);
         EXPECT_EQ(exits_kept(workers), 50U) << "whether it is kept is not known";
 
-        s.start(1);
-        ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-        EXPECT_TRUE(s.until([&] { return format_of(s, "job-1") == 2; }, 5));
-        EXPECT_EQ(stored(s, "job-1").done.size(), 50U);
-        EXPECT_EQ(stored(s, "job-1").live.size(), 100U);
-        for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
+        deployment.start(1);
+        ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+        EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 5));
+        EXPECT_EQ(stored(deployment, "job-1").done.size(), 50U);
+        EXPECT_EQ(stored(deployment, "job-1").live.size(), 100U);
+        for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
         EXPECT_EQ(exits_kept(workers), 0U);
-        s.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
-        EXPECT_EQ(phase_of(s.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-        EXPECT_EQ(s.call(1, "POST", "/v2/runs", job_body("job-3")).status, 200)
+        deployment.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
+        EXPECT_EQ(phase_of(deployment.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+        EXPECT_EQ(deployment.call(1, "POST", "/v2/runs", job_body("job-3")).status, 200)
             << "carried out, soon or late";
         EXPECT_FALSE(ran_twice(workers));
     }
@@ -307,20 +305,20 @@
 // take-over, until all are done. Tasks that were stopped start again, in attempts that nobody has had.
 TEST(LaterLimits, ASpreadArrayOfTheEarlierRecordFormatRunsToItsEndWithinThem) {
     constexpr uint32_t kTasks = 150;
-    Site s;
-    announce_limits(s);
-    s.configs[0].report_s = 10;
+    Deployment deployment;
+    announce_limits(deployment);
+    deployment.configs[0].report_s = 10;
     JobRecord r = running_array("job-1", kTasks, kTasks, 1);
     ASSERT_GT(json_text(r.pack(1)).size(), kLaterValueBytes);
-    store(s, r);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    limits_fall(s);
+    store(deployment, r);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    limits_fall(deployment);
     auto workers = workers_of(r);
     ASSERT_EQ(workers.size(), kTasks);
     std::map<TaskName, uint64_t> newest;
     auto round = [&] {
-        report_all(s, workers, 0);
+        report_all(deployment, workers, 0);
         EXPECT_FALSE(ran_twice(workers));
         for (const auto& w : workers)
             for (const auto& t : w.tasks) {
@@ -328,12 +326,13 @@
                 EXPECT_GE(t.attempt, attempt) << t.name.text();
                 attempt = t.attempt;
             }
-        if (!s.state.rows.contains("j/job-1")) return;
-        EXPECT_LE(stored_bytes(s, "job-1"), format_of(s, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
-        EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 200);
+        if (!deployment.store.rows.contains("j/job-1")) return;
+        EXPECT_LE(stored_bytes(deployment, "job-1"),
+                  format_of(deployment, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
+        EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 200);
     };
     for (int i = 0; i < 2; ++i) round();
-    EXPECT_EQ(format_of(s, "job-1"), 1U) << "nothing has changed yet";
+    EXPECT_EQ(format_of(deployment, "job-1"), 1U) << "nothing has changed yet";
     for (auto& w : workers)
         for (auto& t : w.tasks) {
             if (t.name.task % 3 == 0)
@@ -342,20 +341,20 @@
                 exit_task(t, ExitCause::kStopped);
         }
     round();
-    EXPECT_TRUE(s.until([&] { return format_of(s, "job-1") == 2; }, 2));
+    EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 2));
     for (int i = 0; i < 3; ++i) round();
-    EXPECT_EQ(stored(s, "job-1").live.size(), kTasks - kTasks / 3) << "what was stopped runs again";
-    s.kill(0);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
+    EXPECT_EQ(stored(deployment, "job-1").live.size(), kTasks - kTasks / 3) << "what was stopped runs again";
+    deployment.kill(0);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     for (int i = 0; i < 2; ++i) round();
-    EXPECT_EQ(stored(s, "job-1").live.size(), kTasks - kTasks / 3);
+    EXPECT_EQ(stored(deployment, "job-1").live.size(), kTasks - kTasks / 3);
     for (auto& w : workers)
         for (auto& t : w.tasks) exit_task(t, ExitCause::kDone);
     for (int i = 0; i < 3; ++i) round();
-    EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "done");
+    EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
     EXPECT_EQ(newest.size(), kTasks) << "no task was invented";
-    EXPECT_EQ(s.state.invalid, 0);
+    EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
 namespace {
@@ -373,12 +372,12 @@
     }
 };
 
-Task<void> submit(Site& s, Submission& x, size_t& answered) {
-    Seconds began = s.loop.now(), until = began + 5;
-    std::string body = job_body(
-        x.id, [](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = Packer().number(0.01).take(); });
+Task<void> submit(Deployment& deployment, Submission& x, size_t& answered) {
+    Seconds began = deployment.loop.now(), until = began + 5;
+    std::string body =
+        job_body(x.id, [](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = packed_number(0.01); });
     x.answer.clear();
-    auto stream = co_await connect_to(s.loop, s.configs[static_cast<size_t>(x.node)].listen, until);
+    auto stream = co_await connect_to(deployment.loop, deployment.config(x.node).listen, until);
     if (stream) {
         std::string request =
             "POST /v2/runs HTTP/1.1\r\nHost: n\r\nContent-Length: " + std::to_string(body.size()) +
@@ -390,15 +389,15 @@
             x.answer.append(got.bytes);
         }
     }
-    x.took = s.loop.now() - began;
+    x.took = deployment.loop.now() - began;
     ++answered;
 }
 
-void submit_all(Site& s, std::vector<Submission*> list) {
-    Scope scope(s.loop);
+void submit_all(Deployment& deployment, std::vector<Submission*> list) {
+    Scope scope(deployment.loop);
     size_t answered = 0;
-    for (auto* x : list) scope.spawn(submit(s, *x, answered), "submission");
-    ASSERT_TRUE(s.until([&] { return answered == list.size(); }, 10));
+    for (auto* x : list) scope.spawn(submit(deployment, *x, answered), "submission");
+    ASSERT_TRUE(deployment.until([&] { return answered == list.size(); }, 10));
 }
 
 }  // namespace
@@ -407,45 +406,46 @@
 // burst beyond it is told at once when to come back, and in the end all are accepted and none is lost.
 TEST(LaterLimits, ABurstAtTheWriteRateLetsNoUserWait) {
     constexpr Seconds kAtOnce_s = 0.3;
-    Site s(2);
-    announce_limits(s);
-    s.start(0);
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    limits_fall(s);
-    int lead = s.leader();
-    s.run(1);
+    Deployment deployment(2);
+    announce_limits(deployment);
+    deployment.start(0);
+    deployment.start(1);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    limits_fall(deployment);
+    int lead = deployment.leader();
+    deployment.run(1);
     FakeWorker w;
-    s.settle(w);
+    deployment.settle(w);
     std::vector<Submission> before(60);
     for (size_t i = 0; i < before.size(); ++i) {
         before[i].id = "job-" + std::to_string(1000 + i);
-        submit_all(s, {&before[i]});
+        submit_all(deployment, {&before[i]});
         ASSERT_TRUE(before[i].accepted());
     }
-    for (int i = 0; i < 12; ++i) s.send_report(w, lead);
+    for (int i = 0; i < 12; ++i) deployment.send_report(w, lead);
     ASSERT_EQ(w.tasks.size(), before.size());
     // From here on the service keeps to the rate.
     Bucket rate(kLaterWriteRate, kLaterWriteRate);
-    s.state.let_through = [&](const std::string& txn) {
+    deployment.store.let_through = [&](const std::string& txn) {
         auto m = Message::parse(txn);
-        s.state.limited = rate.take(static_cast<double>(m->root()["writes"].size()), s.loop.now()) ? 0 : 1;
+        deployment.store.transactions_to_limit =
+            rate.take(static_cast<double>(m->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
         return true;
     };
-    rate.take(kLaterWriteRate, s.loop.now());  // the burst is used up
+    rate.take(kLaterWriteRate, deployment.loop.now());  // the burst is used up
     for (auto& t : w.tasks) exit_task(t, ExitCause::kDone);
-    s.send_report(w, lead);
+    deployment.send_report(w, lead);
     std::vector<Submission> steady(15);
     for (size_t i = 0; i < steady.size(); ++i) {
-        s.run(0.35);
+        deployment.run(0.35);
         steady[i].id = "job-" + std::to_string(2000 + i);
         steady[i].node = static_cast<int>(i % 2);
-        submit_all(s, {&steady[i]});
+        submit_all(deployment, {&steady[i]});
         EXPECT_TRUE(steady[i].accepted()) << i << ' ' << steady[i].answer;
         EXPECT_LT(steady[i].took, kAtOnce_s);
     }
     EXPECT_LT(std::count_if(before.begin(), before.end(),
-                            [&](const auto& x) { return s.state.rows.count("f/" + x.id) > 0; }),
+                            [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) > 0; }),
               60)
         << "the leader was writing all the while";
 
@@ -457,46 +457,46 @@
         open.push_back(&burst[i]);
     }
     size_t returned = 0;
-    Seconds began = s.loop.now();
-    while (!open.empty() && s.loop.now() - began < 60) {
-        submit_all(s, open);
+    Seconds began = deployment.loop.now();
+    while (!open.empty() && deployment.loop.now() - began < 60) {
+        submit_all(deployment, open);
         for (auto* x : open) {
             EXPECT_TRUE(x->accepted() || x->asked_to_return()) << x->answer;
             EXPECT_LT(x->took, kAtOnce_s);
         }
         std::erase_if(open, [](const auto* x) { return x->accepted(); });
         returned += open.size();
-        s.run(1);
+        deployment.run(1);
     }
     EXPECT_TRUE(open.empty()) << open.size() << " users gave up";
     EXPECT_GT(returned, 0U) << "it was more than the rate";
-    for (const auto& x : burst) EXPECT_EQ(s.state.rows.count("j/" + x.id), 1U) << x.id;
-    ASSERT_TRUE(s.until([&] {
+    for (const auto& x : burst) EXPECT_EQ(deployment.store.rows.count("j/" + x.id), 1U) << x.id;
+    ASSERT_TRUE(deployment.until([&] {
         return std::all_of(before.begin(), before.end(),
-                           [&](const auto& x) { return s.state.rows.count("f/" + x.id) == 1; });
+                           [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) == 1; });
     })) << "and the leader's writes are through";
 }
 
 // A write of the leader that gets no answer is nothing that a user's accept waits for.
 TEST(LaterLimits, AnAcceptDoesNotWaitForTheLeadersTransaction) {
-    Site s;
-    announce_limits(s);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    limits_fall(s);
-    s.run(1);
+    Deployment deployment;
+    announce_limits(deployment);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    limits_fall(deployment);
+    deployment.run(1);
     FakeWorker w;
-    s.settle(w);
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    deployment.settle(w);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto hangs = [&](const std::string& txn) { return puts(txn, "j/job-1"); };
-    s.state.let_through = [&](const std::string& txn) { return !hangs(txn); };
-    Scope scope(s.loop);
+    deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
+    Scope scope(deployment.loop);
     size_t answered = 0;
-    scope.spawn(report(s, w, 0, answered), "report");
-    ASSERT_TRUE(s.until([&] { return !s.state.late.empty(); }));
+    scope.spawn(report(deployment, w, 0, answered), "report");
+    ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
     Submission x{"job-2", 0, "", -1};
-    submit_all(s, {&x});
+    submit_all(deployment, {&x});
     EXPECT_TRUE(x.accepted()) << x.answer;
     EXPECT_LT(x.took, 0.3);
-    ASSERT_TRUE(s.until([&] { return answered == 1; }));
+    ASSERT_TRUE(deployment.until([&] { return answered == 1; }));
 }
--- a/tests/load/load_site.cc
+++ b/tests/load/load_site.cc
@@ -1,12 +1,14 @@
 // A stand-in deployment on loopback in real time, for measuring what a controller costs: state service,
 // cloud, workers that report and run tasks, and users who submit and poll. Writes a settings file for each
 // controller; the controllers themselves are started by whoever measures, see measure-costs.
+#include <fmt/format.h>
+
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
 #include <random>
 
-#include "standins.h"
+#include "standins/deployment.h"
 
 namespace hareshore::test {
 
@@ -100,8 +102,7 @@
         for (auto& task : worker_.tasks) {
             if (task.phase != TaskPhase::kRunning) continue;
             if (loop_.now() - started_[task.name.text()] < options_.task_s) continue;
-            task.phase = TaskPhase::kExited;
-            task.cause = ExitCause::kDone;
+            exit_task(task, ExitCause::kDone);
         }
     }
 
@@ -122,7 +123,7 @@
     while (options.jobs_per_s > 0) {
         co_await loop.sleep(1 / options.jobs_per_s);
         auto id = fmt::format("job-{:06}", ++counts.submissions);
-        auto body = job_body(id, [&](std::map<std::string, std::string>& fields) {
+        auto body = job_body(id, [&](JobFields& fields) {
             Packer tasks;
             fields["pieces"] = tasks.count(static_cast<uint64_t>(options.tasks_per_job)).take();
         });
@@ -146,8 +147,8 @@
 void play(const LoadOptions& options) {
     SystemClock clock;
     Loop loop(clock);
-    FakeState state(loop);
-    state.open(0, address(kStateHost, kStatePort));
+    FakeStore store(loop);
+    store.listen_for(0, address(kStateHost, kStatePort));
     FakeCloud cloud(loop, address(kStateHost, kCloudPort));
     cloud.machine_types = {small_machine_type()};
     for (int controller = 0; controller < options.controllers; ++controller)
@@ -166,7 +167,7 @@
     std::cout << counts.accepted << " of " << counts.submissions << " submissions accepted, "
               << counts.answered << " of " << counts.polls << " polls answered\n";
     scope.cancel();
-    state.stop();
+    store.stop();
     cloud.stop();
     unwind(loop);
 }
--- a/tests/loop_test.cc
+++ b/tests/loop_test.cc
@@ -1,5 +1,7 @@
 // The event loop's order of work.
-#include "standins.h"
+#include <gtest/gtest.h>
+
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
--- a/tests/poll_rate_test.cc
+++ b/tests/poll_rate_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/bucket.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -17,12 +17,12 @@
 // A state service that answers 429 above its rate, whatever the request.
 struct RateLimitedState {
     Loop& loop;
-    FakeState& state;
+    FakeStore& state;
     Bucket rate{kStateRps, kStateRps};
     int refused = 0;
     HttpServer server;
 
-    RateLimitedState(Loop& l, FakeState& behind, Address at)
+    RateLimitedState(Loop& l, FakeStore& behind, Address at)
         : loop(l), state(behind), server(l, at, 200, [this](Request r) { return pass(std::move(r)); }) {}
     Task<Response> pass(Request r) {
         if (!rate.take(1, loop.now())) {
@@ -34,31 +34,31 @@
 };
 
 struct PollRate : testing::Test {
-    Site site{1};
+    Deployment deployment{1};
     std::unique_ptr<RateLimitedState> limited;
 
     PollRate() {
-        site.configs[0].state = address(20, 2379);
-        site.configs[0].state_rps = kStateRps;
-        limited = std::make_unique<RateLimitedState>(site.loop, site.state, address(20, 2379));
-        site.start(0);
-        EXPECT_TRUE(site.until([&] { return site.leader() == 0; }));
-        site.run(3);
-        EXPECT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+        deployment.configs[0].state = address(20, 2379);
+        deployment.configs[0].state_rps = kStateRps;
+        limited = std::make_unique<RateLimitedState>(deployment.loop, deployment.store, address(20, 2379));
+        deployment.start(0);
+        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        deployment.run(3);
+        EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     }
     ~PollRate() override {
         users.cancel();
-        site.kill(0);
+        deployment.kill(0);
         limited->server.stop();
     }
     // One of the users: polls an unfinished job again and again.
     Task<void> poll_job() {
-        HttpClient http(site.loop, site.configs[0].listen, 1);
+        HttpClient http(deployment.loop, deployment.configs[0].listen, 1);
         while (true) {
             Answer answer = co_await http.call("GET", "/v2/runs/job-1", "", 2.0);
             EXPECT_NE(answer.status, 404);
             ++(answer.status == 200 ? answered : refused);
-            co_await site.loop.sleep(kPollPause_s);
+            co_await deployment.loop.sleep(kPollPause_s);
         }
     }
     void start_polling() {
@@ -67,15 +67,15 @@
     // The time for which nobody led.
     Seconds run_without_leader(Seconds seconds) {
         Seconds without = 0;
-        for (Seconds end = site.loop.now() + seconds; site.loop.now() < end;) {
-            Seconds before = site.loop.now();
-            site.run(0.1);
-            if (site.leader() < 0) without += site.loop.now() - before;
+        for (Seconds end = deployment.loop.now() + seconds; deployment.loop.now() < end;) {
+            Seconds before = deployment.loop.now();
+            deployment.run(0.1);
+            if (deployment.leader() < 0) without += deployment.loop.now() - before;
         }
         return without;
     }
     int answered = 0, refused = 0;
-    Scope users{site.loop};
+    Scope users{deployment.loop};
 };
 
 TEST_F(PollRate, TheLeaderKeepsItsLease) {
@@ -88,16 +88,16 @@
 
 TEST_F(PollRate, JobsAreStillAcceptedAndCancelled) {
     start_polling();
-    site.run(5);
+    deployment.run(5);
     int accepted = 0, cancelled = 0;
     for (int i = 2; i < 12; ++i) {
         std::string id = "job-" + std::to_string(i);
-        accepted += site.call(0, "POST", "/v2/runs", job_body(id)).status == 201;
-        EXPECT_EQ(site.call(0, "GET", "/v2/runs/" + id).status, 200) << "older than the acceptance";
-        cancelled += site.call(0, "POST", "/v2/runs/" + id + "/withdraw").status == 200;
-        Answer poll = site.call(0, "GET", "/v2/runs/" + id);
+        accepted += deployment.call(0, "POST", "/v2/runs", job_body(id)).status == 201;
+        EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/" + id).status, 200) << "older than the acceptance";
+        cancelled += deployment.call(0, "POST", "/v2/runs/" + id + "/withdraw").status == 200;
+        Answer poll = deployment.call(0, "GET", "/v2/runs/" + id);
         EXPECT_NE(poll.body.find("withdrawn"), std::string::npos) << "older than the cancellation";
-        site.run(1);
+        deployment.run(1);
     }
     EXPECT_GE(accepted, 9);
     EXPECT_GE(cancelled, 9);
@@ -105,8 +105,8 @@
 
 TEST_F(PollRate, PollsWithinTheRateAreAnswered) {
     for (int i = 0; i < 100; ++i) {
-        EXPECT_EQ(site.call(0, "GET", "/v2/runs/job-1").status, 200);
-        site.run(0.2);
+        EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 200);
+        deployment.run(0.2);
     }
 }
 
--- a/tests/record_room_test.cc
+++ b/tests/record_room_test.cc
@@ -1,10 +1,12 @@
 // Room in a job's record: starts are bounded so that it fits whatever becomes of its tasks, and so that a job
 // whose record is full goes on.
+#include <gtest/gtest.h>
+
 #include <algorithm>
 
 #include "base/constants.h"
 #include "jobs/table.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -110,11 +112,11 @@
 
 // A description that format 2 could not hold under the later limit is refused while format 1 is written, too.
 TEST(RecordRoomUsers, ASubmissionThatOnlyTodaysLimitHoldsIsRefused) {
-    Site s(2);
-    s.configs[0].next_value_bytes = 2048;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
+    Deployment deployment(2);
+    deployment.configs[0].next_value_bytes = 2048;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
     auto with_types = [](int n) {
         return job_body("job-1", [n](auto& f) {
             Packer p;
@@ -123,8 +125,8 @@
             f["flavors"] = p.take();
         });
     };
-    ASSERT_EQ(s.state.rows.count("form"), 0u) << "the other controller may be of an earlier version";
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", with_types(20)).status, 400);
-    EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 404);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", with_types(8)).status, 201);
+    ASSERT_EQ(deployment.store.rows.count("form"), 0u) << "the other controller may be of an earlier version";
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", with_types(20)).status, 400);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", with_types(8)).status, 201);
 }
--- /dev/null
+++ b/tests/scenario/fault_script.h
@@ -0,0 +1,29 @@
+// A named script of faults, for tests with a script as their parameter.
+#pragma once
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <ostream>
+#include <string>
+
+#include "scenario/fault_scenario.h"
+
+namespace hareshore::test {
+
+struct FaultScript {
+    const char* name;
+    int controllers, machines;
+    std::function<void(FaultScenario&)> play;
+};
+
+inline void PrintTo(const FaultScript& script,
+                    std::ostream* out) {  // NOLINT(readability-identifier-naming): GoogleTest's name
+    *out << script.name;
+}
+
+// Names the test of a script.
+inline std::string name_of(const testing::TestParamInfo<FaultScript>& info) {
+    return info.param.name;
+}
+
+}  // namespace hareshore::test
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -1,11 +1,13 @@
 // Services under the rules of every start: a replica that is bound again keeps to them as the first one did,
 // and a cancellation holds wherever the replicas are on their way.
+#include <gtest/gtest.h>
+
 #include <algorithm>
 #include <set>
 
 #include "base/constants.h"
 #include "scheduler/scheduler.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -206,17 +208,6 @@
 
 namespace {
 
-std::string service_body(const std::string& id, uint32_t replicas, double cpus = 1, double gpus = 0) {
-    return job_body(id, [&](auto& f) {
-        f["shape"] = Packer().text("standing").take();
-        f["pieces"] = Packer().count(replicas).take();
-        f["vcpus"] = Packer().number(cpus).take();
-        f["cards"] = Packer().number(gpus).take();
-        for (const char* field : {"expect_s", "snapshot_s", "flush_s"}) f[field] = Packer().number(0).take();
-        f["rank"] = Packer().text("production").take();
-    });
-}
-
 struct State {
     std::string phase;
     uint64_t done = 0, running = 0;
@@ -229,46 +220,41 @@
     return {m->root()["phase"].text_or(""), m->root()["done"].count_or(0), m->root()["running"].count_or(0)};
 }
 
-size_t live_tasks(const FakeWorker& w) {
-    return static_cast<size_t>(std::count_if(
-        w.tasks.begin(), w.tasks.end(), [](const ReportedTask& t) { return t.phase != TaskPhase::kExited; }));
-}
-
 }  // namespace
 
 // All replicas run at once, so that all of them count; of an array's tasks one is enough.
 TEST(ServiceAnswers, RefuseOneThatNeedsMoreThanItsTeamMayUse) {
-    Site s;
-    s.configs[0].teams[0].gpus_max = 8;
-    s.configs[0].teams[0].cpus_max = 20;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
-    auto submit = [&](const std::string& body) { return s.call(0, "POST", "/v2/runs", body).status; };
+    Deployment deployment;
+    deployment.configs[0].teams[0].gpus_max = 8;
+    deployment.configs[0].teams[0].cpus_max = 20;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    auto submit = [&](const std::string& body) {
+        return deployment.call(0, "POST", "/v2/runs", body).status;
+    };
     EXPECT_EQ(submit(service_body("job-1", 9, 1, 1)), 422) << "nine of eight GPUs";
     EXPECT_EQ(submit(service_body("job-1", 21)), 422) << "21 of 20 CPUs";
     EXPECT_EQ(submit(service_body("job-1", 1, 17)), 422) << "no machine has as many";
-    EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(submit(service_body("job-1", 8, 1, 1)), 201);
     EXPECT_EQ(submit(service_body("job-2", 20)), 201) << "each by itself; together they wait for each other";
     EXPECT_EQ(submit(service_body("job-1", 21)), 200) << "known for ever, whatever the repeat says";
-    EXPECT_EQ(submit(job_body("job-3", [](auto& f) { f["pieces"] = Packer().count(9).take(); })), 201);
+    EXPECT_EQ(submit(job_body("job-3", [](auto& f) { set_tasks(f, 9); })), 201);
 }
 
 // A poll counts replicas that are on machines and none that is done; a repeated submission gets the state at
 // that time.
 TEST(ServiceAnswers, CountReplicasAndRepeatTheStateToWhomeverAsksAgain) {
-    Site s(2);
-    s.start(0);
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-    int lead = s.leader(), other = 1 - lead;
-    s.run(1);
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int lead = deployment.leader(), other = 1 - lead;
+    deployment.run(1);
     const std::string body = service_body("job-1", 3, 8);
-    ASSERT_EQ(s.call(other, "POST", "/v2/runs", body).status, 201);
-    auto poll = [&] { return state_of(s.call(other, "GET", "/v2/runs/job-1")); };
+    ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", body).status, 201);
+    auto poll = [&] { return state_of(deployment.call(other, "GET", "/v2/runs/job-1")); };
     auto repeated = [&] {
-        Answer a = s.call(other, "POST", "/v2/runs", body);
+        Answer a = deployment.call(other, "POST", "/v2/runs", body);
         EXPECT_EQ(a.status, 200);
         return state_of(a).phase;
     };
@@ -276,41 +262,38 @@
     EXPECT_EQ(repeated(), "pending");
     std::vector<FakeWorker> workers(2);
     workers[1].name = "vm-000002";
-    for (const FakeWorker& w : workers)
-        s.cloud.machines[w.name] = {w.name, w.addr, w.machine_type, w.zone, w.spot, MachinePhase::kRunning,
-                                    100};
+    for (const FakeWorker& w : workers) deployment.list_machine(w);
     auto report = [&](FakeWorker& w) {
-        for (int i = 0; i < 2; ++i) s.send_report(w, lead);
-        s.run(0.5);
+        for (int i = 0; i < 2; ++i) deployment.send_report(w, lead);
+        deployment.run(0.5);
     };
-    s.settle(workers[0]);
+    deployment.settle(workers[0]);
     report(workers[0]);
-    ASSERT_EQ(live_tasks(workers[0]), 2U) << "no more fit";
+    ASSERT_EQ(workers[0].live_tasks(), 2U) << "no more fit";
     EXPECT_EQ(poll(), (State{"running", 0, 2}));
-    s.settle(workers[1]);
+    deployment.settle(workers[1]);
     report(workers[1]);
     EXPECT_EQ(poll(), (State{"running", 0, 3}));
     // All exit as if they were done.
-    Seconds steady = s.loop.now() + constants::kReplicaSteady_s;
-    while (s.loop.now() < steady)
+    Seconds steady = deployment.loop.now() + constants::kReplicaSteady_s;
+    while (deployment.loop.now() < steady)
         for (auto& w : workers) report(w);
     for (auto& w : workers) {
         report(w);
         for (auto& t : w.tasks) {
-            t.phase = TaskPhase::kExited;
-            t.cause = ExitCause::kDone;
+            exit_task(t, ExitCause::kDone);
         }
     }
     for (int i = 0; i < 2; ++i)
         for (auto& w : workers) report(w);
     EXPECT_EQ(poll(), (State{"running", 0, 3})) << "started again, and none is done";
     EXPECT_EQ(repeated(), "running");
-    EXPECT_EQ(state_of(s.call(other, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
+    EXPECT_EQ(state_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
     EXPECT_EQ(repeated(), "withdrawn");
     for (int i = 0; i < 2; ++i)
         for (auto& w : workers) report(w);
-    s.run(1);
-    EXPECT_EQ(s.state.rows.count("f/job-1"), 1U);
+    deployment.run(1);
+    EXPECT_EQ(deployment.store.rows.count("f/job-1"), 1U);
     EXPECT_EQ(repeated(), "withdrawn");
     EXPECT_EQ(poll(), (State{"withdrawn", 0, 0}));
 }
@@ -333,87 +316,85 @@
 TEST_P(ServiceMoves, ACancellationStartsNothingAndEndsAllInTime) {
     constexpr uint32_t kReplicas = 3;
     const Move move = GetParam();
-    Site s(2);
-    s.start(0);
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-    int lead = s.leader();
-    s.run(1);
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int lead = deployment.leader();
+    deployment.run(1);
     FakeWorker from, to;
     from.spot = true;
     to.name = "vm-000002";
-    for (const FakeWorker* w : {&from, &to})
-        s.cloud.machines[w->name] = {
-            w->name, w->addr, w->machine_type, w->zone, w->spot, MachinePhase::kRunning, 100};
-    s.settle(from);
-    ASSERT_EQ(s.call(lead, "POST", "/v2/runs",
-                     job_body("job-1",
-                              [](auto& f) {
-                                  f["shape"] = Packer().text("standing").take();
-                                  f["pieces"] = Packer().count(kReplicas).take();
-                                  f["vcpus"] = Packer().number(1).take();
-                                  f["cards"] = f["snapshot_s"] = f["flush_s"] = Packer().number(0).take();
-                                  f["driftwood"] = Packer().flag(true).take();
-                              }))
+    for (const FakeWorker* w : {&from, &to}) deployment.list_machine(*w);
+    deployment.settle(from);
+    ASSERT_EQ(deployment
+                  .call(lead, "POST", "/v2/runs",
+                        job_body("job-1",
+                                 [](auto& f) {
+                                     f["shape"] = packed_text("standing");
+                                     set_tasks(f, kReplicas);
+                                     f["vcpus"] = packed_number(1);
+                                     f["cards"] = f["snapshot_s"] = f["flush_s"] = packed_number(0);
+                                     f["driftwood"] = packed_flag(true);
+                                 }))
                   .status,
               201);
-    for (int i = 0; i < 4; ++i) s.send_report(from, lead);
-    ASSERT_EQ(live_tasks(from), kReplicas);
-    s.settle(to);
-    ASSERT_EQ(live_tasks(to), 0U);
+    for (int i = 0; i < 4; ++i) deployment.send_report(from, lead);
+    ASSERT_EQ(from.live_tasks(), kReplicas);
+    deployment.settle(to);
+    ASSERT_EQ(to.live_tasks(), 0U);
 
     // The notice moves all of them at once.
     from.notice_s = 60;
     std::vector<ReportedTask> running = from.tasks;
-    s.send_report(from, lead);
-    ASSERT_EQ(live_tasks(from), 0U) << "told to stop in the answer";
+    deployment.send_report(from, lead);
+    ASSERT_EQ(from.live_tasks(), 0U) << "told to stop in the answer";
     bool exits_known = move == Move::kSuccessorsBound || move == Move::kSuccessorsLaunched;
     if (exits_known) {
-        s.send_report(from, lead);
-        s.run(0.5);
+        deployment.send_report(from, lead);
+        deployment.run(0.5);
         if (move == Move::kSuccessorsBound)
-            s.state.let_through = [&](const std::string& txn) {
+            deployment.store.let_through = [&](const std::string& txn) {
                 if (txn.find("leader") == std::string::npos) return true;
-                s.state.apply(txn);  // only its answer is lost
+                deployment.store.apply(txn);  // only its answer is lost
                 return false;
             };
-        for (int i = 0; i < 3 && live_tasks(to) < kReplicas; ++i) s.send_report(to, lead);
-        s.state.let_through = {};
-        ASSERT_EQ(live_tasks(to), move == Move::kSuccessorsBound ? 0 : kReplicas);
-        EXPECT_EQ(state_of(s.call(lead, "GET", "/v2/runs/job-1")).running, kReplicas);
+        for (int i = 0; i < 3 && to.live_tasks() < kReplicas; ++i) deployment.send_report(to, lead);
+        deployment.store.let_through = {};
+        ASSERT_EQ(to.live_tasks(), move == Move::kSuccessorsBound ? 0 : kReplicas);
+        EXPECT_EQ(state_of(deployment.call(lead, "GET", "/v2/runs/job-1")).running, kReplicas);
     } else {
         from.tasks = running;  // they take their time
     }
 
     int asked = move == Move::kLeaderGone ? 1 - lead : lead;
-    ASSERT_EQ(state_of(s.call(asked, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
-    Seconds announced = s.loop.now();
+    ASSERT_EQ(state_of(deployment.call(asked, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
+    Seconds announced = deployment.loop.now();
     if (move == Move::kLeaderGone) {
-        s.kill(lead);
-        s.state.end_lease(s.state.rows.at("leader").lease);
-        ASSERT_TRUE(s.until([&] { return s.leader() == asked; }));
+        deployment.kill(lead);
+        deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
+        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == asked; }));
         lead = asked;
     }
     auto gone = [&](const FakeWorker& w) {
-        return live_tasks(w) == 0 || std::count(s.cloud.deleted.begin(), s.cloud.deleted.end(), w.name) > 0;
+        return w.live_tasks() == 0 ||
+               std::count(deployment.cloud.deleted.begin(), deployment.cloud.deleted.end(), w.name) > 0;
     };
     std::set<std::pair<TaskName, uint64_t>> before;
     for (const FakeWorker* w : {&from, &to})
         for (const auto& t : w->tasks) before.insert({t.name, t.attempt});
     Seconds all_gone = -1;
-    while (s.loop.now() < announced + s.configs[0].cancel_s) {
-        if (move != Move::kPredecessorsHang) s.send_report(from, lead);
-        s.send_report(to, lead);
+    while (deployment.loop.now() < announced + deployment.configs[0].cancel_s) {
+        if (move != Move::kPredecessorsHang) deployment.send_report(from, lead);
+        deployment.send_report(to, lead);
         for (const FakeWorker* w : {&from, &to})
             for (const auto& t : w->tasks)
                 EXPECT_TRUE(before.count({t.name, t.attempt})) << "started after the cancellation";
-        if (gone(from) && gone(to) && all_gone < 0) all_gone = s.loop.now();
-        s.run(1);
+        if (gone(from) && gone(to) && all_gone < 0) all_gone = deployment.loop.now();
+        deployment.run(1);
     }
     ASSERT_GE(all_gone, 0) << "something is still there";
-    EXPECT_LT(all_gone, announced + s.configs[0].cancel_s);
-    EXPECT_EQ(state_of(s.call(lead, "GET", "/v2/runs/job-1")), (State{"withdrawn", 0, 0}));
-    EXPECT_EQ(s.state.rows.count("f/job-1"), 1U);
+    EXPECT_LT(all_gone, announced + deployment.configs[0].cancel_s);
+    EXPECT_EQ(state_of(deployment.call(lead, "GET", "/v2/runs/job-1")), (State{"withdrawn", 0, 0}));
+    EXPECT_EQ(deployment.store.rows.count("f/job-1"), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ServiceMoves,
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -6,7 +6,7 @@
 #include "base/constants.h"
 #include "fleet/plan.h"
 #include "scheduler/scheduler.h"
-#include "standins.h"
+#include "standins/deployment.h"
 #include "users/wire.h"
 
 using namespace hareshore;
@@ -106,8 +106,7 @@
             if (o.verb == CommandKind::kLaunch && it == list.end())
                 list.push_back({o.name, o.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
             if (o.verb == CommandKind::kStop && it != list.end()) {
-                it->phase = TaskPhase::kExited;
-                it->cause = ExitCause::kStopped;
+                exit_task(*it, ExitCause::kStopped);
             }
             if (o.verb == CommandKind::kForget && it != list.end()) list.erase(it);
         }
@@ -115,8 +114,7 @@
     }
     void ends(Machine& h, ExitCause cause) {
         for (auto& t : on[h.name]) {
-            t.phase = TaskPhase::kExited;
-            t.cause = cause;
+            exit_task(t, cause);
         }
         reported(h);
     }
@@ -475,148 +473,114 @@
     EXPECT_NE(never_runnable(s, config, cluster.machine_types), "");
 }
 
-namespace {
-
-std::string service_body(const std::string& id, uint32_t replicas) {
-    return job_body(id, [&](auto& f) {
-        auto packed = [](auto g) {
-            Packer p;
-            g(p);
-            return p.take();
-        };
-        f["shape"] = packed([](Packer& p) { p.text("standing"); });
-        f["rank"] = packed([](Packer& p) { p.text("production"); });
-        f["pieces"] = packed([&](Packer& p) { p.count(replicas); });
-        f["vcpus"] = packed([](Packer& p) { p.number(1); });
-        f["cards"] = packed([](Packer& p) { p.number(0); });
-        f["expect_s"] = packed([](Packer& p) { p.number(0); });
-        f["snapshot_s"] = packed([](Packer& p) { p.number(0); });
-        f["flush_s"] = packed([](Packer& p) { p.number(0); });
-        f["due_s"] = packed([](Packer& p) { p.null(); });
-    });
-}
-
-std::string phase(const Answer& a) {
-    auto m = Message::parse(a.body);
-    return m ? m->root()["phase"].text_or("") : "";
-}
-
-}  // namespace
-
 // What its user sees, from the submission to the cancellation, also through another node.
 TEST(ServiceUsers, SeeItRunUntilTheyCancelIt) {
-    Site s(2);
-    s.start(0);
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.leader() >= 0; }));
-    int lead = s.leader(), other = 1 - lead;
-    s.run(1);
-    EXPECT_EQ(s.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
-    EXPECT_EQ(phase(s.call(other, "GET", "/v2/runs/job-1")), "pending");
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int lead = deployment.leader(), other = 1 - lead;
+    deployment.run(1);
+    EXPECT_EQ(deployment.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
+    EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-1")), "pending");
     FakeWorker w;
-    s.settle(w);
+    deployment.settle(w);
     for (ExitCause cause : {ExitCause::kDone, ExitCause::kDone, ExitCause::kDone}) {
-        s.send_report(w, lead);
-        s.send_report(w, lead);
+        deployment.send_report(w, lead);
+        deployment.send_report(w, lead);
         ASSERT_TRUE(w.find("job-1/0"));
-        EXPECT_EQ(phase(s.call(other, "GET", "/v2/runs/job-1")), "running");
+        EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-1")), "running");
         for (int i = 0; i < 8; ++i) {
-            s.run(3);
-            s.send_report(w, lead);
+            deployment.run(3);
+            deployment.send_report(w, lead);
         }
         ASSERT_TRUE(w.find("job-1/0"));
-        w.find("job-1/0")->phase = TaskPhase::kExited;
-        w.find("job-1/0")->cause = cause;
-        s.send_report(w, lead);
-        s.run(0.5);
-        std::string now = phase(s.call(other, "GET", "/v2/runs/job-1"));
+        exit_task(*w.find("job-1/0"), cause);
+        deployment.send_report(w, lead);
+        deployment.run(0.5);
+        std::string now = phase_of(deployment.call(other, "GET", "/v2/runs/job-1"));
         EXPECT_TRUE(now == "pending" || now == "running") << now;
-        EXPECT_EQ(s.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 200);
+        EXPECT_EQ(deployment.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 200);
     }
-    s.send_report(w, lead);
+    deployment.send_report(w, lead);
     ASSERT_TRUE(w.find("job-1/0"));
-    std::string page = s.call(lead, "GET", "/operator/jobs").body;
+    std::string page = deployment.call(lead, "GET", "/operator/jobs").body;
     EXPECT_NE(page.find("job-1 service team team 1 of 1 replicas up"), std::string::npos) << page;
-    EXPECT_EQ(phase(s.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
-    s.run(0.5);
-    s.send_report(w, lead);
-    s.send_report(w, lead);
-    s.run(0.5);
-    EXPECT_EQ(phase(s.call(lead, "GET", "/v2/runs/job-1")), "withdrawn");
-    EXPECT_EQ(s.state.rows.count("j/job-1"), 0u);
-    EXPECT_EQ(phase(s.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+    EXPECT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+    deployment.run(0.5);
+    deployment.send_report(w, lead);
+    deployment.send_report(w, lead);
+    deployment.run(0.5);
+    EXPECT_EQ(phase_of(deployment.call(lead, "GET", "/v2/runs/job-1")), "withdrawn");
+    EXPECT_EQ(deployment.store.rows.count("j/job-1"), 0u);
+    EXPECT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
 }
 
 // With a spot notice its replicas end at once, so that their successors start while the machine is still
 // there; and the successor only when the exit is reported.
 TEST(ServiceUsers, KeepItWhenAMachineIsAboutToGo) {
-    Site s;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
+    Deployment deployment;
+    ASSERT_TRUE(deployment.start_and_elect());
+    deployment.run(1);
     FakeWorker w1, w2;
     w2.name = "vm-000002";
-    s.settle(w1);
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
-    s.send_report(w1, 0);
-    s.send_report(w1, 0);
+    deployment.settle(w1);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
+    deployment.send_report(w1, 0);
+    deployment.send_report(w1, 0);
     ASSERT_TRUE(w1.find("job-1/0"));
-    s.settle(w2);
+    deployment.settle(w2);
     w1.notice_s = 20;
-    s.send_report(w1, 0);
+    deployment.send_report(w1, 0);
     ASSERT_TRUE(w1.find("job-1/0"));
     EXPECT_EQ(w1.find("job-1/0")->phase, TaskPhase::kExited) << "told to stop in the answer to the notice";
-    s.send_report(w2, 0);
+    deployment.send_report(w2, 0);
     EXPECT_FALSE(w2.find("job-1/0")) << "its exit is not reported yet";
-    s.send_report(w1, 0);
-    s.send_report(w2, 0);
+    deployment.send_report(w1, 0);
+    deployment.send_report(w2, 0);
     ASSERT_TRUE(w2.find("job-1/0"));
     EXPECT_EQ(w2.find("job-1/0")->attempt, 2u);
-    s.send_report(w1, 0);
+    deployment.send_report(w1, 0);
     EXPECT_TRUE(w1.tasks.empty()) << "and nothing comes back to the machine that goes";
 }
 
 // While there are services, a busy machine's report is held briefly: a replica that comes is launched at
 // once. With something to tell, it is answered at once.
 TEST(ServiceUsers, NeedNotWaitForTheNextReportOfABusyMachine) {
-    Site s;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
+    Deployment deployment;
+    ASSERT_TRUE(deployment.start_and_elect());
+    deployment.run(1);
     FakeWorker w;
-    s.settle(w);
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    s.send_report(w, 0);
-    s.send_report(w, 0);
+    deployment.settle(w);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    deployment.send_report(w, 0);
+    deployment.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
     auto took = [&] {
-        Seconds began = s.loop.now();
-        EXPECT_EQ(s.send_report(w, 0), 200);
-        return s.loop.now() - began;
+        Seconds began = deployment.loop.now();
+        EXPECT_EQ(deployment.send_report(w, 0), 200);
+        return deployment.loop.now() - began;
     };
     EXPECT_LT(took(), 0.3) << "without services its next change must come through";
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", service_body("job-2", 1)).status, 201);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", service_body("job-2", 1)).status, 201);
     EXPECT_LT(took(), 0.3) << "there is something to launch";
     EXPECT_TRUE(w.find("job-2/0"));
     Seconds held = took();
     EXPECT_GT(held, 0.8 * constants::kHoldBusy_s);
     EXPECT_LT(held, constants::kHoldBusy_s + 0.3);
     // One that comes meanwhile goes into the answer.
-    Scope scope(s.loop);
+    Scope scope(deployment.loop);
     bool done = false;
-    auto later = [](Site& site, Answer& out, bool& d) -> Task<void> {
-        co_await site.loop.sleep(0.3);
-        HttpClient http(site.loop, site.configs[0].listen, 1);
+    auto later = [](Deployment& owner, Answer& out, bool& d) -> Task<void> {
+        co_await owner.loop.sleep(0.3);
+        HttpClient http(owner.loop, owner.configs[0].listen, 1);
         out = co_await http.call("POST", "/v2/runs", service_body("job-3", 1), 4.0);
         d = true;
     };
     Answer out;
-    scope.spawn(later(s, out, done), "submission");
+    scope.spawn(later(deployment, out, done), "submission");
     EXPECT_LT(took(), 0.6);
     EXPECT_TRUE(w.find("job-3/0"));
-    EXPECT_TRUE(s.until([&] { return done; }));
+    EXPECT_TRUE(deployment.until([&] { return done; }));
     // What has ended is forgotten without delay.
-    w.find("job-1/0")->phase = TaskPhase::kExited;
-    w.find("job-1/0")->cause = ExitCause::kDone;
+    exit_task(*w.find("job-1/0"), ExitCause::kDone);
     EXPECT_LT(took(), 0.3);
 }
--- /dev/null
+++ b/tests/standins/deployment.cc
@@ -0,0 +1,172 @@
+#include "standins/deployment.h"
+
+#include <gtest/gtest.h>
+
+#include <cstdlib>
+
+#include "base/log.h"
+
+namespace hareshore::test {
+
+namespace {
+
+constexpr int kCloudHost = 1;
+constexpr int kFirstControllerHost = 10;
+constexpr uint16_t kCloudPort = 8443;
+constexpr uint16_t kUserPort = 8080;
+constexpr uint16_t kPeerPort = 8081;
+constexpr uint16_t kStorePort = 2379;
+constexpr Seconds kUserTimeout_s = 5;
+constexpr Seconds kMostCall_s = 10;  // for the answer to a call, on the fake clock
+constexpr int kSettleTries = 20;
+constexpr Seconds kSettlePause_s = 0.5;
+constexpr Seconds kNoReturn_s = 3600;  // the scripts decide when a machine goes
+constexpr int kListedAge_s = 100;
+
+std::string label_of(int node) {
+    return "node-" + std::to_string(node);
+}
+
+Config controller_config(int node, int controllers) {
+    Config config;
+    config.label = label_of(node);
+    config.zone = "a";
+    config.listen = address(kFirstControllerHost + node, kUserPort);
+    config.peer_listen = address(kFirstControllerHost + node, kPeerPort);
+    config.cloud = address(kCloudHost, kCloudPort);
+    config.state = address(kFirstControllerHost + node, kStorePort);
+    config.zones = {"a", "b"};
+    Team team;
+    team.name = "team";
+    team.gpus_max = 8;
+    config.teams = {team};
+    config.report_s = 3;
+    config.lease_s = 24;
+    config.gang_wait_s = 40;
+    config.gang_peer_s = 4;
+    config.cancel_s = 49;
+    config.state_rps = 200;
+    config.write_rps = 100;
+    config.value_bytes = 8192;
+    config.txn_ops = 12;
+    config.cloud_rps = 6;
+    config.list_lag_s = 6;
+    config.sockets = 200;
+    for (int peer = 0; peer < controllers; ++peer)
+        if (peer != node)
+            config.peers.push_back({label_of(peer), "a", address(kFirstControllerHost + peer, kPeerPort)});
+    return config;
+}
+
+struct PendingCall {
+    std::string method, path, body;
+    Answer answer;
+    bool answered = false;
+};
+
+Task<void> carry_out_call(Loop& loop, Address to, PendingCall& call) {
+    HttpClient http(loop, to, 1);
+    call.answer = co_await http.call(std::move(call.method), std::move(call.path), std::move(call.body),
+                                     kUserTimeout_s);
+    call.answered = true;
+}
+
+Task<void> carry_out_report(Loop& loop, Address to, FakeWorker& worker, int& status, bool& answered) {
+    status = co_await worker.send_report(loop, to);
+    answered = true;
+}
+
+}  // namespace
+
+Deployment::Deployment(int controllers) : cloud(loop, address(kCloudHost, kCloudPort)) {
+    settings.idle_return_s = settings.calm_s = kNoReturn_s;
+    const char* log_level = std::getenv("LOG_LEVEL");
+    setup_log(log_level ? log_level : "error", "test");
+    cloud.machine_types = {small_machine_type()};
+    for (int node = 0; node < controllers; ++node) {
+        configs.push_back(controller_config(node, controllers));
+        store.listen_for(node, configs.back().state);
+    }
+    nodes.resize(static_cast<size_t>(controllers));
+}
+
+Deployment::~Deployment() {
+    for (size_t node = 0; node < nodes.size(); ++node) kill(static_cast<int>(node));
+    store.stop();
+    cloud.stop();
+    unwind(loop);
+}
+
+Controller& Deployment::start(int node) {
+    auto& controller = nodes[static_cast<size_t>(node)];
+    controller = std::make_unique<Controller>(loop, config(node), settings);
+    return *controller;
+}
+
+void Deployment::kill(int node) {
+    auto& controller = nodes[static_cast<size_t>(node)];
+    if (!controller) return;
+    controller->stop();
+    unwind(loop);
+    controller.reset();
+}
+
+bool Deployment::start_and_elect() {
+    for (size_t node = 0; node < nodes.size(); ++node) start(static_cast<int>(node));
+    return until([&] { return leader() != kNoLeader; });
+}
+
+void Deployment::run(Seconds duration) {
+    loop.run_until([] { return false; }, duration);
+}
+
+int Deployment::leader() const {
+    for (size_t node = 0; node < nodes.size(); ++node)
+        if (nodes[node] && nodes[node]->election().leading()) return static_cast<int>(node);
+    return kNoLeader;
+}
+
+Answer Deployment::call(int node, std::string method, std::string path, std::string body) {
+    PendingCall call{std::move(method), std::move(path), std::move(body), {}};
+    Scope scope(loop);
+    scope.spawn(carry_out_call(loop, config(node).listen, call), "call");
+    until([&] { return call.answered; }, kMostCall_s);
+    return call.answer;
+}
+
+int Deployment::send_report(FakeWorker& worker, int node) {
+    int status = -1;
+    bool answered = false;
+    Scope scope(loop);
+    scope.spawn(carry_out_report(loop, config(node).listen, worker, status, answered), "report");
+    until([&] { return answered; }, kMostCall_s);
+    return status;
+}
+
+void Deployment::settle(FakeWorker& worker) {
+    for (int i = 0; i < kSettleTries; ++i) {
+        int leading = leader();
+        if (leading != kNoLeader && send_report(worker, leading) == 200 &&
+            worker.epoch == node(leading).election().epoch())
+            return;
+        run(kSettlePause_s);
+    }
+    FAIL() << "no leader took the worker's report";
+}
+
+std::vector<FakeWorker> Deployment::settled_workers(size_t count) {
+    std::vector<FakeWorker> workers(count);
+    for (size_t i = 0; i < count; ++i) {
+        workers[i].name = "vm-00000" + std::to_string(i);
+        settle(workers[i]);
+    }
+    return workers;
+}
+
+void Deployment::list_machine(const FakeWorker& worker) {
+    cloud.machines[worker.name] = {worker.name, worker.addr, worker.machine_type,
+                                   worker.zone, worker.spot, MachinePhase::kRunning,
+                                   kListedAge_s};
+}
+
+}  // namespace hareshore::test
--- /dev/null
+++ b/tests/standins/worker.cc
@@ -0,0 +1,90 @@
+#include "standins/worker.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <array>
+
+#include "http/client.h"
+#include "http/pack.h"
+
+namespace hareshore::test {
+
+namespace {
+
+constexpr Seconds kReportTimeout_s = 4;
+
+// The words of the wire, in the order of TaskPhase and of ExitCause.
+constexpr std::array kPhases{"pulling", "gathering", "running", "saving", "exited"};
+constexpr std::array kCauses{"",      "done",    "stopped", "mates_gone", "incomplete",
+                             "error", "no_room", "busy",    "unknown"};
+
+}  // namespace
+
+std::string FakeWorker::report() {
+    Packer packer;
+    packer.map(10).key("host").text(name).key("addr").text(addr);
+    packer.key("flavor").text(machine_type).key("cove").text(zone).key("driftwood").flag(spot);
+    packer.key("tenure").count(session).key("tick").count(++seq).key("epoch").count(epoch);
+    packer.key("warning_s");
+    if (notice_s) {
+        packer.number(*notice_s);
+    } else {
+        packer.null();
+    }
+    packer.key("pieces").list(tasks.size());
+    for (const auto& task : tasks) {
+        packer.map(4).key("piece").text(task.name.text()).key("try").count(task.attempt);
+        packer.key("phase").text(kPhases.at(static_cast<size_t>(task.phase)));
+        packer.key("cause").text(kCauses.at(static_cast<size_t>(task.cause)));
+    }
+    return packer.take();
+}
+
+void FakeWorker::carry_out(const std::string& body) {
+    auto message = Message::parse(body);
+    ASSERT_TRUE(message);
+    uint64_t command_epoch = message->root()["epoch"].count_or(0);
+    if (command_epoch < epoch) return;  // dropped
+    epoch = command_epoch;
+    Node commands = message->root()["orders"];
+    for (size_t i = 0; i < commands.size(); ++i) {
+        std::string verb = *commands.at(i)["verb"].text();
+        auto task_name = *TaskName::parse(*commands.at(i)["piece"].text());
+        uint64_t attempt = *commands.at(i)["try"].count();
+        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const ReportedTask& here) {
+            return here.name == task_name && here.attempt == attempt;
+        });
+        bool here = task != tasks.end();
+        if (verb == "launch" && !here)
+            tasks.push_back({task_name, attempt, TaskPhase::kRunning, ExitCause::kNone, false});
+        if (verb == "halt" && here) exit_task(*task, ExitCause::kStopped);
+        if (verb == "forget" && here && task->phase == TaskPhase::kExited) tasks.erase(task);
+    }
+}
+
+Task<int> FakeWorker::send_report(Loop& loop, Address node) {
+    HttpClient http(loop, node, 1);
+    Answer answer = co_await http.call("POST", "/hello", report(), kReportTimeout_s);
+    if (answer.status == 200 && !deaf) carry_out(answer.body);
+    co_return answer.status;
+}
+
+ReportedTask* FakeWorker::find(const std::string& task) {
+    for (auto& here : tasks)
+        if (here.name.text() == task) return &here;
+    return nullptr;
+}
+
+size_t FakeWorker::live_tasks() const {
+    return static_cast<size_t>(std::count_if(tasks.begin(), tasks.end(), [](const ReportedTask& task) {
+        return task.phase != TaskPhase::kExited;
+    }));
+}
+
+void exit_task(ReportedTask& task, ExitCause cause) {
+    task.phase = TaskPhase::kExited;
+    task.cause = cause;
+}
+
+}  // namespace hareshore::test
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 
 #include "scheduler/scheduler.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,12 +1,15 @@
 // Beside the production version and under the state service's later limits: what is written when, that it
 // fits, and that no task is lost on the way.
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+
 #include <algorithm>
 #include <random>
 #include <set>
 
 #include "base/constants.h"
 #include "jobs/compact.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -92,10 +95,10 @@
     return r;
 }
 
-void keep(Site& s, const std::string& key, std::string data) {
+void keep(Deployment& deployment, const std::string& key, std::string data) {
     Txn t;
     t.expect(key, 0).put(key, std::move(data));
-    ASSERT_EQ(s.state.apply(t.pack()).status, 200);
+    ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
 }
 
 std::vector<FakeWorker> workers_of(const JobRecord& r) {
@@ -111,24 +114,19 @@
     return out;
 }
 
-uint64_t form_of(Site& s, const std::string& key) {
-    return Message::parse(s.state.rows.at(key).data)->root()["v"].count_or(0);
-}
-
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
-    return m ? m->root()["phase"].text_or("") : "";
+uint64_t form_of(Deployment& deployment, const std::string& key) {
+    return Message::parse(deployment.store.rows.at(key).data)->root()["v"].count_or(0);
 }
 
 // A deployment under the limits that the state service will have: the service enforces them at once.
-void lower_limits(Site& s, size_t value_bytes, size_t txn_ops) {
-    for (auto& c : s.configs) {
+void lower_limits(Deployment& deployment, size_t value_bytes, size_t txn_ops) {
+    for (auto& c : deployment.configs) {
         c.next_value_bytes = value_bytes;
         c.txn_ops = std::min(c.txn_ops, txn_ops);
         c.write_rps = std::min(c.write_rps, 15.0);
     }
-    s.state.value_bytes = value_bytes;
-    s.state.txn_ops = txn_ops;
+    deployment.store.value_bytes = value_bytes;
+    deployment.store.txn_ops = txn_ops;
 }
 
 }  // namespace
@@ -293,290 +291,292 @@
 
 // Until every peer is known to run this version, records are written as the production version reads them.
 TEST(Upgrade, WritesTheOldRecordFormatWhileAPeerMayBeOld) {
-    Site s(2);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(10);
-    EXPECT_EQ(s.state.rows.count("form"), 0u);
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(form_of(s, "j/job-1"), 1u);
+    Deployment deployment(2);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(10);
+    EXPECT_EQ(deployment.store.rows.count("form"), 0u);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
     FakeWorker w;
-    s.settle(w);
-    s.send_report(w, 0);
+    deployment.settle(w);
+    deployment.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
-    EXPECT_EQ(form_of(s, "j/job-1"), 1u);
-    EXPECT_TRUE(Message::parse(s.state.rows.at("j/job-1").data)->root()["live"].is_list());
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
+    EXPECT_TRUE(Message::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
-    s.start(1);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    s.run(3);
-    ASSERT_EQ(s.leader(), 0);
-    EXPECT_EQ(form_of(s, "j/job-1"), 1u);
-    ASSERT_EQ(s.call(1, "POST", "/v2/runs/job-1/withdraw").status, 200);
-    EXPECT_EQ(form_of(s, "j/job-1"), 2u) << "also by a follower, which asks for the form until it is there";
-    auto record = JobRecord::unpack(s.state.rows.at("j/job-1").data);
+    deployment.start(1);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    deployment.run(3);
+    ASSERT_EQ(deployment.leader(), 0);
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
+    ASSERT_EQ(deployment.call(1, "POST", "/v2/runs/job-1/withdraw").status, 200);
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u)
+        << "also by a follower, which asks for the form until it is there";
+    auto record = JobRecord::unpack(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
     EXPECT_EQ(record->live.size(), 1u) << "it is still on its machine";
 }
 
 TEST(Upgrade, ALeaderWithoutOldPeersPutsTheRecordFormatOnceAndStaysWithIt) {
-    Site s;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    uint64_t mod_revision = s.state.rows.at("form").mod_revision;
-    EXPECT_EQ(unpack_record_format(s.state.rows.at("form").data), 2u);
-    s.run(1);
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(form_of(s, "j/job-1"), 2u);
-    s.kill(0);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(5);
-    EXPECT_EQ(s.state.rows.at("form").mod_revision, mod_revision);
+    Deployment deployment;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    uint64_t mod_revision = deployment.store.rows.at("form").mod_revision;
+    EXPECT_EQ(unpack_record_format(deployment.store.rows.at("form").data), 2u);
+    deployment.run(1);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+    deployment.kill(0);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(5);
+    EXPECT_EQ(deployment.store.rows.at("form").mod_revision, mod_revision);
 }
 
 // What the production version kept in more than the later limits allow is read, and each change of it fits:
 // ends of tasks, a cancellation, and its end in one transaction.
 TEST(Upgrade, TakesOverLargeRecordsUnderTheLowerLimits) {
     for (size_t ops : {2u, 4u}) {
-        Site s;
+        Deployment deployment;
         JobRecord ended = large_record("job-1", 150, 12), cancelled = large_record("job-2", 150, 10);
         for (auto& [task, b] : cancelled.live) b.machine = "vm-0009" + b.machine.substr(7);
         ASSERT_GT(json_text(ended.pack(1)).size(), 2048u);
-        keep(s, "j/job-1", ended.pack(1));
-        keep(s, "j/job-2", cancelled.pack(1));
-        lower_limits(s, 2048, ops);
-        s.start(0);
-        ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-        s.run(2);
-        EXPECT_EQ(form_of(s, "j/job-1"), 1u) << "its next change replaces it, nothing before";
+        keep(deployment, "j/job-1", ended.pack(1));
+        keep(deployment, "j/job-2", cancelled.pack(1));
+        lower_limits(deployment, 2048, ops);
+        deployment.start(0);
+        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        deployment.run(2);
+        EXPECT_EQ(form_of(deployment, "j/job-1"), 1u) << "its next change replaces it, nothing before";
         auto one = workers_of(ended), two = workers_of(cancelled);
-        for (auto& w : one) s.settle(w);
-        for (auto& w : two) s.settle(w);
+        for (auto& w : one) deployment.settle(w);
+        for (auto& w : two) deployment.settle(w);
         for (const auto& w : one)
             for (const auto& t : w.tasks) EXPECT_EQ(t.phase, TaskPhase::kRunning) << t.name.text();
-        ASSERT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-        EXPECT_EQ(form_of(s, "j/job-2"), 2u);
-        EXPECT_EQ(JobRecord::unpack(s.state.rows.at("j/job-2").data)->live.size(), 150u)
+        ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+        EXPECT_EQ(form_of(deployment, "j/job-2"), 2u);
+        EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150u)
             << "none is free yet";
         // Every second task ends first: the done ranges are as long as they can be.
         for (uint32_t odd : {1u, 0u}) {
             for (auto& w : one) {
                 for (auto& t : w.tasks) {
                     if (t.name.task % 2 != odd) continue;
-                    t.phase = TaskPhase::kExited;
-                    t.cause = ExitCause::kDone;
+                    exit_task(t, ExitCause::kDone);
                 }
-                s.send_report(w, 0);
+                deployment.send_report(w, 0);
             }
-            s.run(2);
+            deployment.run(2);
             if (odd) {
-                EXPECT_EQ(form_of(s, "j/job-1"), 2u);
-                EXPECT_EQ(JobRecord::unpack(s.state.rows.at("j/job-1").data)->done.size(), 75u);
+                EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+                EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-1").data)->done.size(), 75u);
             }
         }
         for (int i = 0; i < 3; ++i)
-            for (auto& w : two) s.send_report(w, 0);
-        s.run(2);
-        EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "done");
-        EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
-        EXPECT_EQ(s.state.rows.count("j/job-1") + s.state.rows.count("j/job-2"), 0u);
-        EXPECT_EQ(s.state.invalid, 0) << "nothing was sent that exceeds a limit";
+            for (auto& w : two) deployment.send_report(w, 0);
+        deployment.run(2);
+        EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
+        EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
+        EXPECT_EQ(deployment.store.rows.count("j/job-1") + deployment.store.rows.count("j/job-2"), 0u);
+        EXPECT_EQ(deployment.store.invalid_transactions, 0) << "nothing was sent that exceeds a limit";
     }
 }
 
 // What an earlier version let grow beyond even format 2's room is not sent. Until it fits, the record says of
 // ended tasks that they are live, which is safe; a cancellation leaves out what it does not need.
 TEST(Upgrade, AChangeThatDoesNotFitIsKeptUntilItDoes) {
-    Site s;
+    Deployment deployment;
     JobRecord r = large_record("job-1", 150, 12), w = large_record("job-2", 400, 12);
     for (uint32_t n = 0; n < 400; n += 2) w.done.add(n);
     std::erase_if(w.live, [&](const auto& l) { return l.first % 4 != 1; });
-    keep(s, "j/job-1", r.pack(1));
-    keep(s, "j/job-2", w.pack(1));
-    lower_limits(s, 780, 4);
+    keep(deployment, "j/job-1", r.pack(1));
+    keep(deployment, "j/job-2", w.pack(1));
+    lower_limits(deployment, 780, 4);
     ASSERT_GT(json_text(r.pack(2)).size(), 780u);
     ASSERT_GT(json_text(w.pack(2)).size(), 780u);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(2);
-    EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-    EXPECT_EQ(JobRecord::unpack(s.state.rows.at("j/job-2").data)->live.size(), w.live.size());
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(2);
+    EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+    EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), w.live.size());
     auto workers = workers_of(r);
-    for (auto& x : workers) s.settle(x);
+    for (auto& x : workers) deployment.settle(x);
     for (size_t i = 0; i < workers.size(); ++i) {
         for (auto& t : workers[i].tasks) {
-            t.phase = TaskPhase::kExited;
-            t.cause = ExitCause::kDone;
+            exit_task(t, ExitCause::kDone);
         }
-        s.send_report(workers[i], 0);
-        s.run(1);
-        s.send_report(workers[i], 0);
-        bool written = form_of(s, "j/job-1") == 2;
+        deployment.send_report(workers[i], 0);
+        deployment.run(1);
+        deployment.send_report(workers[i], 0);
+        bool written = form_of(deployment, "j/job-1") == 2;
         EXPECT_EQ(written, workers[i].tasks.empty()) << "an exit is forgotten once it is kept";
         if (i == 0) {
             EXPECT_FALSE(written);
         }
-        if (i + 1 < workers.size() && !s.state.rows.count("j/job-1")) FAIL() << "not over yet";
+        if (i + 1 < workers.size() && !deployment.store.rows.count("j/job-1")) FAIL() << "not over yet";
         if (written) break;
     }
-    EXPECT_EQ(form_of(s, "j/job-1"), 2u);
-    EXPECT_EQ(s.state.invalid, 0);
+    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+    EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
 // A refusal for what a transaction is: sent once, not again until the record has changed, and no other job
 // waits.
 TEST(Upgrade, ARefusedRecordIsNotSentAgainAndHoldsUpNoOther) {
-    Site s;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    s.run(1);
+    Deployment deployment;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    deployment.run(1);
     std::string team(100, 't');
-    ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto text = [](const std::string& x) { return Packer().text(x).take(); };
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    auto text = [](const std::string& x) { return packed_text(x); };
     ASSERT_EQ(
-        s.call(0, "POST", "/v2/runs", job_body("job-2", [&](auto& f) { f["jobclass"] = text(team); })).status,
+        deployment
+            .call(0, "POST", "/v2/runs", job_body("job-2", [&](auto& f) { f["jobclass"] = text(team); }))
+            .status,
         201);
-    s.run(1);
+    deployment.run(1);
     // The service is stricter than any settings said.
-    s.state.value_bytes = json_text(s.state.rows.at("j/job-2").data).size();
+    deployment.store.value_bytes = json_text(deployment.store.rows.at("j/job-2").data).size();
     FakeWorker w;
-    s.settle(w);
-    s.send_report(w, 0);
-    s.send_report(w, 0);
-    s.run(10);
+    deployment.settle(w);
+    deployment.send_report(w, 0);
+    deployment.send_report(w, 0);
+    deployment.run(10);
     EXPECT_TRUE(w.find("job-1/0"));
     EXPECT_FALSE(w.find("job-2/0")) << "not committed, so not launched";
-    EXPECT_GE(s.state.invalid, 1);
-    EXPECT_LE(s.state.invalid, 2) << "in a batch, and once by itself";
-    int before = s.state.invalid;
-    s.run(20);
-    EXPECT_EQ(s.state.invalid, before);
-    EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-2")), "pending");
+    EXPECT_GE(deployment.store.invalid_transactions, 1);
+    EXPECT_LE(deployment.store.invalid_transactions, 2) << "in a batch, and once by itself";
+    int before = deployment.store.invalid_transactions;
+    deployment.run(20);
+    EXPECT_EQ(deployment.store.invalid_transactions, before);
+    EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "pending");
 }
 
 // Ten tasks are bound in one scheduling pass: their records go out in as many transactions as it takes.
 TEST(Upgrade, SendsNoMoreChangesAtOnceThanTheLaterLimitAllows) {
     for (size_t ops : {2u, 4u}) {
-        Site s;
-        lower_limits(s, 2048, ops);
-        s.start(0);
-        ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-        s.run(1);
-        auto number = [](double d) { return Packer().number(d).take(); };
+        Deployment deployment;
+        lower_limits(deployment, 2048, ops);
+        deployment.start(0);
+        ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+        deployment.run(1);
+        auto number = [](double d) { return packed_number(d); };
         FakeWorker w;
-        s.settle(w);
+        deployment.settle(w);
         for (int i = 0; i < 10; ++i)
             ASSERT_EQ(
-                s.call(0, "POST", "/v2/runs",
-                       job_body("job-" + std::to_string(i),
-                                [&](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = number(0.1); }))
+                deployment
+                    .call(0, "POST", "/v2/runs",
+                          job_body("job-" + std::to_string(i),
+                                   [&](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = number(0.1); }))
                     .status,
                 201);
-        s.run(1);
-        for (int i = 0; i < 4; ++i) s.send_report(w, 0);
+        deployment.run(1);
+        for (int i = 0; i < 4; ++i) deployment.send_report(w, 0);
         EXPECT_EQ(w.tasks.size(), 10u);
         for (auto& t : w.tasks) {
-            t.phase = TaskPhase::kExited;
-            t.cause = ExitCause::kDone;
+            exit_task(t, ExitCause::kDone);
         }
-        for (int i = 0; i < 4; ++i) s.send_report(w, 0);
-        s.run(3);
+        for (int i = 0; i < 4; ++i) deployment.send_report(w, 0);
+        deployment.run(3);
         for (int i = 0; i < 10; ++i)
-            EXPECT_EQ(s.state.rows.count("f/job-" + std::to_string(i)), 1u) << "ends, two changes each";
-        EXPECT_EQ(s.state.invalid, 0);
+            EXPECT_EQ(deployment.store.rows.count("f/job-" + std::to_string(i)), 1u)
+                << "ends, two changes each";
+        EXPECT_EQ(deployment.store.invalid_transactions, 0);
     }
 }
 
 TEST(Upgrade, RefusesADescriptionThatNoRecordCouldHold) {
-    Site s;
+    Deployment deployment;
     // Accepted by an earlier version: it stays known.
     JobRecord known = production_record();
     known.spec.id = "job-9";
     known.spec.machine_types.assign(40, std::string(100, 'x'));
-    keep(s, "j/job-9", known.pack(1));
-    lower_limits(s, 2048, 4);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    s.run(1);
+    keep(deployment, "j/job-9", known.pack(1));
+    lower_limits(deployment, 2048, 4);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    deployment.run(1);
     auto long_list = [](auto& f) {
         Packer p;
         p.list(64).text("g2");
         for (int i = 1; i < 64; ++i) p.text(std::string(126, 'x') + std::to_string(10 + i));
         f["flavors"] = p.take();
     };
-    Answer a = s.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
+    Answer a = deployment.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
     EXPECT_EQ(a.status, 400);
     EXPECT_NE(a.body.find("description"), std::string::npos);
-    EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 404);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-9", long_list)).status, 200);
-    EXPECT_EQ(s.state.invalid, 0);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-9", long_list)).status, 200);
+    EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
 // Users' writes and the leader's share the rate. A submission that can't be taken now is answered at once,
 // never held until its user gives up.
 TEST(Upgrade, AUsersWriteBeyondTheRateIsAnsweredAtOnce) {
-    Site s;
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
-    s.run(1);
+    Deployment deployment;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    deployment.run(1);
     auto refused = [&](const std::string& path, const std::string& body) {
-        s.state.limited = 1;
-        Seconds began = s.loop.now();
-        Answer a = s.call(0, "POST", path, body);
+        deployment.store.transactions_to_limit = 1;
+        Seconds began = deployment.loop.now();
+        Answer a = deployment.call(0, "POST", path, body);
         EXPECT_EQ(a.status, 429) << path;
-        EXPECT_LT(s.loop.now() - began, 0.3) << path;
-        EXPECT_EQ(s.state.limited, 0) << "sent once";
+        EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
+        EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
     };
     refused("/v2/runs", job_body("job-1"));
-    EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 404);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     refused("/v2/runs/job-1/withdraw", "");
-    EXPECT_EQ(phase_of(s.call(0, "GET", "/v2/runs/job-1")), "pending");
-    EXPECT_EQ(phase_of(s.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+    EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "pending");
+    EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
 }
 
 // A record of a later version: its tasks are left alone, its machine gets nothing, its user is asked to come
 // again.
 TEST(Upgrade, DecidesNothingOnARecordOfANewerRecordFormat) {
-    Site s;
+    Deployment deployment;
     JobRecord r = large_record("job-7", 1, 1);
     std::string packed = r.pack(2);
     packed.back() = 3;  // "v", packed last
     ASSERT_TRUE(newer_record_format(packed));
-    keep(s, "j/job-7", packed);
-    s.start(0);
-    ASSERT_TRUE(s.until([&] { return s.leader() == 0; }));
-    s.run(1);
+    keep(deployment, "j/job-7", packed);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
     FakeWorker w;
     w.name = r.live.at(0).machine;
     w.tasks = {{{"job-7", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false},
                {{"job-7", 5}, 9, TaskPhase::kExited, ExitCause::kDone, false}};
-    s.settle(w);
-    EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-7").status, 503);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs/job-7/withdraw").status, 503);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
-    EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
-    for (int i = 0; i < 3; ++i) s.send_report(w, 0);
+    deployment.settle(w);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-7").status, 503);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-7/withdraw").status, 503);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
+    for (int i = 0; i < 3; ++i) deployment.send_report(w, 0);
     ASSERT_EQ(w.tasks.size(), 2u) << "neither forgotten";
     ASSERT_TRUE(w.find("job-7/0"));
     EXPECT_EQ(w.find("job-7/0")->phase, TaskPhase::kRunning) << "nor halted";
-    EXPECT_EQ(s.state.rows.at("j/job-7").data, packed);
+    EXPECT_EQ(deployment.store.rows.at("j/job-7").data, packed);
     FakeWorker other;
-    s.settle(other);
-    s.send_report(other, 0);
+    deployment.settle(other);
+    deployment.send_report(other, 0);
     EXPECT_TRUE(other.find("job-8/0")) << "the others are served";
 }
 
 TEST(Upgrade, DoesNotLeadOverANewerRecordFormat) {
-    for (const std::string& kept : {pack_record_format(3), Packer().text("not a form").take()}) {
-        Site s;
-        keep(s, "form", kept);
-        s.start(0);
-        s.run(10);
-        EXPECT_EQ(s.leader(), -1);
-        EXPECT_EQ(s.state.rows.count("leader"), 0u);
-        EXPECT_EQ(s.call(0, "GET", "/ready").status, 503);
-        EXPECT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 503);
+    for (const std::string& kept : {pack_record_format(3), packed_text("not a form")}) {
+        Deployment deployment;
+        keep(deployment, "form", kept);
+        deployment.start(0);
+        deployment.run(10);
+        EXPECT_EQ(deployment.leader(), -1);
+        EXPECT_EQ(deployment.store.rows.count("leader"), 0u);
+        EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 503);
+        EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 503);
     }
 }
--- a/tests/user_answers_test.cc
+++ b/tests/user_answers_test.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "jobs/record.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -17,7 +17,7 @@
 // A state service that carries out every request at once, and keeps back the answer of one.
 class HeldState {
   public:
-    HeldState(Loop& loop, FakeState& state, Address at)
+    HeldState(Loop& loop, FakeStore& state, Address at)
         : loop_(loop),
           state_(state),
           released_(loop),
@@ -47,7 +47,7 @@
     }
 
     Loop& loop_;
-    FakeState& state_;
+    FakeStore& state_;
     Signal released_;
     bool holding_ = false;
     std::string awaited_path_, awaited_part_;
@@ -59,57 +59,53 @@
     bool arrived = false;
 };
 
-std::string phase_in(const Answer& answer) {
-    auto message = Message::parse(answer.body);
-    return message ? message->root()["phase"].text_or("") : "";
-}
-
 struct UserAnswers : testing::Test {
-    Site site{1};
+    Deployment deployment{1};
     std::unique_ptr<HeldState> held_state;
     PendingAnswer slow;
-    Scope users{site.loop};
+    Scope users{deployment.loop};
 
     UserAnswers() {
-        site.configs[0].state = address(20, 2379);
-        held_state = std::make_unique<HeldState>(site.loop, site.state, site.configs[0].state);
-        site.start(0);
-        EXPECT_TRUE(site.until([&] { return site.leader() == 0; }));
-        site.run(3);
+        deployment.configs[0].state = address(20, 2379);
+        held_state =
+            std::make_unique<HeldState>(deployment.loop, deployment.store, deployment.configs[0].state);
+        deployment.start(0);
+        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        deployment.run(3);
     }
     ~UserAnswers() override {
         users.cancel();
-        site.kill(0);
+        deployment.kill(0);
         held_state->stop();
-        unwind(site.loop);
+        unwind(deployment.loop);
     }
     Task<void> ask(std::string method, std::string path, std::string body) {
-        HttpClient http(site.loop, site.configs[0].listen, 1);
+        HttpClient http(deployment.loop, deployment.configs[0].listen, 1);
         slow.answer = co_await http.call(std::move(method), std::move(path), std::move(body), kCallLimit_s);
         slow.arrived = true;
     }
     // Asks, and returns once the answer of the state service is held.
     bool ask_slowly(std::string method, std::string path, std::string body = "") {
         users.spawn(ask(std::move(method), std::move(path), std::move(body)), "slow user");
-        return site.until([&] { return held_state->holding(); }, kCallLimit_s);
+        return deployment.until([&] { return held_state->holding(); }, kCallLimit_s);
     }
     bool slow_answer_arrives() {
         held_state->release();
-        return site.until([&] { return slow.arrived; }, kCallLimit_s);
+        return deployment.until([&] { return slow.arrived; }, kCallLimit_s);
     }
-    int submit() { return site.call(0, "POST", kRuns, job_body(kJob)).status; }
+    int submit() { return deployment.call(0, "POST", kRuns, job_body(kJob)).status; }
 };
 
 TEST_F(UserAnswers, ASlowPollSaysNothingOlderThanACancellation) {
     ASSERT_EQ(submit(), 201);
     held_state->hold_next("/keys/" + live_key(kJob));
     ASSERT_TRUE(ask_slowly("GET", kQuery));
-    Answer cancelled = site.call(0, "POST", kQuery + "/withdraw");
+    Answer cancelled = deployment.call(0, "POST", kQuery + "/withdraw");
     EXPECT_EQ(cancelled.status, 200);
-    EXPECT_EQ(phase_in(cancelled), "withdrawn");
+    EXPECT_EQ(phase_of(cancelled), "withdrawn");
     ASSERT_TRUE(slow_answer_arrives());
     EXPECT_EQ(slow.answer.status, 200);
-    EXPECT_EQ(phase_in(slow.answer), "withdrawn");
+    EXPECT_EQ(phase_of(slow.answer), "withdrawn");
 }
 
 TEST_F(UserAnswers, ASlowPollSaysNothingOlderThanTheEndOfTheJob) {
@@ -118,12 +114,12 @@
     ASSERT_TRUE(ask_slowly("GET", kQuery));
     // As the leader does when the last task has ended.
     FinalRecord final{kJob, false, 1, 1};
-    site.state.rows.erase(live_key(kJob));
-    site.state.rows[final_key(kJob)] = {final.pack(), ++site.state.revision, 0};
-    EXPECT_EQ(phase_in(site.call(0, "GET", kQuery)), "done");
+    deployment.store.rows.erase(live_key(kJob));
+    deployment.store.rows[final_key(kJob)] = {final.pack(), ++deployment.store.revision, 0};
+    EXPECT_EQ(phase_of(deployment.call(0, "GET", kQuery)), "done");
     ASSERT_TRUE(slow_answer_arrives());
     EXPECT_EQ(slow.answer.status, 200);
-    EXPECT_EQ(phase_in(slow.answer), "done");
+    EXPECT_EQ(phase_of(slow.answer), "done");
 }
 
 TEST_F(UserAnswers, ASlowPollDoesNotDenyAJobThatWasAcceptedMeanwhile) {
@@ -132,16 +128,16 @@
     ASSERT_EQ(submit(), 201);
     ASSERT_TRUE(slow_answer_arrives());
     EXPECT_EQ(slow.answer.status, 503);
-    EXPECT_EQ(site.call(0, "GET", kQuery).status, 200);
+    EXPECT_EQ(deployment.call(0, "GET", kQuery).status, 200);
 }
 
 TEST_F(UserAnswers, ALateAcceptanceSaysThatTheJobWasCancelledMeanwhile) {
     held_state->hold_next("/txn", live_key(kJob));
     ASSERT_TRUE(ask_slowly("POST", kRuns, job_body(kJob)));
-    EXPECT_EQ(phase_in(site.call(0, "POST", kQuery + "/withdraw")), "withdrawn");
+    EXPECT_EQ(phase_of(deployment.call(0, "POST", kQuery + "/withdraw")), "withdrawn");
     ASSERT_TRUE(slow_answer_arrives());
     EXPECT_EQ(slow.answer.status, 201);
-    EXPECT_EQ(phase_in(slow.answer), "withdrawn");
+    EXPECT_EQ(phase_of(slow.answer), "withdrawn");
 }
 
 }  // namespace
