--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -123,7 +123,7 @@
     deployment.run(1);
     FakeWorker w;
     deployment.settle(w);
-    uint64_t epoch = w.epoch;
+    uint64_t fencing_token = w.fencing_token;
     ASSERT_EQ(deployment.call(second, "POST", "/v2/runs", job_body("job-1")).status, 201)
         << "any node serves users";
     deployment.send_report(w, first);
@@ -133,7 +133,7 @@
     deployment.kill(first);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == second; }, 15));
     deployment.settle(w);
-    EXPECT_GT(w.epoch, epoch);
+    EXPECT_GT(w.fencing_token, fencing_token);
     deployment.send_report(w, second);
     ASSERT_TRUE(w.find("job-1/0"));
     EXPECT_EQ(w.find("job-1/0")->attempt, 1u);
@@ -175,12 +175,12 @@
 TEST(Controller, ARestartDuringItsOwnLeadershipTakesANewEpoch) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
-    uint64_t epoch = deployment.node(0).election().epoch();
+    uint64_t fencing_token = deployment.node(0).election().fencing_token();
     deployment.kill(0);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 3))
         << "well before the lease ends";
-    EXPECT_GT(deployment.node(0).election().epoch(), epoch);
+    EXPECT_GT(deployment.node(0).election().fencing_token(), fencing_token);
 }
 
 // A leader's transaction is held up, the leader is deposed, and the transaction arrives after all.
@@ -285,7 +285,7 @@
     EXPECT_EQ(deployment.send_report(w, other), 421);
     deployment.run(5);
     EXPECT_EQ(deployment.send_report(w, other), 200);
-    EXPECT_EQ(w.epoch, deployment.node(deployment.leader()).election().epoch());
+    EXPECT_EQ(w.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
 }
 
 // A leader that keeps the state service but that no worker reaches gives way to one that they reach.
@@ -376,7 +376,7 @@
         r.spec.team = "team";
         r.spec.tasks = 1;
         r.spec.image = std::string(5000, 'x');
-        Txn t;
+        Transaction t;
         t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
         ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
     }
@@ -419,14 +419,14 @@
     ASSERT_EQ(jobs.find("job-1")->live.size(), 1u);
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
     EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
-    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(w.name)->last_report;
+    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(w.name)->last_heartbeat;
     for (int i = 0; i < 3; ++i) {
         deployment.run(deployment.configs[0].lease_s);
         EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503);
     }
     auto l = deployment.node(leader).leader();
     auto it = l->cluster().machines.find(w.name);
-    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_report == heard)
+    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_heartbeat == heard)
         << "it was not taken for alive";
     EXPECT_FALSE(deployment.cloud.deleted.empty()) << "but replaced";
 }
@@ -484,11 +484,11 @@
         }
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 5));
-        uint64_t epoch = deployment.node(0).election().epoch();
-        EXPECT_EQ(epoch, late_first ? 2u : 1u) << "the old transaction took effect, or never will";
+        uint64_t fencing_token = deployment.node(0).election().fencing_token();
+        EXPECT_EQ(fencing_token, late_first ? 2u : 1u) << "the old transaction took effect, or never will";
         EXPECT_NE(deployment.store.apply(old).status, 200) << "its conditions or its lease are gone";
         deployment.run(5);
-        EXPECT_EQ(deployment.node(0).election().epoch(), epoch);
+        EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
         EXPECT_EQ(deployment.leader(), 0);
     }
 }
@@ -527,7 +527,7 @@
     EXPECT_LE(static_cast<double>(run_passes),
               2 + (deployment.loop.now() - began) / constants::kPassInterval_s);
     EXPECT_LT(run_passes, 50u) << "far fewer than reports";
-    EXPECT_EQ(deployment.node(0).leader()->machines_reported(), 1000u);
+    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000u);
 }
 
 // Controllers that start in an outage of the state service are open for users all the same, and tell them
@@ -690,7 +690,7 @@
             EXPECT_TRUE(deployment.cloud.deleted.empty()) << steps;
             if (followed) break;
             deployment.run(2.5);
-            EXPECT_EQ(deployment.node(0).election().epoch(), 1u) << "it leads still";
+            EXPECT_EQ(deployment.node(0).election().fencing_token(), 1u) << "it leads still";
             for (auto& w : workers) deployment.settle(w);
             deployment.run(3);
         }
@@ -706,11 +706,11 @@
     int leader = deployment.leader();
     int other = 1 - leader;
     deployment.run(4);
-    uint64_t epoch = deployment.node(leader).election().epoch();
+    uint64_t fencing_token = deployment.node(leader).election().fencing_token();
     peer::Heartbeat b{};
     peer::set_label(b, deployment.config(other).label);
     b.incarnation = 7;
-    b.epoch = 50;
+    b.fencing_token = 50;
     b.leads = 1;
     b.asked_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
     std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
@@ -727,7 +727,7 @@
     scope.spawn(send(deployment.loop, deployment.config(leader).peer_listen, frames), "copies");
     deployment.run(4);
     EXPECT_EQ(deployment.leader(), leader);
-    EXPECT_EQ(deployment.node(leader).election().epoch(), epoch);
+    EXPECT_EQ(deployment.node(leader).election().fencing_token(), fencing_token);
 }
 
 // Requests that were carried out come again, late: every transaction of the controllers and all that users
@@ -748,7 +748,7 @@
         ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
         deployment.send_report(w, 0);
         deployment.send_report(w, 0);
-        ReportedTask* t = w.find(std::string(id) + "/0");
+        TaskStatus* t = w.find(std::string(id) + "/0");
         ASSERT_TRUE(t) << id;
         if (std::string(id) == "job-1") {
             exit_task(*t, ExitCause::kDone);
@@ -767,7 +767,7 @@
     ASSERT_TRUE(before.count("f/job-1") && before.count("f/job-2") && before.count("j/job-3"));
     auto repeated = transactions;
     ASSERT_GT(repeated.size(), 8u);
-    uint64_t epoch = deployment.node(0).election().epoch();
+    uint64_t fencing_token = deployment.node(0).election().fencing_token();
     for (int round = 0; round < 2; ++round) {
         for (const auto& body : repeated) deployment.store.apply(body);
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
@@ -779,6 +779,6 @@
         deployment.send_report(w, 0);
         EXPECT_EQ(kept(), before);
         EXPECT_EQ(w.tasks.size(), 1u) << "nothing was started again";
-        EXPECT_EQ(deployment.node(0).election().epoch(), epoch);
+        EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
     }
 }
--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -76,20 +76,21 @@
 
 // --- answers of transactions that are lost --------------------------------------------------------------
 
-enum class Transaction { kOther, kAccept, kBind, kEnd, kCancellation };
+enum class TransactionKind { kOther, kAccept, kBind, kEnd, kCancellation };
 
-Transaction kind_of(const std::string& body) {
+TransactionKind kind_of(const std::string& body) {
     auto message = Message::parse(body);
     Node when = message->root()["when"], writes = message->root()["writes"];
     std::string first = writes.size() > 0 ? writes.at(0)["put"].text_or("") : "";
     bool job = first.rfind("j/", 0) == 0, final = first.rfind("f/", 0) == 0;
-    if (!job && !final) return Transaction::kOther;
-    if (when.at(0)["k"].text_or("") == "leader") return final ? Transaction::kEnd : Transaction::kBind;
-    return when.size() == 2 ? Transaction::kAccept : Transaction::kCancellation;
+    if (!job && !final) return TransactionKind::kOther;
+    if (when.at(0)["k"].text_or("") == "leader")
+        return final ? TransactionKind::kEnd : TransactionKind::kBind;
+    return when.size() == 2 ? TransactionKind::kAccept : TransactionKind::kCancellation;
 }
 
 // The next `most` transactions of this kind are carried out at once, and only their answers are lost.
-std::shared_ptr<int> lose_answers(FaultScenario& scenario, Transaction kind, int most) {
+std::shared_ptr<int> lose_answers(FaultScenario& scenario, TransactionKind kind, int most) {
     auto lost = std::make_shared<int>(0);
     scenario.deployment.store.let_through = [&scenario, kind, most, lost](const std::string& body) {
         if (kind_of(body) != kind || *lost >= most) return true;
@@ -100,7 +101,7 @@
     return lost;
 }
 
-void lost_answers(FaultScenario& scenario, Transaction kind) {
+void lost_answers(FaultScenario& scenario, TransactionKind kind) {
     UserCrowd crowd(scenario);
     auto lost = lose_answers(scenario, kind, 4);
     crowd.submit(job_name(1), 2, 5, 0);
@@ -109,7 +110,7 @@
     scenario.starts(job_name(2));
     crowd.cancel(job_name(2), 0);
     scenario.deployment.run(20);
-    if (kind == Transaction::kEnd || kind == Transaction::kBind) {
+    if (kind == TransactionKind::kEnd || kind == TransactionKind::kBind) {
         // Once more, and the leader ends without knowing what became of it.
         int before = *lost;
         lost = lose_answers(scenario, kind, 1);
@@ -174,13 +175,13 @@
     {"UsersAskEverywhereAsTheLeaderIsRefused", 3, 3,
      [](FaultScenario& scenario) { ask_everywhere(scenario, LeaderFault::kRefusedAtEnd); }},
     {"TheAnswerToAnAcceptIsLost", 3, 3,
-     [](FaultScenario& scenario) { lost_answers(scenario, Transaction::kAccept); }},
+     [](FaultScenario& scenario) { lost_answers(scenario, TransactionKind::kAccept); }},
     {"TheAnswerToABindingIsLost", 3, 3,
-     [](FaultScenario& scenario) { lost_answers(scenario, Transaction::kBind); }},
+     [](FaultScenario& scenario) { lost_answers(scenario, TransactionKind::kBind); }},
     {"TheAnswerToAnEndIsLost", 3, 3,
-     [](FaultScenario& scenario) { lost_answers(scenario, Transaction::kEnd); }},
+     [](FaultScenario& scenario) { lost_answers(scenario, TransactionKind::kEnd); }},
     {"TheAnswerToACancellationIsLost", 3, 3,
-     [](FaultScenario& scenario) { lost_answers(scenario, Transaction::kCancellation); }},
+     [](FaultScenario& scenario) { lost_answers(scenario, TransactionKind::kCancellation); }},
     // Stops of cancelled work and of work that yields, from a leader that is deposed when they arrive.
     {"CommandsOfADeposedLeaderComeLate", 3, 4,
      [](FaultScenario& scenario) {
@@ -253,7 +254,7 @@
          for (auto& g : scenario.store_proxies)
              g->request_delay = [](const Request& r) { return r.path == "/txn" ? 0.8 : 0.0; };
          scenario.deployment.store.let_through = [random](const std::string& body) {
-             return kind_of(body) == Transaction::kOther || (*random)() % 3 != 0;
+             return kind_of(body) == TransactionKind::kOther || (*random)() % 3 != 0;
          };
          scenario.fleet.rent_on_request(4, 1);
          size_t machines = scenario.fleet.machines().size();
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <set>
 
-#include "base/bucket.h"
 #include "base/constants.h"
+#include "base/token_bucket.h"
 #include "standins/deployment.h"
 
 using namespace hareshore;
@@ -48,7 +48,7 @@
     r.spec.estimate_s = 60;
     r.spec.checkpoint_s = 10;
     r.spec.save_s = 2;
-    r.accepted_wall = 1;
+    r.accepted_wall = {1};
     r.next_attempt = tasks + 1;
     for (uint32_t n = 0; n < tasks; ++n) {
         uint32_t machine = n % machines;
@@ -58,7 +58,7 @@
 }
 
 void store(Deployment& deployment, const JobRecord& r) {
-    Txn t;
+    Transaction t;
     t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
     ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
 }
@@ -107,7 +107,7 @@
 size_t exits_kept(const std::vector<FakeWorker>& workers) {
     size_t n = 0;
     for (const auto& w : workers)
-        n += static_cast<size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [](const ReportedTask& t) {
+        n += static_cast<size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [](const TaskStatus& t) {
             return t.phase == TaskPhase::kExited;
         }));
     return n;
@@ -307,7 +307,7 @@
     constexpr uint32_t kTasks = 150;
     Deployment deployment;
     announce_limits(deployment);
-    deployment.configs[0].report_s = 10;
+    deployment.configs[0].heartbeat_interval_s = 10;
     JobRecord r = running_array("job-1", kTasks, kTasks, 1);
     ASSERT_GT(json_text(r.pack(1)).size(), kLaterValueBytes);
     store(deployment, r);
@@ -425,7 +425,7 @@
     for (int i = 0; i < 12; ++i) deployment.send_report(w, lead);
     ASSERT_EQ(w.tasks.size(), before.size());
     // From here on the service keeps to the rate.
-    Bucket rate(kLaterWriteRate, kLaterWriteRate);
+    TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
     deployment.store.let_through = [&](const std::string& txn) {
         auto m = Message::parse(txn);
         deployment.store.transactions_to_limit =
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -234,7 +234,7 @@
             const std::string& job = task.name.job;
             std::string name = task.name.text();
             if (jobs.services.count(job) == 0) ++gpus;
-            if (jobs.one_zone.count(job) > 0 &&
+            if (jobs.single_zone.count(job) > 0 &&
                 zone_of_job.emplace(job, worker.zone).first->second != worker.zone)
                 ADD_FAILURE() << name << " is not in its job's zone";
             if (!machine_of_task.emplace(name, worker.name).second)
--- a/tests/scenario/job_ledger.cc
+++ b/tests/scenario/job_ledger.cc
@@ -12,7 +12,7 @@
     bodies[id] = job_body(id, [&](JobFields& fields) {
         set_tasks(fields, tasks);
         if (change) change(fields);
-        if (fields["one_zone"] == packed_flag(true)) one_zone.insert(id);
+        if (fields["one_zone"] == packed_flag(true)) single_zone.insert(id);
         if (fields["shape"].find("ensemble") != std::string::npos) gangs[id] = tasks;
     });
 }
--- a/tests/scenario/job_ledger.h
+++ b/tests/scenario/job_ledger.h
@@ -28,7 +28,7 @@
     std::map<std::string, Seconds> run_times;
     std::map<std::string, size_t> gangs;        // and their tasks
     std::map<std::string, uint32_t> services;   // and their replicas
-    std::set<std::string> one_zone;             // those whose tasks must share a zone
+    std::set<std::string> single_zone;          // those whose tasks must share a zone
     std::set<std::string> accepted;             // those whose submission was confirmed
     std::map<std::string, Seconds> cancelled;   // when a user was first told that the job is cancelled
     std::map<std::string, std::string> finals;  // the final phase that users were told
--- a/tests/scenario/simulated_fleet.cc
+++ b/tests/scenario/simulated_fleet.cc
@@ -35,8 +35,8 @@
 
 bool SimulatedMachine::takes(const std::string& command) const {
     auto message = Message::parse(command);
-    return message->root()["epoch"].count_or(0) >= worker.epoch &&
-           message->root()["tenure"].count_or(0) == worker.session;
+    return message->root()["epoch"].count_or(0) >= worker.fencing_token &&
+           message->root()["tenure"].count_or(0) == worker.incarnation;
 }
 
 SimulatedFleet::SimulatedFleet(Deployment& deployment, JobLedger& jobs)
@@ -138,8 +138,8 @@
     if (machine.cannot_report || machine.cut) co_return kRetry_s;
     machine.report_soon = false;
     Seconds sent = loop.now();
-    machine.last_report = sent;
-    uint64_t session = machine.worker.session;
+    machine.last_heartbeat = sent;
+    uint64_t incarnation = machine.worker.incarnation;
     machine.reports.push_back(machine.worker.report());
     HttpClient http(loop, deployment_.config(asked).listen, 1);
     Answer answer = co_await http.call("POST", "/hello", machine.reports.back(), kReportTimeout_s);
@@ -149,8 +149,8 @@
     if (!heard || answer.status != 200) co_return kRetry_s;
     machine.node = asked;
     auto parsed = Message::parse(answer.body);
-    if (machine.worker.session == session && parsed &&
-        parsed->root()["epoch"].count_or(0) >= machine.worker.epoch) {
+    if (machine.worker.incarnation == incarnation && parsed &&
+        parsed->root()["epoch"].count_or(0) >= machine.worker.fencing_token) {
         carry_out(machine, answer.body);
         machine.lease_from = sent;
     }
@@ -187,17 +187,18 @@
     if (machine.deleted || !machine.takes(command)) co_return;
     ++late_commands_carried_out_;
     carry_out(machine, command);
-    ++machine.worker.seq;  // its answer is numbered like a report, and lost
+    ++machine.worker.sequence;  // its answer is numbered like a report, and lost
 }
 
 void SimulatedFleet::carry_out(SimulatedMachine& machine, const std::string& body) {
     FakeWorker& worker = machine.worker;
     std::set<std::pair<std::string, uint64_t>> before;
     for (const auto& task : worker.tasks) before.insert({task.name.text(), task.attempt});
-    uint64_t epoch = worker.epoch;
+    uint64_t fencing_token = worker.fencing_token;
     size_t live = worker.live_tasks();
     worker.carry_out(body);
-    machine.report_soon = machine.report_soon || worker.epoch != epoch || worker.live_tasks() != live;
+    machine.report_soon =
+        machine.report_soon || worker.fencing_token != fencing_token || worker.live_tasks() != live;
     Seconds now = deployment_.loop.now();
     for (const auto& task : worker.tasks) {
         if (task.phase == TaskPhase::kExited || before.count({task.name.text(), task.attempt}) > 0) continue;
@@ -214,7 +215,7 @@
     co_await http.call("POST", "/hello", std::move(body), kReportTimeout_s);
 }
 
-bool SimulatedFleet::gang_broken(const ReportedTask& task, Seconds now) {
+bool SimulatedFleet::gang_broken(const TaskStatus& task, Seconds now) {
     auto gang = jobs_.gangs.find(task.name.job);
     if (gang == jobs_.gangs.end() || jobs_.done.count(task.name.job) > 0) return false;
     size_t live = 0;
@@ -245,19 +246,19 @@
 void SimulatedFleet::advance_machine(SimulatedMachine& machine, Seconds now) {
     if (!machine.hung && now - machine.lease_from > deployment_.config(0).lease_s) {
         machine.worker.tasks.clear();
-        ++machine.worker.session;
-        machine.worker.seq = 0;
+        ++machine.worker.incarnation;
+        machine.worker.sequence = 0;
         machine.lease_from = now;
         machine.report_soon = true;
     }
     if (!machine.hung)
         for (auto& task : machine.worker.tasks) advance_task(machine, task, now);
     if (repeat_old_reports_ && machine.reports.size() > kResendFrom &&
-        now - machine.last_report > kResendAfter_s)
+        now - machine.last_heartbeat > kResendAfter_s)
         scope_.spawn(resend(machine.reports[machine.reports.size() / 2], machine.node), "copy");
 }
 
-void SimulatedFleet::advance_task(SimulatedMachine& machine, ReportedTask& task, Seconds now) {
+void SimulatedFleet::advance_task(SimulatedMachine& machine, TaskStatus& task, Seconds now) {
     if (task.phase == TaskPhase::kExited) return;
     if (gang_broken(task, now)) {
         exit_task(task, ExitCause::kPeersGone);
--- a/tests/scenario/simulated_fleet.h
+++ b/tests/scenario/simulated_fleet.h
@@ -23,7 +23,7 @@
     bool cut = false;            // nothing arrives either way
     bool deleted = false;        // by the cloud
     bool report_soon = false;    // something has changed since its last report
-    Seconds lease_from = 0, last_report = -1e9;
+    Seconds lease_from = 0, last_heartbeat = -1e9;
     std::map<std::string, Seconds> ends;  // of its tasks, by name
     std::vector<std::string> reports;     // the bodies of all that it sent
     std::unique_ptr<HttpServer> commands;
@@ -82,9 +82,9 @@
     Task<void> resend(std::string body, int node);
 
     void advance_machine(SimulatedMachine& machine, Seconds now);
-    void advance_task(SimulatedMachine& machine, ReportedTask& task, Seconds now);
+    void advance_task(SimulatedMachine& machine, TaskStatus& task, Seconds now);
     // Whether the rest of a gang was complete, and lacks a task or has one on a machine that hangs.
-    bool gang_broken(const ReportedTask& task, Seconds now);
+    bool gang_broken(const TaskStatus& task, Seconds now);
 
     Deployment& deployment_;
     JobLedger& jobs_;
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -40,7 +40,7 @@
     team.name = "team";
     team.gpus_max = 8;
     config.teams = {team};
-    config.report_s = 3;
+    config.heartbeat_interval_s = 3;
     config.lease_s = 24;
     config.gang_wait_s = 40;
     config.gang_peer_s = 4;
@@ -147,7 +147,7 @@
     for (int i = 0; i < kSettleTries; ++i) {
         int leading = leader();
         if (leading != kNoLeader && send_report(worker, leading) == 200 &&
-            worker.epoch == node(leading).election().epoch())
+            worker.fencing_token == node(leading).election().fencing_token())
             return;
         run(kSettlePause_s);
     }
--- a/tests/standins/deployment.h
+++ b/tests/standins/deployment.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "base/clock.h"
+#include "controller/controller.h"
 #include "http/client.h"
-#include "node.h"
 #include "standins/addresses.h"
 #include "standins/cloud.h"
 #include "standins/job_bodies.h"
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -25,7 +25,7 @@
     Packer packer;
     packer.map(10).key("host").text(name).key("addr").text(addr);
     packer.key("flavor").text(machine_type).key("cove").text(zone).key("driftwood").flag(spot);
-    packer.key("tenure").count(session).key("tick").count(++seq).key("epoch").count(epoch);
+    packer.key("tenure").count(incarnation).key("tick").count(++sequence).key("epoch").count(fencing_token);
     packer.key("warning_s");
     if (notice_s) {
         packer.number(*notice_s);
@@ -44,15 +44,15 @@
 void FakeWorker::carry_out(const std::string& body) {
     auto message = Message::parse(body);
     ASSERT_TRUE(message);
-    uint64_t command_epoch = message->root()["epoch"].count_or(0);
-    if (command_epoch < epoch) return;  // dropped
-    epoch = command_epoch;
+    uint64_t command_fencing_token = message->root()["epoch"].count_or(0);
+    if (command_fencing_token < fencing_token) return;  // dropped
+    fencing_token = command_fencing_token;
     Node commands = message->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
         auto task_name = *TaskName::parse(*commands.at(i)["piece"].text());
         uint64_t attempt = *commands.at(i)["try"].count();
-        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const ReportedTask& here) {
+        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& here) {
             return here.name == task_name && here.attempt == attempt;
         });
         bool here = task != tasks.end();
@@ -70,19 +70,18 @@
     co_return answer.status;
 }
 
-ReportedTask* FakeWorker::find(const std::string& task) {
+TaskStatus* FakeWorker::find(const std::string& task) {
     for (auto& here : tasks)
         if (here.name.text() == task) return &here;
     return nullptr;
 }
 
 size_t FakeWorker::live_tasks() const {
-    return static_cast<size_t>(std::count_if(tasks.begin(), tasks.end(), [](const ReportedTask& task) {
-        return task.phase != TaskPhase::kExited;
-    }));
+    return static_cast<size_t>(std::count_if(
+        tasks.begin(), tasks.end(), [](const TaskStatus& task) { return task.phase != TaskPhase::kExited; }));
 }
 
-void exit_task(ReportedTask& task, ExitCause cause) {
+void exit_task(TaskStatus& task, ExitCause cause) {
     task.phase = TaskPhase::kExited;
     task.cause = cause;
 }
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -13,8 +13,8 @@
 struct FakeWorker {
     std::string name = "vm-000001", addr = "127.0.0.1:9", machine_type = "g2", zone = "a";
     bool spot = false;
-    uint64_t session = 1, seq = 0, epoch = 0;
-    std::vector<ReportedTask> tasks;
+    uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
+    std::vector<TaskStatus> tasks;
     std::optional<double> notice_s;  // spot notice
     bool deaf = false;               // its reports arrive, the answers to them do not
 
@@ -25,11 +25,11 @@
     // Carries out the commands of an answer or of a direct command, unless they are of an earlier epoch.
     void carry_out(const std::string& body);
     // The task "JOB/NUMBER"; null if it is not here.
-    ReportedTask* find(const std::string& task);
+    TaskStatus* find(const std::string& task);
     // Tasks that have not exited.
     [[nodiscard]] size_t live_tasks() const;
 };
 
-void exit_task(ReportedTask& task, ExitCause cause);
+void exit_task(TaskStatus& task, ExitCause cause);
 
 }  // namespace hareshore::test
