--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -7,6 +7,7 @@
 #include <fstream>
 
 #include "standins/deployment.h"
+#include "standins/settings_text.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -21,30 +22,7 @@
 // What `hareshore --check` says of settings with these later limits in [facts.state].
 Checked check(const std::string& next) {
     std::string path = testing::TempDir() + "/settings-" + std::to_string(getpid()) + ".toml";
-    std::ofstream(path) << R"(label = "n0"
-site = "a"
-client_listen = "10.0.0.1:8080"
-back = "10.0.0.1:8081"
-[endpoints]
-cloud = "10.2.0.2:8443"
-state = "10.2.0.1:2379"
-[facts]
-zones = ["a", "b"]
-skew_ms = 250.0
-[[facts.teams]]
-name = "t"
-[facts.workers]
-report_s = 3.0
-lease_s = 24.0
-gang_wait_s = 40.0
-gang_peer_s = 4.0
-cancel_s = 49.0
-[facts.state]
-rps = 80.0
-write_rps = 15.0
-value_kb = 8.0
-txn_ops = 12
-)" << next << "\n[facts.cloud]\nrps = 6.0\nlist_lag_s = 6.0\n";
+    std::ofstream(path) << settings_with_store_limits(next);
     Checked out;
     std::string command = std::string(HARESHORE_PROGRAM) + " --check --config '" + path + "' 2>&1";
     FILE* pipe = popen(command.c_str(), "r");
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -10,10 +10,13 @@
 #include "http/pack.h"
 #include "jobs/record.h"
 #include "peer/frames.h"
+#include "standins/mutations.h"
+#include "standins/settings_text.h"
 #include "users/wire.h"
 #include "workers/workers.h"
 
 using namespace hareshore;
+using namespace hareshore::test;
 
 TEST(Ranges, MatchASetUnderRandomChanges) {
     std::mt19937 rng(7);
@@ -65,39 +68,8 @@
     }
 }
 
-static const char* kGood = R"(
-label = "n0"
-site = "a"
-client_listen = "10.0.0.1:8080"
-back = "10.0.0.1:8081"
-future = "ignored é"  # également
-[endpoints]
-cloud = "10.2.0.2:8443"
-state = "10.2.0.1:2379"
-[facts]
-zones = ["a", "b"]
-skew_ms = 250.0
-[[facts.teams]]
-name = "t"
-gpus_max = 8.0
-[facts.workers]
-report_s = 3.0
-lease_s = 24.0
-gang_wait_s = 40.0
-gang_peer_s = 4.0
-cancel_s = 49.0
-[facts.state]
-rps = 80.0
-write_rps = 15.0
-value_kb = 8.0
-txn_ops = 12
-[facts.cloud]
-rps = 6.0
-list_lag_s = 6.0
-)";
-
 TEST(Config, ReadsTheFileAndIgnoresWhatItDoesNotKnow) {
-    Config c = Config::parse(kGood);
+    Config c = Config::parse(kSettingsText);
     EXPECT_EQ(c.label, "n0");
     EXPECT_EQ(c.zones.size(), 2u);
     EXPECT_EQ(c.value_bytes, 8192u);
@@ -105,7 +77,7 @@
     EXPECT_EQ(c.team("u"), nullptr);
     EXPECT_EQ(c.ram_bytes, 0u) << "not said";
     // A larger deployment than any so far, with fields that are new.
-    std::string text = std::string(kGood) +
+    std::string text = std::string(kSettingsText) +
                        "[facts.machine_limits]\ncores = 0.2\nram_mb = 300.0\nsockets = 4000\ngpus = 1\n";
     for (int i = 0; i < 40; ++i)
         text += "[[siblings]]\nlabel = \"m" + std::to_string(i) + "\"\nsite = \"z" + std::to_string(i % 9) +
@@ -117,11 +89,7 @@
 }
 
 TEST(Config, TakesTheSmallerOfTodaysAndLaterLimits) {
-    auto with = [](const std::string& next) {
-        std::string text = kGood;
-        text.insert(text.find("[facts.cloud]"), next + "\n");
-        return Config::parse(text);
-    };
+    auto with = [](const std::string& next) { return Config::parse(settings_with_store_limits(next)); };
     Config c = with("");
     EXPECT_EQ(c.value_limit(1), 8192u);
     EXPECT_EQ(c.value_limit(2), 8192u);
@@ -153,7 +121,7 @@
 
 TEST(Config, NamesTheFieldThatIsMissingOrInvalid) {
     auto error = [](std::string from, std::string to) {
-        std::string text = kGood;
+        std::string text = kSettingsText;
         auto at = text.find(from);
         EXPECT_NE(at, std::string::npos);
         text.replace(at, from.size(), to);
@@ -236,23 +204,12 @@
         peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
         Cloud::pack_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
-        kGood};
+        kSettingsText};
     std::mt19937 rng(11);
     size_t taken = 0;
     for (int i = 0; i < 40000; ++i) {
         std::string s = seeds[rng() % seeds.size()];
-        for (int k = static_cast<int>(rng() % 4); k > 0 && !s.empty(); --k) {
-            switch (rng() % 3) {
-                case 0:
-                    s[rng() % s.size()] = static_cast<char>(rng());
-                    break;
-                case 1:
-                    s.resize(rng() % s.size());
-                    break;
-                default:
-                    s.insert(rng() % s.size(), 1, static_cast<char>(rng()));
-            }
-        }
+        mutate(s, rng);
         taken += JobRecord::unpack(s).has_value();
         taken += WorkerHeartbeat::parse(s).has_value();
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -9,7 +9,7 @@
 
 #include "jobs/record.h"
 #include "peer/frames.h"
-#include "standins/deployment.h"
+#include "standins/records.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -243,20 +243,6 @@
     deployment.run(1);
 }
 
-std::string from_hex(std::string_view hex) {
-    std::string bytes;
-    for (size_t i = 0; i + 1 < hex.size(); i += 2)
-        bytes += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
-    return bytes;
-}
-
-// Compared as text, so that a failure shows which byte moved.
-std::string to_hex(std::string_view bytes) {
-    std::string hex;
-    for (unsigned char byte : bytes) hex += fmt::format("{:02x}", byte);
-    return hex;
-}
-
 void expect_same(const JobRecord& read, const JobRecord& expected) {
     EXPECT_TRUE(read.spec == expected.spec);
     EXPECT_EQ(read.accepted_wall, expected.accepted_wall);
@@ -296,12 +282,6 @@
     return frame.value_or(peer::Frame{});
 }
 
-void store(Deployment& deployment, const std::string& key, std::string value) {
-    Transaction txn;
-    txn.expect(key, 0).put(key, std::move(value));
-    ASSERT_EQ(deployment.store.apply(txn.pack()).status, 200);
-}
-
 }  // namespace
 
 TEST(ProductionBytes, RecordsAreRead) {
@@ -366,7 +346,7 @@
 
 TEST(ProductionBytes, TheLeadersKeyIsRead) {
     Deployment deployment(2);
-    store(deployment, "leader", from_hex(kLeaderValue));
+    store_value(deployment, "leader", from_hex(kLeaderValue));
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return deployment.node(1).election().leader() == "node-0"; }));
     EXPECT_EQ(deployment.node(1).election().known_fencing_token(), kStoredFencingToken);
@@ -375,7 +355,7 @@
 
 TEST(ProductionBytes, TheTermIsReadAndNotUsedAgain) {
     Deployment deployment;
-    store(deployment, "term", from_hex(kTermValue));
+    store_value(deployment, "term", from_hex(kTermValue));
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     EXPECT_EQ(deployment.node(0).election().fencing_token(), kStoredFencingToken + 1);
@@ -384,7 +364,7 @@
 // The key is there, so records are written in format 2 also while nothing is known of the other controller.
 TEST(ProductionBytes, TheRecordFormatIsReadAndKept) {
     Deployment deployment(2);
-    store(deployment, "form", from_hex(kRecordFormatValue));
+    store_value(deployment, "form", from_hex(kRecordFormatValue));
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
@@ -397,17 +377,14 @@
 
 TEST(ProductionBytes, RecordsAreTakenOverFromTheStateService) {
     Deployment deployment;
-    store(deployment, "j/job-000731", from_hex(kArrayFormat2));
-    store(deployment, "j/job-000733", from_hex(kServiceFormat1));
-    store(deployment, "f/job-000734", from_hex(kDoneFinal));
-    store(deployment, "f/job-000735", from_hex(kCancelledFinal));
+    store_value(deployment, "j/job-000731", from_hex(kArrayFormat2));
+    store_value(deployment, "j/job-000733", from_hex(kServiceFormat1));
+    store_value(deployment, "f/job-000734", from_hex(kDoneFinal));
+    store_value(deployment, "f/job-000735", from_hex(kCancelledFinal));
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
-    auto phase = [&](const std::string& id) {
-        auto answer = Message::parse(deployment.call(0, "GET", "/v2/runs/" + id).body);
-        return answer ? answer->root()["phase"].text_or("") : "";
-    };
+    auto phase = [&](const std::string& id) { return phase_of(deployment.call(0, "GET", "/v2/runs/" + id)); };
     EXPECT_EQ(phase("job-000731"), "running");
     EXPECT_EQ(phase("job-000733"), "running");
     EXPECT_EQ(phase("job-000734"), "done");
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -4,6 +4,7 @@
 #include <random>
 
 #include "standins/deployment.h"
+#include "standins/mutations.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -108,24 +109,6 @@
 // Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
 namespace {
 
-void mutate(std::string& s, std::mt19937& rng) {
-    for (int k = static_cast<int>(rng() % 5); k > 0 && !s.empty(); --k) {
-        switch (rng() % 4) {
-            case 0:
-                s[rng() % s.size()] = static_cast<char>(rng());
-                break;
-            case 1:
-                s.resize(rng() % s.size());
-                break;
-            case 2:
-                s.insert(rng() % s.size(), s.substr(rng() % s.size(), rng() % 40));
-                break;
-            default:
-                s.insert(rng() % s.size(), 1, static_cast<char>(rng()));
-        }
-    }
-}
-
 // Answers every connection with the same bytes, then closes.
 struct RawPeer {
     Loop& loop;
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -5,163 +5,86 @@
 #include "fleet/scaling_plan.h"
 #include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
-#include "standins/deployment.h"
+#include "standins/scheduling_test.h"
+#include "standins/worker.h"
 
 using namespace hareshore;
+using namespace hareshore::test;
 
 namespace {
 
-struct Lifecycle : testing::Test {
-    Config config;
-    Settings settings;
-    Cluster cluster;
-    JobTable jobs;
-    Seconds now = 100;
-
-    Lifecycle() {
-        config.zones = {"a", "b"};
-        Team t;
-        t.name = "team";
-        t.gpus_max = 4;
-        config.teams = {t};
-        config.heartbeat_interval_s = 3;
-        config.lease_s = 24;
-        config.value_bytes = 8192;
-        config.cloud_rps = 6;
-        cluster.machine_types = {test::small_machine_type()};
-    }
-
-    JobSpec spec(const std::string& id, uint32_t tasks, JobKind shape = JobKind::kArray) {
-        JobSpec s;
-        s.id = id;
-        s.team = "team";
-        s.kind = shape;
-        s.tasks = tasks;
-        s.cpus = 4;
-        s.gpus = 1;
-        s.memory_gb = 8;
-        s.image = "img-" + id;
-        s.image_gb = 2;
-        s.checkpoint_s = 10;
-        s.save_s = 2;
-        return s;
-    }
-    Job& add(JobSpec s, std::map<uint32_t, PlacementRecord> live = {}) {
-        JobRecord r;
-        r.spec = std::move(s);
-        r.live = std::move(live);
-        r.next_attempt = r.live.empty() ? 1 : 10;
-        Job& j = jobs.load(r, 5, now, {0});
-        j.accepted = now;
-        for (const auto& [task, b] : r.live) cluster.ensure(b.machine, now).zone = b.zone;
-        return j;
-    }
-    Machine& machine(const std::string& name, const std::string& zone = "a") {
-        Machine& h = cluster.ensure(name, now);
-        h.zone = zone;
-        h.machine_type = "g2";
-        WorkerHeartbeat r = report(h, {});
-        h.reported = h.current = true;
-        jobs.apply(cluster, h, r, true, now);
-        return h;
-    }
-    WorkerHeartbeat report(const Machine& h, std::vector<TaskStatus> tasks) {
-        WorkerHeartbeat r;
-        r.machine = h.name;
-        r.zone = h.zone;
-        r.machine_type = "g2";
-        r.incarnation = 1;
-        r.sequence = h.sequence + 1;
-        r.tasks = std::move(tasks);
-        return r;
-    }
-    static TaskStatus task(const std::string& job, uint32_t n, uint64_t attempt, TaskPhase p,
-                           ExitCause c = ExitCause::kNone) {
-        return {{job, n}, attempt, p, c, false};
-    }
-    std::vector<Binding> pull(std::vector<Machine*> requesting_machines) {
-        for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
-        recount(cluster, jobs, now, 6);
-        SchedulerInput in{config, settings, now, std::move(requesting_machines)};
-        return schedule(cluster, jobs, in);
-    }
-    void committed(Job& j) { j.committed = j.version; }
-    static size_t launches(const std::vector<Command>& o) {
-        return static_cast<size_t>(
-            std::count_if(o.begin(), o.end(), [](auto& x) { return x.verb == CommandKind::kLaunch; }));
-    }
-};
+struct Lifecycle : SchedulingTest {};
 
 }  // namespace
 
 TEST_F(Lifecycle, LaunchesOnlyWhatIsCommitted) {
-    Job& j = add(spec("job-1", 1));
-    Machine& h = machine("vm-1");
-    ASSERT_EQ(pull({&h}).size(), 1u);
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine& h = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&h}).size(), 1u);
     EXPECT_TRUE(jobs.awaits_commit(h));
-    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
-    committed(j);
-    EXPECT_EQ(launches(jobs.commands(h, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(launches(jobs.commands(h, true)), 1u);
+    EXPECT_EQ(count_launches(jobs.commands(h, true)), 0u);
+    mark_committed(j);
+    EXPECT_EQ(count_launches(jobs.commands(h, false)), 0u) << "a direct command carries no launch";
+    EXPECT_EQ(count_launches(jobs.commands(h, true)), 1u);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
 // the same attempt. The task stays bound to this machine all the while.
 TEST_F(Lifecycle, RepeatsALaunchWhoseResponseWasLost) {
-    Job& j = add(spec("job-1", 1));
-    Machine& h = machine("vm-1");
-    pull({&h});
-    committed(j);
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine& h = add_machine("vm-1");
+    schedule_for({&h});
+    mark_committed(j);
     auto first = jobs.commands(h, true);
-    jobs.apply(cluster, h, report(h, {}), true, now += 3);
+    jobs.apply(cluster, h, heartbeat(h, {}), true, now += 3);
     ASSERT_EQ(j.live.size(), 1u);
     auto second = jobs.commands(h, true);
-    ASSERT_EQ(launches(second), 1u);
+    ASSERT_EQ(count_launches(second), 1u);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
 
 // A report that was sent before the launch says nothing about it, however late it comes; and the answer
 // of a direct command proves no absence, since a response may still carry the launch.
 TEST_F(Lifecycle, LateReportsDisproveNothing) {
-    Job& j = add(spec("job-1", 1));
-    Machine& h = machine("vm-1");
-    pull({&h});
-    committed(j);
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine& h = add_machine("vm-1");
+    schedule_for({&h});
+    mark_committed(j);
     jobs.commands(h, true);
-    WorkerHeartbeat late = report(h, {});
+    WorkerHeartbeat late = heartbeat(h, {});
     late.sequence = h.sequence;  // the report that was answered with the launch
     EXPECT_FALSE(late.newer_than(h.incarnation, h.sequence));
-    jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    jobs.apply(cluster, h, report(h, {}), false, now += 1);
+    jobs.apply(cluster, h, heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
+    jobs.apply(cluster, h, heartbeat(h, {}), false, now += 1);
     EXPECT_EQ(j.live.size(), 1u);
 }
 
 // After a take-over a placement counts until a report from a machine that has seen the new epoch lacks it:
 // before that, the last leader's launch may still arrive.
 TEST_F(Lifecycle, InheritedPlacementsStayUntilDisproved) {
-    Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& h = cluster.ensure("vm-1", now);
     h.machine_type = "g2";
-    jobs.apply(cluster, h, report(h, {}), false, now);  // has not seen the epoch
+    jobs.apply(cluster, h, heartbeat(h, {}), false, now);  // has not seen the epoch
     EXPECT_EQ(j.live.size(), 1u);
-    Machine& other = machine("vm-2");
-    EXPECT_TRUE(pull({&other}).empty());
-    jobs.apply(cluster, h, report(h, {}), true, now);
+    Machine& other = add_machine("vm-2");
+    EXPECT_TRUE(schedule_for({&other}).empty());
+    jobs.apply(cluster, h, heartbeat(h, {}), true, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
     auto commands = jobs.commands(h, true);
-    ASSERT_EQ(launches(commands), 1u);
+    ASSERT_EQ(count_launches(commands), 1u);
     EXPECT_EQ(commands[0].attempt, 3u);
-    EXPECT_TRUE(pull({&other}).empty());
+    EXPECT_TRUE(schedule_for({&other}).empty());
 }
 
 TEST_F(Lifecycle, NoTimeoutFreesAPlacementOnlyTheDeletionDoes) {
-    Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    Machine& other = machine("vm-2");
+    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    Machine& other = add_machine("vm-2");
     now += 100000;
-    EXPECT_TRUE(pull({&other}).empty());
+    EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.machine_deleted("vm-1", now);
     EXPECT_EQ(j.live.size(), 0u);
-    EXPECT_EQ(pull({&other}).size(), 1u);
+    EXPECT_EQ(schedule_for({&other}).size(), 1u);
     EXPECT_GT(j.live.at(0).attempt, 3u);
 }
 
@@ -173,9 +96,9 @@
         return machines_holding_cancelled(cluster, jobs, config, now, leading_since);
     };
     using Names = std::vector<std::string>;
-    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_heartbeat = now;
-    Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    add(spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
+    for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
+    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    add_job(job_spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
     now += 30;
     EXPECT_TRUE(due(0).empty()) << "silence alone is no reason";
     cluster.machine("vm-1")->last_heartbeat = now - 1;
@@ -195,7 +118,7 @@
     EXPECT_EQ(due(0), Names{"vm-2"});
     // One that inherits a cancellation does not know since when: a machine that does not come is due soon.
     JobRecord r;
-    r.spec = spec("job-3", 1);
+    r.spec = job_spec("job-3", 1);
     r.cancelled = true;
     r.live[0] = {4, "vm-9", "a"};
     jobs.load(r, 9, now, {0});
@@ -210,57 +133,57 @@
 
 // Launch after forget: the exit is committed first, and the next start has another attempt.
 TEST_F(Lifecycle, ForgetsOnlyWhatIsCommittedAndNeverReusesAnAttempt) {
-    Job& j = add(spec("job-1", 1));
-    Machine& h = machine("vm-1");
-    pull({&h});
-    committed(j);
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine& h = add_machine("vm-1");
+    schedule_for({&h});
+    mark_committed(j);
     jobs.commands(h, true);
-    auto exited = task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
-    jobs.apply(cluster, h, report(h, {exited}), true, now += 3);
+    auto exited = task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
+    jobs.apply(cluster, h, heartbeat(h, {exited}), true, now += 3);
     EXPECT_TRUE(jobs.commands(h, true).empty()) << "the exit is not committed yet";
-    committed(j);
+    mark_committed(j);
     auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kForget);
-    Machine& other = machine("vm-2");
+    Machine& other = add_machine("vm-2");
     now += 30;
-    ASSERT_EQ(pull({&other}).size(), 1u);
+    ASSERT_EQ(schedule_for({&other}).size(), 1u);
     EXPECT_EQ(j.live.at(0).attempt, 2u);
 }
 
 TEST_F(Lifecycle, CountsInheritedPlacementsAgainstTheTeamsLimit) {
-    add(spec("job-1", 3), {{0, {1, "vm-8", "a"}}, {1, {1, "vm-8", "a"}}, {2, {1, "vm-9", "a"}}});
-    add(spec("job-2", 4));
-    Machine& h = machine("vm-1");
-    EXPECT_EQ(pull({&h}).size(), 1u) << "three of four GPUs are in use on machines not heard of yet";
+    add_job(job_spec("job-1", 3), {{0, {1, "vm-8", "a"}}, {1, {1, "vm-8", "a"}}, {2, {1, "vm-9", "a"}}});
+    add_job(job_spec("job-2", 4));
+    Machine& h = add_machine("vm-1");
+    EXPECT_EQ(schedule_for({&h}).size(), 1u) << "three of four GPUs are in use on machines not heard of yet";
 }
 
 TEST_F(Lifecycle, KeepsAJobInTheZoneOfItsInheritedPlacements) {
-    JobSpec s = spec("job-1", 3);
+    JobSpec s = job_spec("job-1", 3);
     s.single_zone = true;
-    add(s, {{0, {1, "vm-8", "a"}}});
-    Machine& b = machine("vm-1", "b");
-    EXPECT_TRUE(pull({&b}).empty());
-    Machine& a = machine("vm-2", "a");
-    EXPECT_EQ(pull({&a}).size(), 2u);
+    add_job(s, {{0, {1, "vm-8", "a"}}});
+    Machine& b = add_machine("vm-1", "b");
+    EXPECT_TRUE(schedule_for({&b}).empty());
+    Machine& a = add_machine("vm-2", "a");
+    EXPECT_EQ(schedule_for({&a}).size(), 2u);
 }
 
 TEST_F(Lifecycle, PutsAtMostHalfRoundedUpIntoAZone) {
     config.teams[0].gpus_max = 0;
-    JobSpec s = spec("job-1", 5);
+    JobSpec s = job_spec("job-1", 5);
     s.spread_across_zones = true;
-    add(s);
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    EXPECT_EQ(pull({&x, &y}).size(), 3u);
+    add_job(s);
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    EXPECT_EQ(schedule_for({&x, &y}).size(), 3u);
 }
 
 TEST_F(Lifecycle, StartsAGangOnlyWithRoomForAllTasks) {
-    Job& g = add(spec("job-1", 4, JobKind::kGang));
-    Machine& x = machine("vm-1");
-    EXPECT_TRUE(pull({&x}).empty());
+    Job& g = add_job(job_spec("job-1", 4, JobKind::kGang));
+    Machine& x = add_machine("vm-1");
+    EXPECT_TRUE(schedule_for({&x}).empty());
     EXPECT_EQ(g.wait_reason, WaitReason::kGangRoom);
-    machine("vm-2");
-    EXPECT_EQ(pull({&x}).size(), 4u);
+    add_machine("vm-2");
+    EXPECT_EQ(schedule_for({&x}).size(), 4u);
     std::set<uint64_t> attempts;
     for (auto& [n, p] : g.live) attempts.insert(p.attempt);
     EXPECT_EQ(attempts.size(), 1u) << "tasks of a gang find each other by their attempt";
@@ -268,57 +191,58 @@
 
 // Until the last task of the old attempt has exited, no task of the gang may start anywhere.
 TEST_F(Lifecycle, RestartsAGangOnlyWhenItsLastAttemptIsGone) {
-    Job& g = add(spec("job-1", 2, JobKind::kGang));
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
+    Job& g = add_job(job_spec("job-1", 2, JobKind::kGang));
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
     x.free = {};
-    ASSERT_EQ(pull({&x}).size(), 2u);
-    committed(g);
+    ASSERT_EQ(schedule_for({&x}).size(), 2u);
+    mark_committed(g);
     Machine& h = *cluster.machine(g.live.at(0).machine);
-    auto t0 = task("job-1", 0, 1, TaskPhase::kRunning), t1 = task("job-1", 1, 1, TaskPhase::kRunning);
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
+    auto t0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
+         t1 = task_status("job-1", 1, 1, TaskPhase::kRunning);
+    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
     EXPECT_TRUE(g.started);
-    test::exit_task(t0, ExitCause::kPeersGone);
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
-    EXPECT_TRUE(pull({&x, &y}).empty());
+    exit_task(t0, ExitCause::kPeersGone);
+    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
+    EXPECT_TRUE(schedule_for({&x, &y}).empty());
     EXPECT_EQ(g.wait_reason, WaitReason::kOldAttempt);
     auto o = jobs.commands(h, true);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
-    test::exit_task(t1, ExitCause::kStopped);
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
-    EXPECT_EQ(pull({&x, &y}).size(), 2u);
+    exit_task(t1, ExitCause::kStopped);
+    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
+    EXPECT_EQ(schedule_for({&x, &y}).size(), 2u);
     EXPECT_EQ(g.live.at(0).attempt, 2u);
 }
 
 TEST_F(Lifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
-    Job& g = add(spec("job-1", 2, JobKind::kGang));
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    pull({&x});
-    committed(g);
+    Job& g = add_job(job_spec("job-1", 2, JobKind::kGang));
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    schedule_for({&x});
+    mark_committed(g);
     Machine& h = *cluster.machine(g.live.at(0).machine);
     Machine& other = &h == &x ? y : x;
-    jobs.apply(
-        cluster, h,
-        report(h, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 1, TaskPhase::kRunning)}), true,
-        now);
     jobs.apply(cluster, h,
-               report(h, {task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
-                          task("job-1", 1, 1, TaskPhase::kRunning)}),
+               heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning),
+                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
+               true, now);
+    jobs.apply(cluster, h,
+               heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
+                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
                true, now += 3);
     EXPECT_TRUE(g.finished());
-    recount(cluster, jobs, now, 6);
+    recount_resources();
     EXPECT_EQ(cluster.teams["team"].gpus, 1.0);
     (void)other;
 }
 
 // A task that nothing confirms for is stopped, and its job does not start it elsewhere meanwhile.
 TEST_F(Lifecycle, StopsOrphansAndStartsNothingBesideThem) {
-    add(spec("job-1", 1));
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    jobs.apply(
-        cluster, x,
-        report(x, {task("job-1", 0, 77, TaskPhase::kRunning), task("job-9", 0, 1, TaskPhase::kRunning)}),
-        true, now);
-    EXPECT_TRUE(pull({&y}).empty());
+    add_job(job_spec("job-1", 1));
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    jobs.apply(cluster, x,
+               heartbeat(x, {task_status("job-1", 0, 77, TaskPhase::kRunning),
+                             task_status("job-9", 0, 1, TaskPhase::kRunning)}),
+               true, now);
+    EXPECT_TRUE(schedule_for({&y}).empty());
     auto o = jobs.commands(x, true);
     ASSERT_EQ(o.size(), 2u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
@@ -326,16 +250,16 @@
 }
 
 TEST_F(Lifecycle, ACancelledJobIsLaunchedNowhereAndHaltedEverywhere) {
-    Job& j = add(spec("job-1", 3));
-    Machine& h = machine("vm-1");
-    ASSERT_EQ(pull({&h}).size(), 2u);
-    committed(j);
+    Job& j = add_job(job_spec("job-1", 3));
+    Machine& h = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&h}).size(), 2u);
+    mark_committed(j);
     jobs.commands(h, true);
     jobs.cancel(j, now);
-    EXPECT_TRUE(pull({&h}).empty());
-    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
+    EXPECT_TRUE(schedule_for({&h}).empty());
+    EXPECT_EQ(count_launches(jobs.commands(h, true)), 0u);
     // The launch was in flight and took effect.
-    jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
+    jobs.apply(cluster, h, heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
     auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
@@ -344,15 +268,16 @@
 
 TEST_F(Lifecycle, TellsFaultyMachinesFromFaultyJobs) {
     config.teams[0].gpus_max = 0;
-    Machine& bad = machine("vm-1");
+    Machine& bad = add_machine("vm-1");
     auto fail = [&](Machine& h, const std::string& id) {
-        Job& j = jobs.find(id) ? *jobs.find(id) : add(spec(id, 1));
+        Job& j = jobs.find(id) ? *jobs.find(id) : add_job(job_spec(id, 1));
         h.tasks.clear();
         jobs.bind(j, 0, h, j.next_attempt++, now);
-        committed(j);
-        jobs.apply(cluster, h,
-                   report(h, {task(id, 0, j.live.at(0).attempt, TaskPhase::kExited, ExitCause::kError)}),
-                   true, now);
+        mark_committed(j);
+        jobs.apply(
+            cluster, h,
+            heartbeat(h, {task_status(id, 0, j.live.at(0).attempt, TaskPhase::kExited, ExitCause::kError)}),
+            true, now);
     };
     fail(bad, "job-1");
     EXPECT_FALSE(bad.cordoned) << "one failure says little";
@@ -360,7 +285,7 @@
     EXPECT_TRUE(bad.cordoned);
     // One job that fails everywhere costs no machine.
     for (const char* m : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
-        Machine& h = machine(m);
+        Machine& h = add_machine(m);
         fail(h, "job-7");
         EXPECT_FALSE(h.cordoned);
     }
@@ -369,7 +294,7 @@
     // What made it fail may be over: beside fitting room no job waits for 90 s.
     for (int i = 0; i < 8; ++i) {
         now = jobs.find("job-7")->not_before;
-        fail(machine("vm-" + std::to_string(10 + i)), "job-7");
+        fail(add_machine("vm-" + std::to_string(10 + i)), "job-7");
     }
     EXPECT_LT(jobs.find("job-7")->not_before, now + 75);
 }
@@ -377,14 +302,14 @@
 // When more has come than can be done in time, serving the oldest first would make all of it late in turn.
 TEST_F(Lifecycle, ServesWhatCanStillMakeItsDeadlineBeforeWhatCannot) {
     config.teams[0].gpus_max = 2;
-    JobSpec old = spec("job-1", 4), young = spec("job-2", 2);
+    JobSpec old = job_spec("job-1", 4), young = job_spec("job-2", 2);
     old.due_s = young.due_s = 100;
     old.estimate_s = young.estimate_s = 60;
-    add(old);
+    add_job(old);
     now += 80;
-    add(young);
-    Machine& h = machine("vm-1");
-    auto b = pull({&h});
+    add_job(young);
+    Machine& h = add_machine("vm-1");
+    auto b = schedule_for({&h});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
@@ -393,16 +318,16 @@
 // A machine that straggles shows against peers of the same job elsewhere; a long job alone shows nothing.
 TEST_F(Lifecycle, CondemnsMachinesThatStraggler) {
     config.teams[0].gpus_max = 0;
-    Job& j = add(spec("job-1", 8));
+    Job& j = add_job(job_spec("job-1", 8));
     std::vector<Machine*> machines;
-    for (int i = 0; i < 4; ++i) machines.push_back(&machine("vm-" + std::to_string(i)));
-    ASSERT_EQ(pull(machines).size(), 8u);
-    committed(j);
+    for (int i = 0; i < 4; ++i) machines.push_back(&add_machine("vm-" + std::to_string(i)));
+    ASSERT_EQ(schedule_for(machines).size(), 8u);
+    mark_committed(j);
     auto state = [&](Machine& h, TaskPhase p, ExitCause c) {
         std::vector<TaskStatus> t;
         for (auto& r : jobs.on_machine(h.name))
-            t.push_back(task(r.job->spec.id, r.task, r.placement->attempt, p, c));
-        jobs.apply(cluster, h, report(h, t), true, now);
+            t.push_back(task_status(r.job->spec.id, r.task, r.placement->attempt, p, c));
+        jobs.apply(cluster, h, heartbeat(h, t), true, now);
     };
     for (Machine* h : machines) state(*h, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
@@ -420,27 +345,27 @@
 }
 
 TEST_F(Lifecycle, WaitsBrieflyForAnIdleHolderOfTheImage) {
-    Job& j = add(spec("job-1", 1));
-    Machine &asker = machine("vm-1"), &holder = machine("vm-2");
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine &asker = add_machine("vm-1"), &holder = add_machine("vm-2");
     holder.cache.set_capacity(50);
     holder.cache.use(j.spec.image, 2);
-    EXPECT_TRUE(pull({&asker}).empty());
+    EXPECT_TRUE(schedule_for({&asker}).empty());
     EXPECT_EQ(j.wait_reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
-    EXPECT_EQ(pull({&asker}).size(), 1u) << "not for ever";
+    EXPECT_EQ(schedule_for({&asker}).size(), 1u) << "not for ever";
 }
 
 TEST_F(Lifecycle, PrefersTheLargerCachedImageAmongTasksOfSimilarAge) {
-    add(spec("job-1", 1));
-    JobSpec big = spec("job-2", 1);
+    add_job(job_spec("job-1", 1));
+    JobSpec big = job_spec("job-2", 1);
     big.image_gb = 9;
     now += 1;
-    add(big);
-    Machine& h = machine("vm-1");
+    add_job(big);
+    Machine& h = add_machine("vm-1");
     h.cache.set_capacity(50);
     h.cache.use("img-job-1", 2);
     h.cache.use("img-job-2", 9);
-    auto b = pull({&h});
+    auto b = schedule_for({&h});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
 }
@@ -460,10 +385,10 @@
 // its record stays within the state service's limit for a value.
 TEST_F(Lifecycle, AHugeJobCostsNoMoreThanItsMachines) {
     config.teams[0].gpus_max = 0;
-    Job& j = add(spec("job-1", 100'000));
+    Job& j = add_job(job_spec("job-1", 100'000));
     std::vector<Machine*> machines;
-    for (int i = 0; i < 40; ++i) machines.push_back(&machine("vm-" + std::to_string(100 + i)));
-    EXPECT_EQ(pull(machines).size(), 80u);
+    for (int i = 0; i < 40; ++i) machines.push_back(&add_machine("vm-" + std::to_string(100 + i)));
+    EXPECT_EQ(schedule_for(machines).size(), 80u);
     EXPECT_LE(j.pending.pieces(), 1u);
     EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
@@ -475,7 +400,7 @@
     // By default only the cloud's capacity bounds a zone: with 200 machines a zone as the default a fleet of
     // 700 stayed at 400, and most of a class was not served. What is asked for at once stays bounded.
     settings.max_machines = 0;
-    for (int i = 0; i < 260; ++i) machine("vm-b" + std::to_string(100 + i)).free = {};
+    for (int i = 0; i < 260; ++i) add_machine("vm-b" + std::to_string(100 + i)).free = {};
     number = 0;
     for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
     EXPECT_EQ(number, 300);
@@ -486,13 +411,13 @@
 }
 
 TEST_F(Lifecycle, ReturnsSilentMachinesUnlessManyFallSilentAtOnce) {
-    for (int i = 0; i < 6; ++i) machine("vm-" + std::to_string(i)).last_heartbeat = now;
+    for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
     Seconds then = now;
     now += 15;
     auto silent = [&](int n) {
         for (int i = 0; i < 6; ++i)
             cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? then : now;
-        recount(cluster, jobs, now, 6);
+        recount_resources();
         ScalingInput in{config, settings, now, then, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).scale_in.size();
     };
@@ -507,7 +432,7 @@
     // leader, who has heard none of them, sees the cut by what the cloud lists as up. With the zone's 260
     // machines returned and rented anew again and again, the fleet was short of them when the cut was over.
     config.zones = {"a", "b"};
-    add(spec("job-1", 4));
+    add_job(job_spec("job-1", 4));
     for (bool heard : {true, false}) {
         for (int i = 0; i < 6; ++i) {
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
@@ -516,7 +441,7 @@
             h.reported = heard;
         }
         now = then + 2 * config.lease_s;
-        recount(cluster, jobs, now, 6);
+        recount_resources();
         ScalingInput cut{config, settings, now, then, {}, {}, true, false};
         ScalingPlan plan = plan_scaling(cluster, jobs, cut);
         EXPECT_TRUE(plan.scale_in.empty()) << heard;
@@ -543,18 +468,18 @@
 // Work is moved together only when no job has come for a while, and only if it can save and fits elsewhere.
 TEST_F(Lifecycle, EmptiesHalfUsedMachinesOnlyInACalm) {
     config.teams[0].gpus_max = 0;
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec s = spec("job-1", 2);
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    JobSpec s = job_spec("job-1", 2);
     s.estimate_s = 500;
-    Job& j = add(s);
+    Job& j = add_job(s);
     jobs.bind(j, 0, x, 1, now);
     jobs.bind(j, 1, y, 2, now);
-    committed(j);
-    jobs.apply(cluster, x, report(x, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
-    jobs.apply(cluster, y, report(y, {task("job-1", 1, 2, TaskPhase::kRunning)}), true, now);
+    mark_committed(j);
+    jobs.apply(cluster, x, heartbeat(x, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
+    jobs.apply(cluster, y, heartbeat(y, {task_status("job-1", 1, 2, TaskPhase::kRunning)}), true, now);
     auto moved = [&] {
         x.last_heartbeat = y.last_heartbeat = now;
-        recount(cluster, jobs, now, 6);
+        recount_resources();
         ScalingInput in{config, settings, now, 0, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).drain.size();
     };
@@ -569,26 +494,26 @@
 // A waiting gang keeps the machines that come free, except for work that is over before it can start.
 TEST_F(Lifecycle, KeepsRoomForAWaitingGangAndLendsItToShortWork) {
     config.teams[0].gpus_max = 0;
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec longer = spec("job-1", 1);
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    JobSpec longer = job_spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 200;
-    Job& busy = add(longer);
+    Job& busy = add_job(longer);
     jobs.bind(busy, 0, y, 1, now);
-    committed(busy);
-    jobs.apply(cluster, y, report(y, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
-    JobSpec g = spec("job-2", 2, JobKind::kGang);
+    mark_committed(busy);
+    jobs.apply(cluster, y, heartbeat(y, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
+    JobSpec g = job_spec("job-2", 2, JobKind::kGang);
     g.gpus = 2;
     g.single_zone = true;
-    add(g);
-    JobSpec slow = spec("job-3", 1), quick = spec("job-4", 1);
+    add_job(g);
+    JobSpec slow = job_spec("job-3", 1), quick = job_spec("job-4", 1);
     slow.estimate_s = 300;
     quick.estimate_s = 20;
     now += 1;
-    add(slow);
-    EXPECT_TRUE(pull({&x}).empty()) << "kept for the gang";
-    add(quick);
-    auto b = pull({&x});
+    add_job(slow);
+    EXPECT_TRUE(schedule_for({&x}).empty()) << "kept for the gang";
+    add_job(quick);
+    auto b = schedule_for({&x});
     ASSERT_EQ(b.size(), 1u);
     EXPECT_EQ(b[0].job->spec.id, "job-4");
 }
@@ -599,27 +524,27 @@
     guaranteed.name = "other";
     guaranteed.gpus = 2;
     config.teams.push_back(guaranteed);
-    Machine& x = machine("vm-1");
-    Job& low = add(spec("job-1", 2));
+    Machine& x = add_machine("vm-1");
+    Job& low = add_job(job_spec("job-1", 2));
     low.spec.priority = PriorityClass::kStandard;
     low.spec.checkpoint_s = 100;
-    pull({&x});
-    committed(low);
-    jobs.apply(
-        cluster, x,
-        report(x, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 2, TaskPhase::kRunning)}), true,
-        now);
+    schedule_for({&x});
+    mark_committed(low);
+    jobs.apply(cluster, x,
+               heartbeat(x, {task_status("job-1", 0, 1, TaskPhase::kRunning),
+                             task_status("job-1", 1, 2, TaskPhase::kRunning)}),
+               true, now);
     auto stopping = [&] {
         return std::count_if(low.live.begin(), low.live.end(), [](auto& p) { return p.second.stopping; });
     };
-    JobSpec same = spec("job-2", 1, JobKind::kGang);
-    add(same);
-    pull({&x});
+    JobSpec same = job_spec("job-2", 1, JobKind::kGang);
+    add_job(same);
+    schedule_for({&x});
     EXPECT_EQ(stopping(), 0) << "not for work of the same priority";
-    JobSpec owed = spec("job-3", 1);
+    JobSpec owed = job_spec("job-3", 1);
     owed.team = "other";
-    add(owed);
-    pull({&x});
+    add_job(owed);
+    schedule_for({&x});
     EXPECT_EQ(stopping(), 1) << "for another team's guarantee, one task is enough";
     EXPECT_GT(std::max(low.live.at(0).grace_s, low.live.at(1).grace_s), 2) << "with time to save";
 }
@@ -631,22 +556,22 @@
     config.teams[0].gpus_max = 0;
     std::vector<Job*> low;
     for (int i = 0; i < 4; ++i) {
-        Machine& h = machine("vm-" + std::to_string(i));
-        Job& j = add(spec("job-" + std::to_string(i), 2));
+        Machine& h = add_machine("vm-" + std::to_string(i));
+        Job& j = add_job(job_spec("job-" + std::to_string(i), 2));
         low.push_back(&j);
-        pull({&h});
+        schedule_for({&h});
         for (auto& [n, p] : j.live) p.seen = true;
     }
     now = 1000;
     Seconds began[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints come every 10 s
     for (size_t i = 0; i < 4; ++i)
         for (auto& [n, p] : low[i]->live) p.running_since = began[i];
-    JobSpec s = spec("job-9", 2, JobKind::kGang);
+    JobSpec s = job_spec("job-9", 2, JobKind::kGang);
     s.gpus = 2;
     s.cpus = 8;
     s.priority = PriorityClass::kHigh;
-    add(s);
-    pull({});
+    add_job(s);
+    schedule_for({});
     auto stopping = [&](size_t i) {
         return std::count_if(low[i]->live.begin(), low[i]->live.end(),
                              [](auto& p) { return p.second.stopping; });
@@ -660,20 +585,20 @@
 // Launch after launch comes to nothing although newer reports arrive: the machine does not hear its answers.
 // The task goes elsewhere, nothing more is bound there, and the machine is replaced.
 TEST_F(Lifecycle, GivesUpAMachineThatReportsButDoesNotHear) {
-    Job& j = add(spec("job-1", 1));
-    Machine &deaf = machine("vm-1"), &other = machine("vm-2");
+    Job& j = add_job(job_spec("job-1", 1));
+    Machine &deaf = add_machine("vm-1"), &other = add_machine("vm-2");
     other.cordoned = true;
-    ASSERT_EQ(pull({&deaf}).size(), 1u);
-    committed(j);
+    ASSERT_EQ(schedule_for({&deaf}).size(), 1u);
+    mark_committed(j);
     for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
         ASSERT_EQ(j.live.count(0), 1u);
-        EXPECT_EQ(launches(jobs.commands(deaf, true)), 1u);
-        jobs.apply(cluster, deaf, report(deaf, {}), true, now += 3);
+        EXPECT_EQ(count_launches(jobs.commands(deaf, true)), 1u);
+        jobs.apply(cluster, deaf, heartbeat(deaf, {}), true, now += 3);
     }
     EXPECT_TRUE(j.live.empty());
-    EXPECT_TRUE(pull({&deaf}).empty()) << "no room to count on";
+    EXPECT_TRUE(schedule_for({&deaf}).empty()) << "no room to count on";
     other.cordoned = false;
-    EXPECT_EQ(pull({&deaf, &other}).size(), 1u);
+    EXPECT_EQ(schedule_for({&deaf, &other}).size(), 1u);
     auto returned = [&] {
         ScalingInput in{config, settings, now, 0, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).reasons.count("vm-1");
@@ -681,16 +606,16 @@
     EXPECT_EQ(returned(), 0u);
     now += config.lease_s + 1;
     deaf.last_heartbeat = other.last_heartbeat = now;
-    recount(cluster, jobs, now, 6);
+    recount_resources();
     EXPECT_EQ(returned(), 1u);
 }
 
 // What its reports say of the answers to them: one that is answered stays and numbers its reports one by
 // one, and its lease does not end.
 TEST_F(Lifecycle, SeesFromReportsWhetherAnswersAreHeard) {
-    Machine& h = machine("vm-1");
+    Machine& h = add_machine("vm-1");
     auto next = [&](uint64_t incarnation, uint64_t sequence, bool direct = true) {
-        WorkerHeartbeat r = report(h, {});
+        WorkerHeartbeat r = heartbeat(h, {});
         r.incarnation = incarnation;
         r.sequence = sequence;
         h.update_reachability(r, direct, config.lease_s, now += 3);
@@ -715,11 +640,11 @@
 // A new leader gets a late copy of a report, from before its epoch, of a machine that was deleted long ago.
 TEST_F(Lifecycle, ALateCopyAtANewLeaderIsNoRoom) {
     settings.max_machines = 5;
-    add(spec("job-1", 2));
-    Machine& h = machine("vm-1");
+    add_job(job_spec("job-1", 2));
+    Machine& h = add_machine("vm-1");
     h.current = false;
     h.last_heartbeat = now;
-    recount(cluster, jobs, now, 6);
+    recount_resources();
     EXPECT_FALSE(h.schedulable);
     auto rented = [&] {
         ScalingInput in{config, settings, now, now, {}, {}, true, false};
@@ -736,33 +661,33 @@
 // lateness: after the bound it goes first, and what comes free is kept for it until it can begin.
 TEST_F(Lifecycle, AStarvedJobGoesBeforeAllOthers) {
     config.teams[0].gpus_max = 0;
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec large = spec("job-1", 2, JobKind::kGang);
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    JobSpec large = job_spec("job-1", 2, JobKind::kGang);
     large.gpus = 2;
     large.single_zone = true;
     large.priority = PriorityClass::kIdle;
-    Job& old = add(large);
-    JobSpec late = spec("job-2", 2);
+    Job& old = add_job(large);
+    JobSpec late = job_spec("job-2", 2);
     late.due_s = 10;
     late.priority = PriorityClass::kIdle;
-    Job& overdue = add(late);
+    Job& overdue = add_job(late);
     int next = 10;
     auto stream = [&] {
-        JobSpec s = spec("job-" + std::to_string(next++), 4);
+        JobSpec s = job_spec("job-" + std::to_string(next++), 4);
         s.priority = PriorityClass::kHigh;
-        return &add(s);
+        return &add_job(s);
     };
     stream();
-    ASSERT_EQ(pull({&x, &y}).size(), 4u);
+    ASSERT_EQ(schedule_for({&x, &y}).size(), 4u);
     EXPECT_TRUE(old.live.empty());
     now += settings.begin_bound_s + 1;
     stream();
     // One machine comes free: it is kept, whatever else waits.
     jobs.machine_deleted("vm-1", now);
-    EXPECT_TRUE(pull({&x}).empty());
+    EXPECT_TRUE(schedule_for({&x}).empty());
     jobs.erase("job-10");
     jobs.machine_deleted("vm-2", now);
-    auto b = pull({&x, &y});
+    auto b = schedule_for({&x, &y});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job, &old);
     // The late array has its turn before what came after it, too, and only until it has begun.
@@ -770,7 +695,7 @@
     jobs.machine_deleted("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
-    b = pull({&x, &y});
+    b = schedule_for({&x, &y});
     ASSERT_EQ(b.size(), 4u);
     EXPECT_EQ(b[0].job, &overdue);
     EXPECT_NE(b[1].job, &overdue);
@@ -779,32 +704,33 @@
 // A gang that its team's limit keeps waiting: the team's own lower work yields, and small jobs of the team
 // that come later do not take what comes free of the limit for ever.
 TEST_F(Lifecycle, ATeamsLimitIsGatheredForItsWaitingGang) {
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    machine("vm-3");
-    Job& low = add(spec("job-1", 2));
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    add_machine("vm-3");
+    Job& low = add_job(job_spec("job-1", 2));
     low.spec.priority = PriorityClass::kIdle;
-    Job& same = add(spec("job-2", 2));
-    ASSERT_EQ(pull({&x, &y}).size(), 4u) << "the limit is used up";
-    committed(low);
-    committed(same);
+    Job& same = add_job(job_spec("job-2", 2));
+    ASSERT_EQ(schedule_for({&x, &y}).size(), 4u) << "the limit is used up";
+    mark_committed(low);
+    mark_committed(same);
     now += 1;
-    Job& gang = add(spec("job-3", 3, JobKind::kGang));
-    JobSpec idle = spec("job-5", 1);
+    Job& gang = add_job(job_spec("job-3", 3, JobKind::kGang));
+    JobSpec idle = job_spec("job-5", 1);
     idle.priority = PriorityClass::kIdle;
-    Job& lower = add(idle);
+    Job& lower = add_job(idle);
     config.teams[0].gpus_max = 5;
-    EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty()) << "what is free is kept from lower work";
+    EXPECT_TRUE(schedule_for({&x, &y, cluster.machine("vm-3")}).empty())
+        << "what is free is kept from lower work";
     EXPECT_EQ(lower.wait_reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
-    pull({&x});
+    schedule_for({&x});
     auto stopping = [&](Job& j) {
         return std::count_if(j.live.begin(), j.live.end(), [](auto& p) { return p.second.stopping; });
     };
     EXPECT_EQ(stopping(low), 0) << "stopping them would not do, there is too little of it";
     gang.spec.tasks = 2;
     gang.pending = Ranges::whole(2);
-    pull({&x});
+    schedule_for({&x});
     EXPECT_EQ(stopping(low), 2);
     EXPECT_EQ(stopping(same), 0);
     // Not enough came free, and a small job comes.
@@ -813,8 +739,8 @@
     low.cancelled = true;
     for (const auto& r : std::vector(jobs.on_machine("vm-1")))
         if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
-    add(spec("job-4", 1));
-    EXPECT_TRUE(pull({&x, &y}).empty()) << "what is free of the limit is kept";
+    add_job(job_spec("job-4", 1));
+    EXPECT_TRUE(schedule_for({&x, &y}).empty()) << "what is free of the limit is kept";
     EXPECT_EQ(gang.wait_reason, WaitReason::kTeamLimit);
     // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
     // would be started again, and stopped again.
@@ -823,7 +749,7 @@
     gang.spec.single_zone = true;
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
-    EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty());
+    EXPECT_TRUE(schedule_for({&x, &y, cluster.machine("vm-3")}).empty());
     EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
 }
 
@@ -831,13 +757,13 @@
 TEST_F(Lifecycle, ServesArraysThatCanMakeTheirStartAimFirst) {
     config.wait_within["c"] = {50, 100};
     config.teams[0].gpus_max = 2;
-    JobSpec old = spec("job-1", 2), young = spec("job-2", 2);
+    JobSpec old = job_spec("job-1", 2), young = job_spec("job-2", 2);
     old.job_class = young.job_class = "c";
-    add(old);
+    add_job(old);
     now += 60;
-    add(young);
-    Machine& h = machine("vm-1");
-    auto b = pull({&h});
+    add_job(young);
+    Machine& h = add_machine("vm-1");
+    auto b = schedule_for({&h});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
@@ -849,18 +775,18 @@
 TEST_F(Lifecycle, StartAimsDoNotHoldBackWhatHasBegun) {
     config.wait_within["c"] = {50, 100};
     config.finish_within["c"] = 400;
-    JobSpec s = spec("job-1", 2);
+    JobSpec s = job_spec("job-1", 2);
     s.job_class = "c";
-    Job& old = add(s);
-    Machine& h = machine("vm-1");
-    ASSERT_EQ(pull({&h}).size(), 2u);
-    committed(old);
+    Job& old = add_job(s);
+    Machine& h = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&h}).size(), 2u);
+    mark_committed(old);
     now += 60;
     jobs.machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
     s.id = "job-2";
-    add(s);
-    auto b = pull({&machine("vm-2")});
+    add_job(s);
+    auto b = schedule_for({&add_machine("vm-2")});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-1");
     EXPECT_EQ(b[1].job->spec.id, "job-1");
@@ -869,31 +795,31 @@
 // What is kept of the limit for a starved gang does not count against itself: it still keeps the machines
 // that come free.
 TEST_F(Lifecycle, AStarvedGangKeepsLimitAndMachines) {
-    Machine &x = machine("vm-1"), &y = machine("vm-2");
-    JobSpec longer = spec("job-1", 1);
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    JobSpec longer = job_spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 300;
-    Job& busy = add(longer);
+    Job& busy = add_job(longer);
     jobs.bind(busy, 0, y, 1, now);
-    committed(busy);
+    mark_committed(busy);
     config.teams[0].gpus_max = 6;
-    JobSpec g = spec("job-2", 2, JobKind::kGang);
+    JobSpec g = job_spec("job-2", 2, JobKind::kGang);
     g.gpus = 2;
     g.single_zone = true;
-    add(g);
+    add_job(g);
     Team other;
     other.name = "other";
     config.teams.push_back(other);
-    JobSpec theirs = spec("job-3", 1);
+    JobSpec theirs = job_spec("job-3", 1);
     theirs.team = "other";
     theirs.estimate_s = 900;
     now += settings.begin_bound_s + 1;
-    add(theirs);
-    EXPECT_TRUE(pull({&x}).empty()) << "the machine is kept, from other teams as well";
+    add_job(theirs);
+    EXPECT_TRUE(schedule_for({&x}).empty()) << "the machine is kept, from other teams as well";
     jobs.machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
-    EXPECT_EQ(pull({&x, &y}).size(), 2u);
+    EXPECT_EQ(schedule_for({&x, &y}).size(), 2u);
 }
 
 // What a scheduling pass, a rental plan and a take-over cost grows with the fleet, although jobs wait in
@@ -909,30 +835,30 @@
         config.teams[0].gpus_max = 0;
         std::vector<Machine*> fleet_machines;
         for (int i = 0; i < machines; ++i)
-            fleet_machines.push_back(&machine("vm-" + std::to_string(10000 + i), i % 2 ? "a" : "b"));
+            fleet_machines.push_back(&add_machine("vm-" + std::to_string(10000 + i), i % 2 ? "a" : "b"));
         // Half of the fleet runs an array that yields, half one that does not.
         for (int i = 0; i < machines; i += 10) {
-            JobSpec s = spec("job-" + std::to_string(i), 20);
+            JobSpec s = job_spec("job-" + std::to_string(i), 20);
             s.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
-            Job& j = add(s);
+            Job& j = add_job(s);
             for (uint32_t t = 0; t < 20; ++t)
                 jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
-            JobSpec s = spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
-                             i % 2 ? JobKind::kGang : JobKind::kArray);
+            JobSpec s = job_spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
+                                 i % 2 ? JobKind::kGang : JobKind::kArray);
             s.priority = i % 2 ? PriorityClass::kHigh : PriorityClass::kStandard;
             s.single_zone = s.gang();
             s.image = "img-" + std::to_string(i % 6);
-            add(s);
+            add_job(s);
         }
         Cost c;
-        recount(cluster, jobs, now, 6);
+        recount_resources();
         SchedulerInput in{config, settings, now, {}, &c.round};
         for (int i = 0; i < machines; i += 50)
             in.requesting_machines.push_back(fleet_machines[static_cast<size_t>(i)]);
         schedule(cluster, jobs, in);
-        recount(cluster, jobs, now, 6);
+        recount_resources();
         ScalingInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
         plan_scaling(cluster, jobs, f);
         return c;
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 #include "base/token_bucket.h"
-#include "standins/deployment.h"
+#include "standins/records.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -52,45 +52,15 @@
     r.next_attempt = tasks + 1;
     for (uint32_t n = 0; n < tasks; ++n) {
         uint32_t machine = n % machines;
-        r.live[n] = {n + 1, fmt::format("vm-{:06}", first_machine + machine), machine % 2 ? "b" : "a"};
+        r.live[n] = {n + 1, machine_name(first_machine + machine), machine % 2 ? "b" : "a"};
     }
     return r;
 }
 
-void store(Deployment& deployment, const JobRecord& r) {
-    Transaction t;
-    t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
-    ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
-}
-
-JobRecord stored(Deployment& deployment, const std::string& id) {
-    auto r = JobRecord::unpack(deployment.store.rows.at(live_key(id)).data);
-    EXPECT_TRUE(r) << id;
-    return r.value_or(JobRecord{});
-}
-
-uint64_t format_of(Deployment& deployment, const std::string& id) {
-    return Message::parse(deployment.store.rows.at(live_key(id)).data)->root()["v"].count_or(0);
-}
-
 size_t stored_bytes(Deployment& deployment, const std::string& id) {
     return json_text(deployment.store.rows.at(live_key(id)).data).size();
 }
 
-std::vector<FakeWorker> workers_of(const JobRecord& r) {
-    std::map<std::string, FakeWorker> by_name;
-    for (const auto& [task, b] : r.live) {
-        FakeWorker& w = by_name[b.machine];
-        w.name = b.machine;
-        w.zone = b.zone;
-        w.tasks.push_back({{r.spec.id, task}, b.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-    }
-    std::vector<FakeWorker> out;
-    out.reserve(by_name.size());
-    for (auto& [name, w] : by_name) out.push_back(std::move(w));
-    return out;
-}
-
 Task<void> report(Deployment& deployment, FakeWorker& w, int node, size_t& answered) {
     co_await w.send_report(deployment.loop, deployment.config(node).listen);
     ++answered;
@@ -139,8 +109,8 @@
     announce_limits(deployment);
     JobRecord ends = running_array("job-1", 150, 12, 100), cancelled = running_array("job-2", 150, 10, 200);
     ASSERT_GT(json_text(ends.pack(1)).size(), kLaterValueBytes);
-    store(deployment, ends);
-    store(deployment, cancelled);
+    store_record(deployment, ends);
+    store_record(deployment, cancelled);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
@@ -160,7 +130,7 @@
         for (auto& t : w.tasks)
             if (t.name.task % 2) exit_task(t, ExitCause::kDone);
     for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
-    EXPECT_EQ(format_of(deployment, "job-1"), 1U);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     EXPECT_EQ(exits_kept(workers), 75U) << "not forgotten before what came of them is kept";
     EXPECT_EQ(deployment.call(1, "POST", "/v2/runs/job-2/withdraw").status, 503) << "its user comes again";
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "running");
@@ -172,14 +142,14 @@
 
     lose_record_format = false;
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }, 5));
-    EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 3))
+    EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 3))
         << "though nothing of it changes";
-    EXPECT_EQ(stored(deployment, "job-1").done.size(), 75U);
-    EXPECT_EQ(stored(deployment, "job-1").live.size(), 75U);
+    EXPECT_EQ(stored_record(deployment, "job-1").done.size(), 75U);
+    EXPECT_EQ(stored_record(deployment, "job-1").live.size(), 75U);
     for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
     EXPECT_EQ(exits_kept(workers), 0U);
     EXPECT_EQ(phase_of(deployment.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-    EXPECT_EQ(stored(deployment, "job-2").live.size(), 150U) << "none is free yet";
+    EXPECT_EQ(stored_record(deployment, "job-2").live.size(), 150U) << "none is free yet";
     EXPECT_FALSE(ran_twice(workers));
     EXPECT_EQ(deployment.store.invalid_transactions, refused) << "nothing was refused twice";
 }
@@ -194,7 +164,7 @@
         constexpr int kJobs = 6;
         for (int i = 0; i < kJobs; ++i) {
             JobRecord r = running_array("job-" + std::to_string(i), 140, 10, static_cast<uint32_t>(100 * i));
-            store(deployment, r);
+            store_record(deployment, r);
             for (auto& w : workers_of(r)) workers.push_back(std::move(w));
         }
         deployment.store.let_through = [&](const std::string& txn) {
@@ -228,11 +198,11 @@
         ASSERT_EQ(deployment.leader(), second);
         for (int i = 0; i < kJobs; ++i) {
             std::string id = "job-" + std::to_string(i);
-            EXPECT_EQ(format_of(deployment, id), 2U);
+            EXPECT_EQ(stored_format(deployment, id), 2U);
             EXPECT_LE(stored_bytes(deployment, id), kLaterValueBytes);
-            EXPECT_EQ(stored(deployment, id).done.size(), 35U);
-            EXPECT_EQ(stored(deployment, id).live.size(), 105U);
-            EXPECT_GT(json_text(stored(deployment, id).pack(1)).size(), kLaterValueBytes)
+            EXPECT_EQ(stored_record(deployment, id).done.size(), 35U);
+            EXPECT_EQ(stored_record(deployment, id).live.size(), 105U);
+            EXPECT_GT(json_text(stored_record(deployment, id).pack(1)).size(), kLaterValueBytes)
                 << "format 1 cannot hold it";
         }
         report_all(deployment, workers, second);
@@ -251,8 +221,8 @@
         Deployment deployment(2);
         announce_limits(deployment);
         JobRecord r = running_array("job-1", 150, 12, 100);
-        store(deployment, r);
-        store(deployment, running_array("job-2", 150, 10, 200));
+        store_record(deployment, r);
+        store_record(deployment, running_array("job-2", 150, 10, 200));
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(1);
@@ -283,14 +253,14 @@
         EXPECT_GE(too_large, 2);
         deployment.run(3);
         report_all(deployment, workers, 0);
-        EXPECT_EQ(format_of(deployment, "job-1"), 1U);
+        EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
         EXPECT_EQ(exits_kept(workers), 50U) << "whether it is kept is not known";
 
         deployment.start(1);
         ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-        EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 5));
-        EXPECT_EQ(stored(deployment, "job-1").done.size(), 50U);
-        EXPECT_EQ(stored(deployment, "job-1").live.size(), 100U);
+        EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 5));
+        EXPECT_EQ(stored_record(deployment, "job-1").done.size(), 50U);
+        EXPECT_EQ(stored_record(deployment, "job-1").live.size(), 100U);
         for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
         EXPECT_EQ(exits_kept(workers), 0U);
         deployment.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
@@ -310,7 +280,7 @@
     deployment.configs[0].heartbeat_interval_s = 10;
     JobRecord r = running_array("job-1", kTasks, kTasks, 1);
     ASSERT_GT(json_text(r.pack(1)).size(), kLaterValueBytes);
-    store(deployment, r);
+    store_record(deployment, r);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     limits_fall(deployment);
@@ -328,11 +298,11 @@
             }
         if (!deployment.store.rows.contains("j/job-1")) return;
         EXPECT_LE(stored_bytes(deployment, "job-1"),
-                  format_of(deployment, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
+                  stored_format(deployment, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
         EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 200);
     };
     for (int i = 0; i < 2; ++i) round();
-    EXPECT_EQ(format_of(deployment, "job-1"), 1U) << "nothing has changed yet";
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1U) << "nothing has changed yet";
     for (auto& w : workers)
         for (auto& t : w.tasks) {
             if (t.name.task % 3 == 0)
@@ -341,14 +311,15 @@
                 exit_task(t, ExitCause::kStopped);
         }
     round();
-    EXPECT_TRUE(deployment.until([&] { return format_of(deployment, "job-1") == 2; }, 2));
+    EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 2));
     for (int i = 0; i < 3; ++i) round();
-    EXPECT_EQ(stored(deployment, "job-1").live.size(), kTasks - kTasks / 3) << "what was stopped runs again";
+    EXPECT_EQ(stored_record(deployment, "job-1").live.size(), kTasks - kTasks / 3)
+        << "what was stopped runs again";
     deployment.kill(0);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     for (int i = 0; i < 2; ++i) round();
-    EXPECT_EQ(stored(deployment, "job-1").live.size(), kTasks - kTasks / 3);
+    EXPECT_EQ(stored_record(deployment, "job-1").live.size(), kTasks - kTasks / 3);
     for (auto& w : workers)
         for (auto& t : w.tasks) exit_task(t, ExitCause::kDone);
     for (int i = 0; i < 3; ++i) round();
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -8,6 +8,7 @@
 #include "base/constants.h"
 #include "scheduler/scheduler.h"
 #include "standins/deployment.h"
+#include "standins/scheduling_test.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -15,67 +16,26 @@
 namespace {
 
 // Placements are bound by the scheduler alone; nothing is launched. One machine of each kind and zone.
-struct Rebinding : testing::Test {
-    Config config;
-    Settings settings;
-    Cluster cluster;
-    JobTable jobs;
-    Seconds now = 100;
-
+struct Rebinding : ServiceTest {
     Rebinding() {
-        config.zones = {"a", "b"};
-        Team t;
-        t.name = "team";
-        config.teams = {t};
-        config.heartbeat_interval_s = 4;
-        config.lease_s = 24;
-        config.value_bytes = 8192;
         MachineType large = small_machine_type();
         large.name = "g8";
-        cluster.machine_types = {small_machine_type(), large};
-    }
-    Machine& machine(const std::string& name, const std::string& zone = "a",
-                     const std::string& machine_type = "g2", bool spot = false) {
-        Machine& h = cluster.ensure(name, now);
-        h.zone = zone;
-        h.machine_type = machine_type;
-        h.spot = spot;
-        h.reported = h.current = true;
-        return h;
+        cluster.machine_types.push_back(large);
     }
-    Job& add(const std::string& id, uint32_t replicas, const std::function<void(JobSpec&)>& change = {},
-             JobKind shape = JobKind::kService) {
-        JobRecord r;
-        r.spec.id = id;
-        r.spec.team = "team";
-        r.spec.kind = shape;
-        r.spec.tasks = replicas;
-        r.spec.cpus = 1;
-        r.spec.memory_gb = 2;
-        r.spec.image = "img-1";
-        if (change) change(r.spec);
-        Job& j = jobs.load(r, 5, now, {0});
-        j.accepted = j.waiting_since = now;
-        return j;
+    Job& add(const std::string& id, uint32_t replicas, const std::function<void(JobSpec&)>& change = {}) {
+        JobSpec spec = service_spec(id, replicas);
+        spec.priority = JobSpec{}.priority;
+        spec.image = "img-1";
+        if (change) change(spec);
+        return add_job(std::move(spec));
     }
-    // Long enough that no replica waits for an emptier machine.
     // Passes follow each other until one binds nothing: of a job without a live task that has waited long, a
     // pass binds one.
     size_t bound(const std::vector<Machine*>& requesting_machines) {
-        now += 60;
-        for (auto& [name, h] : cluster.machines) h->last_heartbeat = now;
+        now += 60;  // no replica waits for an emptier machine any more
         size_t all = 0;
-        while (true) {
-            recount(cluster, jobs, now, 8);
-            size_t n = schedule(cluster, jobs, {config, settings, now, requesting_machines}).size();
-            if (n == 0) return all;
-            all += n;
-        }
-    }
-    void lose(Machine& h) {
-        std::string name = h.name;
-        jobs.machine_deleted(name, now);
-        cluster.machines.erase(name);
+        while (size_t number = schedule_for(requesting_machines).size()) all += number;
+        return all;
     }
 };
 
@@ -97,13 +57,14 @@
     for (const Rule& rule : rules) {
         std::string id = "job-" + std::to_string(++n);
         Job& j = add(id, 2, rule.set);
-        Machine &first = machine("first"), &wrong = machine("wrong", rule.zone, rule.machine_type, rule.spot);
+        Machine &first = add_machine("first"),
+                &wrong = add_machine("wrong", MachineKind{rule.machine_type, rule.zone, rule.spot});
         EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
         ASSERT_EQ(bound({&first}), 2U) << rule.what;
-        lose(first);
+        delete_machine(first.name);
         EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
         EXPECT_EQ(j.pending.size(), 2U);
-        Machine& right = machine("right");
+        Machine& right = add_machine("right");
         EXPECT_EQ(bound({&wrong, &right}), 2U) << rule.what;
         for (const auto& [task, p] : j.live) EXPECT_EQ(p.machine, "right") << rule.what;
         jobs.erase(id);
@@ -114,7 +75,7 @@
 // While one replica is where it was, the other's successor must come there too.
 TEST_F(Rebinding, StaysInTheOneZoneOfTheOthers) {
     Job& j = add("job-1", 2, [](JobSpec& s) { s.single_zone = true; });
-    Machine &x = machine("vm-1"), &y = machine("vm-2"), &other = machine("vm-3", "b");
+    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2"), &other = add_machine("vm-3", "b");
     ASSERT_EQ(bound({&x}), 2U);
     jobs.stop(j, 0, now);
     EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
@@ -141,8 +102,8 @@
     EXPECT_EQ(bound({&y}), 1U);
     EXPECT_EQ(j.live.at(0).zone, "a");
     // With none left any zone will do.
-    lose(x);
-    lose(y);
+    delete_machine(x.name);
+    delete_machine(y.name);
     EXPECT_EQ(bound({&other}), 2U);
 }
 
@@ -151,20 +112,20 @@
     for (uint32_t replicas : {1U, 2U, 5U, 9U}) {
         uint32_t half = (replicas + 1) / 2;
         Job& j = add("job-1", replicas, [](JobSpec& s) { s.spread_across_zones = true; });
-        Machine &a = machine("vm-1"), &b = machine("vm-2", "b"), &again = machine("vm-3");
+        Machine &a = add_machine("vm-1"), &b = add_machine("vm-2", "b"), &again = add_machine("vm-3");
         ASSERT_EQ(bound({&a}), half) << replicas;
         ASSERT_EQ(bound({&b}), replicas - half) << replicas;
         // Those of `b` move: until their exit is known they are there, and there is no room in `a`.
         for (const auto& [task, p] : j.live)
             if (p.machine == "vm-2") jobs.stop(j, task, now);
         EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
-        lose(b);
+        delete_machine(b.name);
         EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
         EXPECT_EQ(j.pending.size(), replicas - half);
-        Machine& b2 = machine("vm-4", "b");
+        Machine& b2 = add_machine("vm-4", "b");
         EXPECT_EQ(bound({&b2}), replicas - half) << replicas;
         // Those of `a` are lost: their successors may come back to it, and no more of them than half.
-        lose(a);
+        delete_machine(a.name);
         EXPECT_EQ(bound({&again}), half) << replicas;
         jobs.erase("job-1");
         cluster.machines.clear();
@@ -178,16 +139,19 @@
         config.teams[0].gpus_max = cpus ? 0 : 2;
         auto amount = [&](JobSpec& s) { s.gpus = cpus ? 0 : 0.5; };
         Job& j = add("job-1", 4, amount);
-        Machine &x = machine("vm-1"), &y = machine("vm-2");
+        Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
         ASSERT_EQ(bound({&x}), 4U);
-        add("job-2", 1, amount, JobKind::kArray);
+        add("job-2", 1, [&](JobSpec& spec) {
+            amount(spec);
+            spec.kind = JobKind::kArray;
+        });
         add("job-3", 1, amount);
         for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, now);
         EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
         x.current = false;
         now += 500;
         EXPECT_EQ(bound({&y}), 0U) << "nor is silence";
-        lose(x);
+        delete_machine(x.name);
         EXPECT_EQ(bound({&y}), 4U) << "and then no more than the limit";
         // An attempt that no placement accounts for still takes its part.
         MachineTask has_unplaced_task;
@@ -197,7 +161,7 @@
         has_unplaced_task.sized = true;
         has_unplaced_task.team = "team";
         has_unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
-        Machine& z = machine("vm-3");
+        Machine& z = add_machine("vm-3");
         z.tasks = {has_unplaced_task};
         jobs.machine_deleted("vm-2", now);
         EXPECT_EQ(bound({&y}), 3U);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 #include "jobs/compact.h"
-#include "standins/deployment.h"
+#include "standins/records.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -27,13 +27,6 @@
     "6d2d303030303033207a6f6e652061b53420323020766d2d303030323331207a6f6e652061a17601";
 const char* kFinalBytes = "84a26964aa6a6f622d303030343132a977697468647261776ec3a57461736b7310a4646f6e6506";
 
-std::string from_hex(std::string_view hex) {
-    std::string out;
-    for (size_t i = 0; i + 1 < hex.size(); i += 2)
-        out += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
-    return out;
-}
-
 JobRecord production_record() {
     JobRecord r;
     r.spec.id = "job-000412";
@@ -72,10 +65,6 @@
            std::equal(a.live.begin(), a.live.end(), b.live.begin(), b.live.end(), bound);
 }
 
-std::string machine_name(uint32_t n) {
-    return fmt::format("vm-{:06}", n);
-}
-
 // An array whose tasks are all on machines, as the production version wrote it before the upgrade.
 JobRecord large_record(const std::string& id, uint32_t tasks, uint32_t machines) {
     JobRecord r = production_record();
@@ -95,29 +84,6 @@
     return r;
 }
 
-void keep(Deployment& deployment, const std::string& key, std::string data) {
-    Transaction t;
-    t.expect(key, 0).put(key, std::move(data));
-    ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
-}
-
-std::vector<FakeWorker> workers_of(const JobRecord& r) {
-    std::map<std::string, FakeWorker> by_name;
-    for (const auto& [task, b] : r.live) {
-        FakeWorker& w = by_name[b.machine];
-        w.name = b.machine;
-        w.zone = b.zone;
-        w.tasks.push_back({{r.spec.id, task}, b.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-    }
-    std::vector<FakeWorker> out;
-    for (auto& [name, w] : by_name) out.push_back(std::move(w));
-    return out;
-}
-
-uint64_t form_of(Deployment& deployment, const std::string& key) {
-    return Message::parse(deployment.store.rows.at(key).data)->root()["v"].count_or(0);
-}
-
 // A deployment under the limits that the state service will have: the service enforces them at once.
 void lower_limits(Deployment& deployment, size_t value_bytes, size_t txn_ops) {
     for (auto& c : deployment.configs) {
@@ -297,21 +263,21 @@
     deployment.run(10);
     EXPECT_EQ(deployment.store.rows.count("form"), 0u);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
     FakeWorker w;
     deployment.settle(w);
     deployment.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
     EXPECT_TRUE(Message::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(3);
     ASSERT_EQ(deployment.leader(), 0);
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
     ASSERT_EQ(deployment.call(1, "POST", "/v2/runs/job-1/withdraw").status, 200);
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u)
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2u)
         << "also by a follower, which asks for the form until it is there";
     auto record = JobRecord::unpack(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
@@ -326,7 +292,7 @@
     EXPECT_EQ(unpack_record_format(deployment.store.rows.at("form").data), 2u);
     deployment.run(1);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
     deployment.kill(0);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
@@ -342,20 +308,20 @@
         JobRecord ended = large_record("job-1", 150, 12), cancelled = large_record("job-2", 150, 10);
         for (auto& [task, b] : cancelled.live) b.machine = "vm-0009" + b.machine.substr(7);
         ASSERT_GT(json_text(ended.pack(1)).size(), 2048u);
-        keep(deployment, "j/job-1", ended.pack(1));
-        keep(deployment, "j/job-2", cancelled.pack(1));
+        store_value(deployment, "j/job-1", ended.pack(1));
+        store_value(deployment, "j/job-2", cancelled.pack(1));
         lower_limits(deployment, 2048, ops);
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(2);
-        EXPECT_EQ(form_of(deployment, "j/job-1"), 1u) << "its next change replaces it, nothing before";
+        EXPECT_EQ(stored_format(deployment, "job-1"), 1u) << "its next change replaces it, nothing before";
         auto one = workers_of(ended), two = workers_of(cancelled);
         for (auto& w : one) deployment.settle(w);
         for (auto& w : two) deployment.settle(w);
         for (const auto& w : one)
             for (const auto& t : w.tasks) EXPECT_EQ(t.phase, TaskPhase::kRunning) << t.name.text();
         ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-        EXPECT_EQ(form_of(deployment, "j/job-2"), 2u);
+        EXPECT_EQ(stored_format(deployment, "job-2"), 2u);
         EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150u)
             << "none is free yet";
         // Every second task ends first: the done ranges are as long as they can be.
@@ -369,7 +335,7 @@
             }
             deployment.run(2);
             if (odd) {
-                EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+                EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
                 EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-1").data)->done.size(), 75u);
             }
         }
@@ -390,8 +356,8 @@
     JobRecord r = large_record("job-1", 150, 12), w = large_record("job-2", 400, 12);
     for (uint32_t n = 0; n < 400; n += 2) w.done.add(n);
     std::erase_if(w.live, [&](const auto& l) { return l.first % 4 != 1; });
-    keep(deployment, "j/job-1", r.pack(1));
-    keep(deployment, "j/job-2", w.pack(1));
+    store_value(deployment, "j/job-1", r.pack(1));
+    store_value(deployment, "j/job-2", w.pack(1));
     lower_limits(deployment, 780, 4);
     ASSERT_GT(json_text(r.pack(2)).size(), 780u);
     ASSERT_GT(json_text(w.pack(2)).size(), 780u);
@@ -409,7 +375,7 @@
         deployment.send_report(workers[i], 0);
         deployment.run(1);
         deployment.send_report(workers[i], 0);
-        bool written = form_of(deployment, "j/job-1") == 2;
+        bool written = stored_format(deployment, "job-1") == 2;
         EXPECT_EQ(written, workers[i].tasks.empty()) << "an exit is forgotten once it is kept";
         if (i == 0) {
             EXPECT_FALSE(written);
@@ -417,7 +383,7 @@
         if (i + 1 < workers.size() && !deployment.store.rows.count("j/job-1")) FAIL() << "not over yet";
         if (written) break;
     }
-    EXPECT_EQ(form_of(deployment, "j/job-1"), 2u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
     EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
@@ -494,7 +460,7 @@
     JobRecord known = production_record();
     known.spec.id = "job-9";
     known.spec.machine_types.assign(40, std::string(100, 'x'));
-    keep(deployment, "j/job-9", known.pack(1));
+    store_value(deployment, "j/job-9", known.pack(1));
     lower_limits(deployment, 2048, 4);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
@@ -544,7 +510,7 @@
     std::string packed = r.pack(2);
     packed.back() = 3;  // "v", packed last
     ASSERT_TRUE(newer_record_format(packed));
-    keep(deployment, "j/job-7", packed);
+    store_value(deployment, "j/job-7", packed);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
@@ -571,7 +537,7 @@
 TEST(Upgrade, DoesNotLeadOverANewerRecordFormat) {
     for (const std::string& kept : {pack_record_format(3), packed_text("not a form")}) {
         Deployment deployment;
-        keep(deployment, "form", kept);
+        store_value(deployment, "form", kept);
         deployment.start(0);
         deployment.run(10);
         EXPECT_EQ(deployment.leader(), -1);
