--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -72,8 +72,8 @@
                                "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
 const char* const kOptional[] = {"flavors", "cove", "due_s"};
 
-void shape(JobFields& f, const char* name) {
-    f["shape"] = packed_text(name);
+void shape(JobFields& fields, const char* name) {
+    fields["shape"] = packed_text(name);
 }
 
 }  // namespace
@@ -91,15 +91,15 @@
     for (const char* name : {"sweep", "ensemble", "standing"}) {
         for (const char* field : kNeeded) {
             auto with = [&](std::string value) {
-                return submit("job-1", [&](auto& f) {
-                    shape(f, name);
-                    f[field] = std::move(value);
+                return submit("job-1", [&](auto& fields) {
+                    shape(fields, name);
+                    fields[field] = std::move(value);
                 });
             };
             EXPECT_EQ(submit("job-1",
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f.erase(field);
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields.erase(field);
                              }),
                       400)
                 << name << ' ' << field;
@@ -108,16 +108,16 @@
         }
         for (const char* field : kOptional) {
             EXPECT_EQ(submit("job-1",
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f[field] = packed_flag(true);
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields[field] = packed_flag(true);
                              }),
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f[field] = packed_null();
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields[field] = packed_null();
                              }),
                       201)
                 << name << ' ' << field;
@@ -142,9 +142,10 @@
         return deployment
             .call(0, "POST", "/v2/runs",
                   job_body(id,
-                           [&](auto& f) {
-                               f[field] = packed_number(amount);
-                               if (machine_type) f["flavors"] = Packer().list(1).text(machine_type).take();
+                           [&](auto& fields) {
+                               fields[field] = packed_number(amount);
+                               if (machine_type)
+                                   fields["flavors"] = Packer().list(1).text(machine_type).take();
                            }))
             .status;
     };
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -46,64 +46,64 @@
 }
 
 TEST(TokenBucket, GivesTheRateAndTheBurst) {
-    TokenBucket b(10, 5);
-    EXPECT_TRUE(b.take(5, 1.0));
-    EXPECT_FALSE(b.take(1, 1.0));
-    EXPECT_NEAR(b.until(1, 1.0), 0.1, 1e-9);
-    EXPECT_TRUE(b.take(1, 1.11));
+    TokenBucket bucket(10, 5);
+    EXPECT_TRUE(bucket.take(5, 1.0));
+    EXPECT_FALSE(bucket.take(1, 1.0));
+    EXPECT_NEAR(bucket.until(1, 1.0), 0.1, 1e-9);
+    EXPECT_TRUE(bucket.take(1, 1.11));
 }
 
 // Rounding left a wait too short to move the clock: whoever waited for two changes spun for ever.
 TEST(TokenBucket, NeverWaitsForLessThanTheClockTells) {
-    TokenBucket b(11.25, 2);
+    TokenBucket bucket(11.25, 2);
     Seconds now = 1000.1;
     for (int i = 0; i < 100'000; ++i) {
-        Seconds wait = b.until(2, now);
+        Seconds wait = bucket.until(2, now);
         ASSERT_TRUE(wait == 0 || now + wait > now) << i;
         now += wait;
         if (wait == 0) {
-            ASSERT_TRUE(b.take(2, now)) << "what need not be waited for is there";
+            ASSERT_TRUE(bucket.take(2, now)) << "what need not be waited for is there";
         }
         now += (i % 7) * 0.013;
     }
 }
 
 TEST(Config, ReadsTheFileAndIgnoresWhatItDoesNotKnow) {
-    Config c = Config::parse(kSettingsText);
-    EXPECT_EQ(c.label, "n0");
-    EXPECT_EQ(c.zones.size(), 2u);
-    EXPECT_EQ(c.value_bytes, 8192u);
-    EXPECT_EQ(c.team("t")->gpus_max, 8.0);
-    EXPECT_EQ(c.team("u"), nullptr);
-    EXPECT_EQ(c.ram_bytes, 0u) << "not said";
+    Config config = Config::parse(kSettingsText);
+    EXPECT_EQ(config.label, "n0");
+    EXPECT_EQ(config.zones.size(), 2u);
+    EXPECT_EQ(config.value_bytes, 8192u);
+    EXPECT_EQ(config.team("t")->gpus_max, 8.0);
+    EXPECT_EQ(config.team("u"), nullptr);
+    EXPECT_EQ(config.ram_bytes, 0u) << "not said";
     // A larger deployment than any so far, with fields that are new.
     std::string text = std::string(kSettingsText) +
                        "[facts.machine_limits]\ncores = 0.2\nram_mb = 300.0\nsockets = 4000\ngpus = 1\n";
     for (int i = 0; i < 40; ++i)
         text += "[[siblings]]\nlabel = \"m" + std::to_string(i) + "\"\nsite = \"z" + std::to_string(i % 9) +
                 "\"\naddr = \"10.0.1." + std::to_string(i) + ":8081\"\nrack = 3\n";
-    c = Config::parse(text);
-    EXPECT_GE(c.peers.size(), 40u);
-    EXPECT_EQ(c.sockets, 4000u);
-    EXPECT_EQ(c.ram_bytes, 300u * 1024 * 1024);
+    config = Config::parse(text);
+    EXPECT_GE(config.peers.size(), 40u);
+    EXPECT_EQ(config.sockets, 4000u);
+    EXPECT_EQ(config.ram_bytes, 300u * 1024 * 1024);
 }
 
 TEST(Config, TakesTheSmallerOfTodaysAndLaterLimits) {
     auto with = [](const std::string& next) { return Config::parse(settings_with_store_limits(next)); };
-    Config c = with("");
-    EXPECT_EQ(c.value_limit(1), 8192u);
-    EXPECT_EQ(c.value_limit(2), 8192u);
-    c = with("next = {value_kb = 2.0, txn_ops = 4, write_rps = 9.5}");
-    EXPECT_EQ(c.value_limit(1), 8192u) << "until form 2 is in force the old limits hold";
-    EXPECT_EQ(c.value_limit(2), 2048u);
-    EXPECT_EQ(c.txn_ops, 4u);
-    EXPECT_EQ(c.write_rps, 9.5);
-    c = with("next = {txn_ops = 100, later = 1}");
-    EXPECT_EQ(c.txn_ops, 12u);
-    EXPECT_EQ(c.write_rps, 15.0);
-    c = with("next = {value_kb = 99, write_rps = 99}");
-    EXPECT_EQ(c.value_limit(2), 8192u);
-    EXPECT_EQ(c.write_rps, 15.0);
+    Config config = with("");
+    EXPECT_EQ(config.value_limit(1), 8192u);
+    EXPECT_EQ(config.value_limit(2), 8192u);
+    config = with("next = {value_kb = 2.0, txn_ops = 4, write_rps = 9.5}");
+    EXPECT_EQ(config.value_limit(1), 8192u) << "until form 2 is in force the old limits hold";
+    EXPECT_EQ(config.value_limit(2), 2048u);
+    EXPECT_EQ(config.txn_ops, 4u);
+    EXPECT_EQ(config.write_rps, 9.5);
+    config = with("next = {txn_ops = 100, later = 1}");
+    EXPECT_EQ(config.txn_ops, 12u);
+    EXPECT_EQ(config.write_rps, 15.0);
+    config = with("next = {value_kb = 99, write_rps = 99}");
+    EXPECT_EQ(config.value_limit(2), 8192u);
+    EXPECT_EQ(config.write_rps, 15.0);
     for (const char* bad :
          {"value_kb = 0", "value_kb = -2", "value_kb = \"2\"", "value_kb = 0.5", "txn_ops = 0", "txn_ops = 1",
           "txn_ops = nan", "write_rps = 0.0", "write_rps = -1"}) {
@@ -147,9 +147,9 @@
 }
 
 TEST(Settings, AreSExpressionsWithPositionsInErrors) {
-    Settings s = Settings::parse("; ours\n(hold-s 4.5)\n(min-idle-machines 2)\n");
-    EXPECT_EQ(s.hold_s, 4.5);
-    EXPECT_EQ(s.min_idle_machines, 2);
+    Settings settings_read = Settings::parse("; ours\n(hold-s 4.5)\n(min-idle-machines 2)\n");
+    EXPECT_EQ(settings_read.hold_s, 4.5);
+    EXPECT_EQ(settings_read.min_idle_machines, 2);
     auto error = [](const char* text) {
         try {
             Settings::parse(text);
@@ -167,20 +167,20 @@
 }
 
 TEST(Record, SurvivesPacking) {
-    JobRecord r;
-    r.spec.id = "job-1";
-    r.spec.kind = JobKind::kGang;
-    r.spec.tasks = 100;
-    r.spec.due_s = 30;
-    r.spec.machine_types = {"g2"};
-    r.done = Ranges::whole(3);
-    r.next_attempt = 9;
-    r.live[5] = {8, "vm-000003", "zone a"};
-    r.live[6] = {8, "vm-000004", "b"};
-    auto again = JobRecord::unpack(r.pack(1));
+    JobRecord record;
+    record.spec.id = "job-1";
+    record.spec.kind = JobKind::kGang;
+    record.spec.tasks = 100;
+    record.spec.due_s = 30;
+    record.spec.machine_types = {"g2"};
+    record.done = Ranges::whole(3);
+    record.next_attempt = 9;
+    record.live[5] = {8, "vm-000003", "zone a"};
+    record.live[6] = {8, "vm-000004", "b"};
+    auto again = JobRecord::unpack(record.pack(1));
     ASSERT_TRUE(again);
-    EXPECT_EQ(again->spec, r.spec);
-    EXPECT_EQ(again->done, r.done);
+    EXPECT_EQ(again->spec, record.spec);
+    EXPECT_EQ(again->done, record.done);
     EXPECT_EQ(again->live.at(5).machine, "vm-000003");
     EXPECT_EQ(again->live.at(5).zone, "zone a");
     EXPECT_EQ(again->next_attempt, 9u);
@@ -188,18 +188,18 @@
 
 // What a peer sends may be anything: every decoder takes it or leaves it.
 TEST(Decoders, SurviveMutatedMessages) {
-    JobRecord r;
-    r.spec.id = "job-1";
-    r.spec.tasks = 4;
-    r.live[1] = {1, "vm-1", "a"};
+    JobRecord record;
+    record.spec.id = "job-1";
+    record.spec.tasks = 4;
+    record.live[1] = {1, "vm-1", "a"};
     peer::Heartbeat heartbeat{};
     peer::set_label(heartbeat, "node-0");
-    Packer p;
-    p.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
+    Packer packer;
+    packer.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
     std::vector<std::string> seeds{
-        r.pack(1),
-        r.pack(2),
-        p.take(),
+        record.pack(1),
+        record.pack(2),
+        packer.take(),
         peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
         peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
@@ -217,9 +217,9 @@
         taken += Cloud::unpack_machine_types(s).has_value();
         peer::Reader reader;
         reader.feed(s);
-        while (auto f = reader.next()) {
-            taken += peer::unpack_heartbeat(f->payload).has_value();
-            taken += peer::unpack_cancellation_notice(f->payload).has_value();
+        while (auto fields = reader.next()) {
+            taken += peer::unpack_heartbeat(fields->payload).has_value();
+            taken += peer::unpack_cancellation_notice(fields->payload).has_value();
         }
         try {
             Settings::parse(s);
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -65,16 +65,16 @@
             Stream::Read got = co_await stream.read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
-            while (auto f = reader.next()) {
-                if (f->kind != peer::Kind::kHeartbeat || !answers) continue;
+            while (auto fields = reader.next()) {
+                if (fields->kind != peer::Kind::kHeartbeat || !answers) continue;
                 std::string out;
                 if (!sends.empty())
                     out = peer::pack(peer::Kind::kCancellationNotice, 0, incarnation,
                                      peer::pack({incarnation, from, sends}));
                 sends.clear();
                 peer::Heartbeat b = heartbeat();
-                b.asked_us = peer::unpack_heartbeat(f->payload)->asked_us;
-                out += peer::pack(peer::Kind::kHeartbeatAnswer, f->id, f->incarnation, b);
+                b.asked_us = peer::unpack_heartbeat(fields->payload)->asked_us;
+                out += peer::pack(peer::Kind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
@@ -85,7 +85,7 @@
             Stream::Read got = co_await stream->read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
-            while (auto f = reader.next()) unknown += f->kind == peer::Kind::kCancellationNotice;
+            while (auto fields = reader.next()) unknown += fields->kind == peer::Kind::kCancellationNotice;
         }
     }
     Task<void> heartbeats() {
@@ -101,11 +101,11 @@
 };
 
 // Reports every 2 s for so long; the last status.
-int report(Deployment& deployment, FakeWorker& w, int node, Seconds time) {
+int report(Deployment& deployment, FakeWorker& worker, int node, Seconds time) {
     int status = 0;
     for (Seconds end = deployment.loop.now() + time; deployment.loop.now() < end;) {
         deployment.run(2);
-        status = deployment.send_report(w, node);
+        status = deployment.send_report(worker, node);
     }
     return status;
 }
@@ -114,7 +114,7 @@
 struct Pair {
     Deployment deployment{2};
     std::unique_ptr<ScriptedPeer> peer;
-    FakeWorker w;
+    FakeWorker worker;
     explicit Pair(uint8_t record_format, std::vector<std::string> jobs = {}) {
         deployment.run(1);
         peer = std::make_unique<ScriptedPeer>(deployment);
@@ -122,15 +122,15 @@
         deployment.start(0);
         EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(6);
-        deployment.settle(w);
+        deployment.settle(worker);
         for (const auto& id : jobs)
             EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
-        EXPECT_EQ(report(deployment, w, 0, 4), 200);
-        EXPECT_EQ(w.tasks.size(), jobs.size());
+        EXPECT_EQ(report(deployment, worker, 0, 4), 200);
+        EXPECT_EQ(worker.tasks.size(), jobs.size());
     }
-    bool runs(const std::string& task) {
-        const TaskStatus* t = w.find(task);
-        return t && t->phase == TaskPhase::kRunning;
+    bool runs(const std::string& name) {
+        const TaskStatus* task = worker.find(name);
+        return task && task->phase == TaskPhase::kRunning;
     }
 };
 
@@ -146,29 +146,29 @@
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
         int leader = deployment.leader(), other = (leader + 1) % n;
         deployment.run(6);
-        FakeWorker w;
-        deployment.settle(w);
+        FakeWorker worker;
+        deployment.settle(worker);
         for (const char* id : {"job-1", "job-2"})
             ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", job_body(id)).status, 201);
-        EXPECT_EQ(report(deployment, w, leader, 4), 200);
-        ASSERT_TRUE(w.find("job-1/0") && w.find("job-2/0"));
+        EXPECT_EQ(report(deployment, worker, leader, 4), 200);
+        ASSERT_TRUE(worker.find("job-1/0") && worker.find("job-2/0"));
         deployment.store.refused_nodes.insert(leader);
         deployment.run(0.3);
         ASSERT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
         deployment.run(0.5);
         deployment.store.down = true;
         Seconds announced = deployment.loop.now();
-        EXPECT_EQ(report(deployment, w, leader, 4), 200);
-        EXPECT_TRUE(!w.find("job-1/0") || w.find("job-1/0")->phase == TaskPhase::kExited);
-        EXPECT_EQ(report(deployment, w, leader, deployment.configs[0].cancel_s + 20), 200)
+        EXPECT_EQ(report(deployment, worker, leader, 4), 200);
+        EXPECT_TRUE(!worker.find("job-1/0") || worker.find("job-1/0")->phase == TaskPhase::kExited);
+        EXPECT_EQ(report(deployment, worker, leader, deployment.configs[0].cancel_s + 20), 200)
             << "all is known: no lease need end";
         EXPECT_EQ(deployment.leader(), leader);
-        EXPECT_EQ(w.find("job-2/0")->phase, TaskPhase::kRunning) << deployment.loop.now() - announced;
+        EXPECT_EQ(worker.find("job-2/0")->phase, TaskPhase::kRunning) << deployment.loop.now() - announced;
         deployment.store.restart_leases();
         deployment.store.down = false;
         deployment.store.refused_nodes.clear();
         deployment.run(3);
-        EXPECT_EQ(report(deployment, w, leader, 8), 200);
+        EXPECT_EQ(report(deployment, worker, leader, 8), 200);
         EXPECT_TRUE(deployment.store.rows.count("f/job-1"));
         EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-2")), "running");
     }
@@ -181,11 +181,11 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(4);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(report(deployment, w, first, 4), 200);
-    ASSERT_TRUE(w.find("job-1/0"));
+    EXPECT_EQ(report(deployment, worker, first, 4), 200);
+    ASSERT_TRUE(worker.find("job-1/0"));
     deployment.kill(first);
     deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
@@ -193,92 +193,92 @@
     ASSERT_TRUE(deployment.until([&] { return node.leader() != nullptr; }));
     ASSERT_EQ(node.leader()->jobs().size(), 0u);
     node.leader()->observe_cancellation("job-1");
-    deployment.settle(w);
-    EXPECT_EQ(report(deployment, w, 1 - first, 4), 200);
-    const TaskStatus* t = w.find("job-1/0");
-    EXPECT_TRUE(!t || t->phase == TaskPhase::kExited);
+    deployment.settle(worker);
+    EXPECT_EQ(report(deployment, worker, 1 - first, 4), 200);
+    const TaskStatus* task = worker.find("job-1/0");
+    EXPECT_TRUE(!task || task->phase == TaskPhase::kExited);
 }
 
 // A peer of the version in production cannot say which jobs were cancelled: it is sent nothing that it
 // does not know, and its silence about cancellations counts as before.
 TEST(Cancellation, BesideTheVersionInProductionSilenceCounts) {
-    Pair p(0, {"job-1"});
-    ASSERT_EQ(phase_of(p.deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
-    p.deployment.run(3);
-    EXPECT_EQ(p.peer->unknown, 0) << "it would close the connection";
-    p.deployment.store.down = true;
-    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200) << "it has told nobody";
-    p.peer->announced_last = p.deployment.loop.now();
-    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503) << "which it was is not known";
+    Pair pair(0, {"job-1"});
+    ASSERT_EQ(phase_of(pair.deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
+    pair.deployment.run(3);
+    EXPECT_EQ(pair.peer->unknown, 0) << "it would close the connection";
+    pair.deployment.store.down = true;
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200) << "it has told nobody";
+    pair.peer->announced_last = pair.deployment.loop.now();
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 12), 503) << "which it was is not known";
 }
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
 TEST(Cancellation, AMissingNameEndsTheRightToRenewInTime) {
-    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
-    p.deployment.store.down = true;
-    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
-    p.peer->announced_last = p.deployment.loop.now();
-    p.peer->announced = 1;
-    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503);
-    EXPECT_TRUE(p.runs("job-1/0") && p.runs("job-2/0"));
+    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    pair.deployment.store.down = true;
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
+    pair.peer->announced_last = pair.deployment.loop.now();
+    pair.peer->announced = 1;
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 12), 503);
+    EXPECT_TRUE(pair.runs("job-1/0") && pair.runs("job-2/0"));
 }
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
 TEST(Cancellation, NamesCountOnceAndInCommand) {
-    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
-    p.deployment.store.down = true;
-    p.deployment.run(2);
-    p.peer->announced_last = p.deployment.loop.now();
-    p.peer->announced = 1;
-    p.peer->sends = {"job-1"};
-    EXPECT_EQ(report(p.deployment, p.w, 0, 6), 200);
-    EXPECT_TRUE(!p.runs("job-1/0") && p.runs("job-2/0"));
-    p.peer->announced_last = p.deployment.loop.now();
-    p.peer->announced = 2;
-    p.peer->sends = {"job-1", "job-2"};
-    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
-    EXPECT_FALSE(p.runs("job-2/0"));
+    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    pair.deployment.store.down = true;
+    pair.deployment.run(2);
+    pair.peer->announced_last = pair.deployment.loop.now();
+    pair.peer->announced = 1;
+    pair.peer->sends = {"job-1"};
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 6), 200);
+    EXPECT_TRUE(!pair.runs("job-1/0") && pair.runs("job-2/0"));
+    pair.peer->announced_last = pair.deployment.loop.now();
+    pair.peer->announced = 2;
+    pair.peer->sends = {"job-1", "job-2"};
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
+    EXPECT_FALSE(pair.runs("job-2/0"));
     // One is left out: what comes after it says nothing of it.
-    p.peer->announced_last = p.deployment.loop.now();
-    p.peer->announced = 4;
-    p.peer->from = 3;
-    p.peer->sends = {"job-9"};
-    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span";
-    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503);
+    pair.peer->announced_last = pair.deployment.loop.now();
+    pair.peer->announced = 4;
+    pair.peer->from = 3;
+    pair.peer->sends = {"job-9"};
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 16), 200) << "within the span";
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 12), 503);
 }
 
 // The heartbeat that a peer sends by itself is up to a second newer than its last answer. Taken together, its
 // silence and the answer's time reached back to before a cancellation that it had told a user of.
 TEST(Cancellation, ALaterHeartbeatSaysNothingOfAnEarlierAnswer) {
-    Pair p(0);
+    Pair pair(0);
     // Seen fresh by a watch that began up to 3 s ago, and cut off now.
-    p.deployment.store.refused_nodes.insert(0);
-    p.deployment.store.down = true;
-    p.deployment.run(0.2);
-    p.peer->announced_last = p.deployment.loop.now();
-    Seconds announced = p.deployment.loop.now();
-    while (p.deployment.loop.now() <
-           announced + p.deployment.configs[0].cancel_s - p.deployment.configs[0].lease_s) {
-        p.deployment.run(0.2);
-        p.deployment.send_report(p.w, 0);
+    pair.deployment.store.refused_nodes.insert(0);
+    pair.deployment.store.down = true;
+    pair.deployment.run(0.2);
+    pair.peer->announced_last = pair.deployment.loop.now();
+    Seconds announced = pair.deployment.loop.now();
+    while (pair.deployment.loop.now() <
+           announced + pair.deployment.configs[0].cancel_s - pair.deployment.configs[0].lease_s) {
+        pair.deployment.run(0.2);
+        pair.deployment.send_report(pair.worker, 0);
     }
     for (int i = 0; i < 40; ++i) {
-        p.deployment.run(0.2);
-        ASSERT_EQ(p.deployment.send_report(p.w, 0), 503) << i;
+        pair.deployment.run(0.2);
+        ASSERT_EQ(pair.deployment.send_report(pair.worker, 0), 503) << i;
     }
 }
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
 TEST(Cancellation, WhatWasVouchedForStaysKnown) {
-    Pair p(peer::kPeerFormat);
-    p.deployment.store.down = true;
-    EXPECT_EQ(report(p.deployment, p.w, 0, 60), 200);
-    p.peer->incarnation = 78;
-    p.peer->announced_last = p.deployment.loop.now();
-    EXPECT_EQ(report(p.deployment, p.w, 0, 16), 200) << "within the span from its last word";
-    EXPECT_EQ(report(p.deployment, p.w, 0, 12), 503)
+    Pair pair(peer::kPeerFormat);
+    pair.deployment.store.down = true;
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
+    pair.peer->incarnation = 78;
+    pair.peer->announced_last = pair.deployment.loop.now();
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 16), 200) << "within the span from its last word";
+    EXPECT_EQ(report(pair.deployment, pair.worker, 0, 12), 503)
         << "its last process may have told of one before it ended";
 }
 
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -19,20 +19,20 @@
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200)
         << "a retry makes no second job";
-    FakeWorker w;
-    deployment.settle(w);
-    deployment.send_report(w, 0);
-    ASSERT_TRUE(w.find("job-1/0"));
-    deployment.send_report(w, 0);
+    FakeWorker worker;
+    deployment.settle(worker);
+    deployment.send_report(worker, 0);
+    ASSERT_TRUE(worker.find("job-1/0"));
+    deployment.send_report(worker, 0);
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "running");
-    exit_task(*w.find("job-1/0"), ExitCause::kDone);
-    deployment.send_report(w, 0);
+    exit_task(*worker.find("job-1/0"), ExitCause::kDone);
+    deployment.send_report(worker, 0);
     deployment.run(0.5);
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "done");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
-    deployment.send_report(w, 0);
-    EXPECT_TRUE(w.tasks.empty()) << "forgotten once committed";
+    deployment.send_report(worker, 0);
+    EXPECT_TRUE(worker.tasks.empty()) << "forgotten once committed";
 }
 
 TEST(Controller, AnswersWhatItCannotTake) {
@@ -42,28 +42,42 @@
     auto submit = [&](const JobFieldsChange& change) {
         return deployment.call(0, "POST", "/v2/runs", job_body("job-1", change)).status;
     };
-    auto packed = [](auto f) {
-        Packer p;
-        f(p);
-        return p.take();
+    auto packed = [](auto fields) {
+        Packer packer;
+        fields(packer);
+        return packer.take();
     };
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", "\xc1").status, 400);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", "\x93\x01\x02\x03").status, 400);
     for (const char* field :
          {"ref", "owner", "pieces", "vcpus", "bundle", "one_zone", "snapshot_s", "rank"}) {
-        EXPECT_EQ(submit([&](auto& f) { f.erase(field); }), 400) << field;
-        EXPECT_EQ(submit([&](auto& f) { f[field] = packed([](Packer& p) { p.list(0); }); }), 400) << field;
+        EXPECT_EQ(submit([&](auto& fields) { fields.erase(field); }), 400) << field;
+        EXPECT_EQ(
+            submit([&](auto& fields) { fields[field] = packed([](Packer& packer) { packer.list(0); }); }),
+            400)
+            << field;
     }
     for (double bad : {-1.0, static_cast<double>(INFINITY), static_cast<double>(NAN)})
         for (const char* field : {"pieces", "vcpus", "memory_gb", "size_gb", "expect_s", "due_s"})
-            EXPECT_EQ(submit([&](auto& f) { f[field] = packed([&](Packer& p) { p.number(bad); }); }), 400)
+            EXPECT_EQ(submit([&](auto& fields) {
+                          fields[field] = packed([&](Packer& packer) { packer.number(bad); });
+                      }),
+                      400)
                 << field << bad;
-    EXPECT_EQ(submit([&](auto& f) { f["pieces"] = packed([](Packer& p) { p.count(100'001); }); }), 400);
-    EXPECT_EQ(submit([&](auto& f) { f["owner"] = packed([](Packer& p) { p.text("nobody"); }); }), 422);
-    EXPECT_EQ(submit([&](auto& f) { f["cards"] = packed([](Packer& p) { p.number(3); }); }), 422);
-    EXPECT_EQ(submit([&](auto& f) {
-                  f["shape"] = packed([](Packer& p) { p.text("ensemble"); });
-                  f["pieces"] = packed([](Packer& p) { p.count(9); });
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["pieces"] = packed([](Packer& packer) { packer.count(100'001); });
+              }),
+              400);
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["owner"] = packed([](Packer& packer) { packer.text("nobody"); });
+              }),
+              422);
+    EXPECT_EQ(
+        submit([&](auto& fields) { fields["cards"] = packed([](Packer& packer) { packer.number(3); }); }),
+        422);
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["shape"] = packed([](Packer& packer) { packer.text("ensemble"); });
+                  fields["pieces"] = packed([](Packer& packer) { packer.count(9); });
               }),
               422);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs").status, 405);
@@ -89,7 +103,8 @@
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-2")).status, 503);
     EXPECT_EQ(
-        deployment.call(0, "POST", "/v2/runs", job_body("job-3", [](auto& f) { f.erase("owner"); })).status,
+        deployment.call(0, "POST", "/v2/runs", job_body("job-3", [](auto& fields) { fields.erase("owner"); }))
+            .status,
         400);
     deployment.kill(0);
     deployment.cloud.down = false;
@@ -121,23 +136,23 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader(), second = 1 - first;
     deployment.run(1);
-    FakeWorker w;
-    deployment.settle(w);
-    uint64_t fencing_token = w.fencing_token;
+    FakeWorker worker;
+    deployment.settle(worker);
+    uint64_t fencing_token = worker.fencing_token;
     ASSERT_EQ(deployment.call(second, "POST", "/v2/runs", job_body("job-1")).status, 201)
         << "any node serves users";
-    deployment.send_report(w, first);
-    deployment.send_report(w, first);
-    ASSERT_TRUE(w.find("job-1/0"));
-    EXPECT_EQ(deployment.send_report(w, second), 421);
+    deployment.send_report(worker, first);
+    deployment.send_report(worker, first);
+    ASSERT_TRUE(worker.find("job-1/0"));
+    EXPECT_EQ(deployment.send_report(worker, second), 421);
     deployment.kill(first);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == second; }, 15));
-    deployment.settle(w);
-    EXPECT_GT(w.fencing_token, fencing_token);
-    deployment.send_report(w, second);
-    ASSERT_TRUE(w.find("job-1/0"));
-    EXPECT_EQ(w.find("job-1/0")->attempt, 1u);
-    EXPECT_EQ(w.find("job-1/0")->phase, TaskPhase::kRunning);
+    deployment.settle(worker);
+    EXPECT_GT(worker.fencing_token, fencing_token);
+    deployment.send_report(worker, second);
+    ASSERT_TRUE(worker.find("job-1/0"));
+    EXPECT_EQ(worker.find("job-1/0")->attempt, 1u);
+    EXPECT_EQ(worker.find("job-1/0")->phase, TaskPhase::kRunning);
 }
 
 // A report from before a launch comes late, and to a new leader. Its epoch is old: the answer with the launch
@@ -147,14 +162,14 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(3);
-    FakeWorker w;
-    deployment.settle(w);
-    auto gang = [](auto& f) { make_gang(f); };
+    FakeWorker worker;
+    deployment.settle(worker);
+    auto gang = [](auto& fields) { make_gang(fields); };
     ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1", gang)).status, 201);
-    FakeWorker before = w;
-    deployment.send_report(w, first);
-    deployment.send_report(w, first);
-    ASSERT_TRUE(w.find("job-1/0"));
+    FakeWorker before = worker;
+    deployment.send_report(worker, first);
+    deployment.send_report(worker, first);
+    ASSERT_TRUE(worker.find("job-1/0"));
     deployment.kill(first);
     deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
@@ -189,8 +204,8 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(1);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     bool hold = false;
     deployment.store.let_through = [&](const std::string& body) {
         // The leader's only write of this job: its placement.
@@ -199,9 +214,9 @@
     };
     hold = true;
     ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w, first);
+    deployment.send_report(worker, first);
     ASSERT_FALSE(deployment.store.held_transactions.empty()) << "the placement's transaction is on its way";
-    EXPECT_FALSE(w.find("job-1/0")) << "nothing is launched before its commit";
+    EXPECT_FALSE(worker.find("job-1/0")) << "nothing is launched before its commit";
     deployment.kill(first);
     hold = false;
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 1 - first; }, 15));
@@ -209,9 +224,9 @@
     for (const auto& body : deployment.store.held_transactions)
         EXPECT_EQ(deployment.store.apply(body).status, 409);
     EXPECT_EQ(deployment.store.rows.at("j/job-1").data, before);
-    deployment.settle(w);
-    deployment.send_report(w, deployment.leader());
-    EXPECT_TRUE(w.find("job-1/0")) << "the new leader starts it";
+    deployment.settle(worker);
+    deployment.send_report(worker, deployment.leader());
+    EXPECT_TRUE(worker.find("job-1/0")) << "the new leader starts it";
 }
 
 // The user cancels while the machine reports the last task done: one of the two wins, and it stays so.
@@ -220,19 +235,19 @@
         Deployment deployment;
         ASSERT_TRUE(deployment.start_and_elect());
         deployment.run(1);
-        FakeWorker w;
-        deployment.settle(w);
+        FakeWorker worker;
+        deployment.settle(worker);
         ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-        deployment.send_report(w, 0);
-        deployment.send_report(w, 0);
-        ASSERT_TRUE(w.find("job-1/0"));
-        exit_task(*w.find("job-1/0"), ExitCause::kDone);
+        deployment.send_report(worker, 0);
+        deployment.send_report(worker, 0);
+        ASSERT_TRUE(worker.find("job-1/0"));
+        exit_task(*worker.find("job-1/0"), ExitCause::kDone);
         // The leader's transaction is lost on its way, and carried out late.
         bool lose = cancel_first;
         deployment.store.let_through = [&](const std::string& body) {
             return !(lose && body.find("leader") != std::string::npos);
         };
-        deployment.send_report(w, 0);
+        deployment.send_report(worker, 0);
         std::string announced = phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw"));
         EXPECT_EQ(announced, cancel_first ? "withdrawn" : "done");
         lose = false;
@@ -253,15 +268,15 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(6);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     deployment.store.down = true;
     // Reports every 3 s for so long; the last status.
     auto report = [&](Seconds time) {
         int status = 0;
         for (Seconds end = deployment.loop.now() + time; deployment.loop.now() < end;) {
             deployment.run(3);
-            status = deployment.send_report(w, first);
+            status = deployment.send_report(worker, first);
         }
         return status;
     };
@@ -281,11 +296,11 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int other = 1 - deployment.leader();
     deployment.run(3);
-    FakeWorker w;
-    EXPECT_EQ(deployment.send_report(w, other), 421);
+    FakeWorker worker;
+    EXPECT_EQ(deployment.send_report(worker, other), 421);
     deployment.run(5);
-    EXPECT_EQ(deployment.send_report(w, other), 200);
-    EXPECT_EQ(w.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
+    EXPECT_EQ(deployment.send_report(worker, other), 200);
+    EXPECT_EQ(worker.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
 }
 
 // A leader that keeps the state service but that no worker reaches gives way to one that they reach.
@@ -295,16 +310,18 @@
     int first = deployment.leader();
     auto workers = deployment.settled_workers(4);
     // Busy machines are answered at once.
-    ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1", [](auto& f) { set_tasks(f, 8); }))
-                  .status,
-              201);
+    ASSERT_EQ(
+        deployment
+            .call(first, "POST", "/v2/runs", job_body("job-1", [](auto& fields) { set_tasks(fields, 8); }))
+            .status,
+        201);
     for (int i = 0; i < 2; ++i)
-        for (auto& w : workers) deployment.send_report(w, first);
+        for (auto& worker : workers) deployment.send_report(worker, first);
     ASSERT_EQ(workers[3].tasks.size(), 2u);
     auto report = [&](int node, Seconds time) {
         for (Seconds t = 0; t < time && deployment.leader() == first; t += 1) {
             deployment.run(1);
-            for (auto& w : workers) deployment.send_report(w, node);
+            for (auto& worker : workers) deployment.send_report(worker, node);
         }
     };
     report(first, 10);
@@ -318,26 +335,26 @@
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
-    FakeWorker w1, w2;
-    w2.name = "vm-000002";
-    deployment.settle(w1);
+    FakeWorker first, second;
+    second.name = "vm-000002";
+    deployment.settle(first);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w1, 0);
-    deployment.send_report(w1, 0);
-    ASSERT_TRUE(w1.find("job-1/0"));
+    deployment.send_report(first, 0);
+    deployment.send_report(first, 0);
+    ASSERT_TRUE(first.find("job-1/0"));
     deployment.cloud.down = true;
     for (int i = 0; i < 10; ++i) {
         deployment.run(3);
-        deployment.send_report(w2, 0);
-        EXPECT_FALSE(w2.find("job-1/0")) << "the first machine may still run it";
+        deployment.send_report(second, 0);
+        EXPECT_FALSE(second.find("job-1/0")) << "the first machine may still run it";
     }
     deployment.cloud.down = false;
     for (int i = 0; i < 4; ++i) {
         deployment.run(3);
-        deployment.send_report(w2, 0);
+        deployment.send_report(second, 0);
     }
     EXPECT_EQ(std::count(deployment.cloud.deleted.begin(), deployment.cloud.deleted.end(), "vm-000001"), 1);
-    EXPECT_TRUE(w2.find("job-1/0"));
+    EXPECT_TRUE(second.find("job-1/0"));
 }
 
 // The service has forgotten the changes that a watch asks for: the leader reads all records again, page by
@@ -371,14 +388,14 @@
     deployment.run(1);
     deployment.store.down = true;  // open watches wait
     for (int i = 0; i < 300; ++i) {
-        JobRecord r;
-        r.spec.id = "job-" + std::to_string(i);
-        r.spec.team = "team";
-        r.spec.tasks = 1;
-        r.spec.image = std::string(5000, 'x');
-        Transaction t;
-        t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
-        ASSERT_EQ(deployment.store.apply(t.pack()).status, 200);
+        JobRecord record;
+        record.spec.id = "job-" + std::to_string(i);
+        record.spec.team = "team";
+        record.spec.tasks = 1;
+        record.spec.image = std::string(5000, 'x');
+        Transaction transaction;
+        transaction.expect(live_key(record.spec.id), 0).put(live_key(record.spec.id), record.pack(1));
+        ASSERT_EQ(deployment.store.apply(transaction.pack()).status, 200);
     }
     deployment.store.down = false;
     deployment.run(10);
@@ -403,29 +420,29 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int leader = deployment.leader(), other = 1 - leader;
     deployment.run(3);
-    FakeWorker w;
-    std::string pointed = w.report();
+    FakeWorker worker;
+    std::string pointed = worker.report();
     EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421);
     deployment.run(5);
     EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421) << "not passed on to the leader";
-    deployment.settle(w);
-    std::string idle = w.report();
+    deployment.settle(worker);
+    std::string idle = worker.report();
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 200);
     ASSERT_EQ(deployment.call(leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w, leader);
-    ASSERT_TRUE(w.find("job-1/0"));
-    deployment.send_report(w, leader);
+    deployment.send_report(worker, leader);
+    ASSERT_TRUE(worker.find("job-1/0"));
+    deployment.send_report(worker, leader);
     const auto& jobs = deployment.node(leader).leader()->jobs();
     ASSERT_EQ(jobs.find("job-1")->live.size(), 1u);
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
     EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
-    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(w.name)->last_heartbeat;
+    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(worker.name)->last_heartbeat;
     for (int i = 0; i < 3; ++i) {
         deployment.run(deployment.configs[0].lease_s);
         EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503);
     }
     auto l = deployment.node(leader).leader();
-    auto it = l->cluster().machines.find(w.name);
+    auto it = l->cluster().machines.find(worker.name);
     EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_heartbeat == heard)
         << "it was not taken for alive";
     EXPECT_FALSE(deployment.cloud.deleted.empty()) << "but replaced";
@@ -438,15 +455,15 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(6);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w, first);
+    deployment.send_report(worker, first);
     deployment.store.silent = true;
     deployment.kill(1 - first);
     Seconds began = deployment.loop.now();
     deployment.run(8);
-    EXPECT_EQ(deployment.send_report(w, first), 200) << "what runs goes on";
+    EXPECT_EQ(deployment.send_report(worker, first), 200) << "what runs goes on";
     for (const char* path : {"/v2/runs/job-1", "/v2/runs/job-2"}) {
         Seconds asked = deployment.loop.now();
         EXPECT_EQ(deployment.call(first, "GET", path).status, 503) << "it can say neither";
@@ -457,9 +474,9 @@
         << "bad input is told all the same";
     deployment.run(5);
     EXPECT_EQ(deployment.call(first, "GET", "/ready").status, 503);
-    const Config& c = deployment.configs[0];
-    deployment.run(c.cancel_s - c.lease_s - (deployment.loop.now() - began));
-    EXPECT_EQ(deployment.send_report(w, first), 503);
+    const Config& config = deployment.configs[0];
+    deployment.run(config.cancel_s - config.lease_s - (deployment.loop.now() - began));
+    EXPECT_EQ(deployment.send_report(worker, first), 503);
     deployment.store.silent = false;
     deployment.start(1 - first);
     deployment.run(10);
@@ -508,13 +525,14 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     ASSERT_EQ(
-        deployment.call(0, "POST", "/v2/runs", job_body("job-1", [](auto& f) { set_tasks(f, 8); })).status,
+        deployment.call(0, "POST", "/v2/runs", job_body("job-1", [](auto& fields) { set_tasks(fields, 8); }))
+            .status,
         201);
     std::vector<FakeWorker> workers(1000);
     int answered = 0;
     Scope scope(deployment.loop);
-    auto go = [](Loop& l, Address at, FakeWorker& w, int& n) -> Task<void> {
-        n += co_await w.send_report(l, at) == 200;
+    auto go = [](Loop& l, Address at, FakeWorker& worker, int& n) -> Task<void> {
+        n += co_await worker.send_report(l, at) == 200;
     };
     for (size_t i = 0; i < workers.size(); ++i) {
         workers[i].name = "vm-" + std::to_string(10000 + i);
@@ -583,9 +601,9 @@
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
-    FakeWorker w;
-    deployment.list_machine(w);
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.list_machine(worker);
+    deployment.settle(worker);
     deployment.store.silent = true;
     deployment.run(60);
     EXPECT_TRUE(deployment.cloud.deleted.empty());
@@ -606,13 +624,13 @@
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
-    FakeWorker w;
-    w.addr = text_of(at);
-    deployment.settle(w);
+    FakeWorker worker;
+    worker.addr = text_of(at);
+    deployment.settle(worker);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w, 0);
-    deployment.send_report(w, 0);
-    ASSERT_TRUE(w.find("job-1/0"));
+    deployment.send_report(worker, 0);
+    deployment.send_report(worker, 0);
+    ASSERT_TRUE(worker.find("job-1/0"));
     ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.run(11);
     EXPECT_GE(commands, 3);
@@ -626,13 +644,13 @@
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
     deployment.run(6);
-    FakeWorker w;
-    deployment.list_machine(w);
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.list_machine(worker);
+    deployment.settle(worker);
     ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w, first);
-    deployment.send_report(w, first);
-    ASSERT_TRUE(w.find("job-1/0"));
+    deployment.send_report(worker, first);
+    deployment.send_report(worker, first);
+    ASSERT_TRUE(worker.find("job-1/0"));
     ASSERT_EQ(phase_of(deployment.call(first, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.store.silent = true;
     deployment.kill(1 - first);
@@ -645,19 +663,19 @@
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
-    FakeWorker w1, w2;
-    w2.name = "vm-000002";
-    deployment.settle(w1);
-    deployment.settle(w2);
+    FakeWorker first, second;
+    second.name = "vm-000002";
+    deployment.settle(first);
+    deployment.settle(second);
     deployment.cloud.down = true;
     deployment.run(20);
-    EXPECT_EQ(deployment.send_report(w1, 0), 200);
+    EXPECT_EQ(deployment.send_report(first, 0), 200);
     deployment.cloud.down = false;
     deployment.run(4);
     EXPECT_EQ(deployment.cloud.deleted, std::vector<std::string>{"vm-000002"});
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(w1, 0);
-    EXPECT_TRUE(w1.find("job-1/0")) << "it is of use again";
+    deployment.send_report(first, 0);
+    EXPECT_TRUE(first.find("job-1/0")) << "it is of use again";
 }
 
 // A process stands still for 30 s while its clocks run on. What it believed before does not count: it does
@@ -675,9 +693,9 @@
         for (int steps : {0, 1, 2, 5}) {
             for (int i = 0; i < steps; ++i) deployment.loop.turn(0);
             if (followed) {
-                Packer p;
-                p.map(2).key("node").text("node-1").key("epoch").count(9);
-                deployment.store.rows["leader"] = {p.take(), ++deployment.store.revision, 0};
+                Packer packer;
+                packer.map(2).key("node").text("node-1").key("epoch").count(9);
+                deployment.store.rows["leader"] = {packer.take(), ++deployment.store.revision, 0};
             }
             deployment.clock.advance(30);
             if (!followed) deployment.store.restart_leases();  // so that the lease is still there
@@ -691,7 +709,7 @@
             if (followed) break;
             deployment.run(2.5);
             EXPECT_EQ(deployment.node(0).election().fencing_token(), 1u) << "it leads still";
-            for (auto& w : workers) deployment.settle(w);
+            for (auto& worker : workers) deployment.settle(worker);
             deployment.run(3);
         }
         EXPECT_TRUE(deployment.cloud.deleted.empty());
@@ -742,21 +760,21 @@
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     for (const char* id : {"job-1", "job-2", "job-3"}) {
         ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
-        deployment.send_report(w, 0);
-        deployment.send_report(w, 0);
-        TaskStatus* t = w.find(std::string(id) + "/0");
-        ASSERT_TRUE(t) << id;
+        deployment.send_report(worker, 0);
+        deployment.send_report(worker, 0);
+        TaskStatus* task = worker.find(std::string(id) + "/0");
+        ASSERT_TRUE(task) << id;
         if (std::string(id) == "job-1") {
-            exit_task(*t, ExitCause::kDone);
+            exit_task(*task, ExitCause::kDone);
         } else if (std::string(id) == "job-2") {
             ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         }
-        deployment.send_report(w, 0);
-        deployment.send_report(w, 0);
+        deployment.send_report(worker, 0);
+        deployment.send_report(worker, 0);
     }
     auto kept = [&] {
         std::map<std::string, std::string> rows;
@@ -776,9 +794,9 @@
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-3"))), "running");
         deployment.run(3);
-        deployment.send_report(w, 0);
+        deployment.send_report(worker, 0);
         EXPECT_EQ(kept(), before);
-        EXPECT_EQ(w.tasks.size(), 1u) << "nothing was started again";
+        EXPECT_EQ(worker.tasks.size(), 1u) << "nothing was started again";
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
     }
 }
--- a/tests/election_test.cc
+++ b/tests/election_test.cc
@@ -12,9 +12,10 @@
     for (bool record_format_before : {false, true}) {
         Deployment deployment;
         auto put_record_format = [&](uint64_t mod_revision, uint64_t record_format) {
-            Transaction t;
-            t.expect(kRecordFormatKey, mod_revision).put(kRecordFormatKey, pack_record_format(record_format));
-            EXPECT_EQ(deployment.store.apply(t.pack()).status, 200);
+            Transaction transaction;
+            transaction.expect(kRecordFormatKey, mod_revision)
+                .put(kRecordFormatKey, pack_record_format(record_format));
+            EXPECT_EQ(deployment.store.apply(transaction.pack()).status, 200);
         };
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -22,11 +22,11 @@
 // after, so that reads are under way while their records change.
 void slow_state(FaultScenario& scenario, Seconds most) {
     auto random = std::make_shared<std::mt19937>(7);
-    auto some = [random, most](const Request& r) {
-        if (r.path == "/changes" || r.path.rfind("/leases", 0) == 0) return 0.0;
+    auto some = [random, most](const Request& request) {
+        if (request.path == "/changes" || request.path.rfind("/leases", 0) == 0) return 0.0;
         return most * static_cast<double>((*random)() % 100) / 100;
     };
-    for (auto& g : scenario.store_proxies) g->request_delay = g->answer_delay = some;
+    for (auto& proxy : scenario.store_proxies) proxy->request_delay = proxy->answer_delay = some;
 }
 
 enum class LeaderFault { kNone, kEndsAfterAccept, kEndsAfterEnd, kEndsAfterCancellation, kRefusedAtEnd };
@@ -185,18 +185,18 @@
     // Stops of cancelled work and of work that yields, from a leader that is deposed when they arrive.
     {"CommandsOfADeposedLeaderComeLate", 3, 4,
      [](FaultScenario& scenario) {
-         scenario.submit("job-1", 6, 30, [](auto& f) { f["rank"] = packed_text("idle"); });
+         scenario.submit("job-1", 6, 30, [](auto& fields) { fields["rank"] = packed_text("idle"); });
          scenario.submit("job-2", 2, 300);
          ASSERT_TRUE(scenario.starts("job-1"));
          ASSERT_TRUE(scenario.starts("job-2"));
          scenario.deployment.run(4);
          // The stops go by command alone, and the new leader's epoch reaches half of the machines late.
-         for (auto& m : scenario.fleet.machines()) m->cannot_report = m->worker.zone == "a";
+         for (auto& machine : scenario.fleet.machines()) machine->cannot_report = machine->worker.zone == "a";
          int first = scenario.await_leader();
          delay_commands(scenario);
          scenario.ask_first(first);
          scenario.cancel("job-2");
-         scenario.submit("job-3", 4, 10, [](auto& f) { f["rank"] = packed_text("production"); });
+         scenario.submit("job-3", 4, 10, [](auto& fields) { fields["rank"] = packed_text("production"); });
          scenario.deployment.run(3);
          scenario.refuse_store(first);
          scenario.cut_peer_links(first);
@@ -205,7 +205,7 @@
              [&] { return scenario.deployment.leader() >= 0 && scenario.deployment.leader() != first; }, 20);
          scenario.fleet.delay_commands({});
          scenario.deployment.run(6);
-         for (auto& m : scenario.fleet.machines()) m->cannot_report = false;
+         for (auto& machine : scenario.fleet.machines()) machine->cannot_report = false;
          scenario.allow_store(first);
          scenario.restore_peer_links(first);
          scenario.deployment.run(20);
@@ -214,11 +214,11 @@
     // A placement whose launch was lost, on a machine that a late stop of the leader before then reaches.
     {"ALateCommandLaunchesNothing", 2, 1,
      [](FaultScenario& scenario) {
-         SimulatedMachine& m = scenario.fleet.machine(0);
+         SimulatedMachine& machine = scenario.fleet.machine(0);
          scenario.submit("job-1", 1, 300);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         m.cannot_hear = true;
+         machine.cannot_hear = true;
          scenario.submit("job-2", 1, 300);
          auto bound = [&] {
              auto record = JobRecord::unpack(scenario.deployment.store.rows.at("j/job-2").data);
@@ -226,16 +226,16 @@
          };
          ASSERT_TRUE(scenario.deployment.until(bound));
          // The report that is under way gets its answer, which is lost too.
-         m.cannot_report = true;
+         machine.cannot_report = true;
          scenario.deployment.run(3.5);
-         m.cannot_hear = false;
+         machine.cannot_hear = false;
          scenario.fleet.delay_commands([] { return 7.0; });
          int first = scenario.await_leader();
          scenario.cancel("job-1");
          scenario.deployment.run(0.5);
          scenario.fleet.delay_commands({});
          // The new leader cannot tell the machine of its epoch.
-         m.cut = true;
+         machine.cut = true;
          scenario.deployment.kill(first);
          scenario.deployment.until([&] { return scenario.deployment.leader() >= 0; });
          scenario.cancel("job-2");
@@ -243,7 +243,7 @@
          scenario.deployment.until([&] { return scenario.fleet.late_commands_carried_out() > 0; }, 8);
          EXPECT_GT(scenario.fleet.late_commands_carried_out(), 0) << "at the old epoch";
          EXPECT_EQ(scenario.fleet.launches("job-2"), 0);
-         m.cannot_report = m.cut = false;
+         machine.cannot_report = machine.cut = false;
          scenario.deployment.start(first);
      }},
     // Machines that the cloud rents are up in a second and get work while its writes lag, and the leader
@@ -251,8 +251,8 @@
     {"QuickMachinesAsWritesLagAndTheLeaderEnds", 2, 1,
      [](FaultScenario& scenario) {
          auto random = std::make_shared<std::mt19937>(3);
-         for (auto& g : scenario.store_proxies)
-             g->request_delay = [](const Request& r) { return r.path == "/txn" ? 0.8 : 0.0; };
+         for (auto& proxy : scenario.store_proxies)
+             proxy->request_delay = [](const Request& request) { return request.path == "/txn" ? 0.8 : 0.0; };
          scenario.deployment.store.let_through = [random](const std::string& body) {
              return kind_of(body) == TransactionKind::kOther || (*random)() % 3 != 0;
          };
@@ -289,7 +289,7 @@
     {"ATeamAtItsLimitLosesItsLeaderAndCancels", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 60);
-         scenario.submit("job-2", 2, 300, [](auto& f) { make_gang(f); });
+         scenario.submit("job-2", 2, 300, [](auto& fields) { make_gang(fields); });
          scenario.submit("job-3", 2, 300);
          ASSERT_TRUE(scenario.starts("job-1"));
          ASSERT_TRUE(scenario.starts("job-2"));
@@ -307,8 +307,8 @@
          scenario.deployment.run(1);
          scenario.cancel("job-3");
          scenario.deployment.run(25);
-         for (auto& m : scenario.fleet.machines())
-             m->cut = m->cannot_report = m->hung = m->cannot_hear = false;
+         for (auto& machine : scenario.fleet.machines())
+             machine->cut = machine->cannot_report = machine->hung = machine->cannot_hear = false;
          scenario.deployment.run(10);
          scenario.deployment.start(first);
      }},
--- a/tests/fault_scenarios_test.cc
+++ b/tests/fault_scenarios_test.cc
@@ -42,10 +42,11 @@
      }},
     {"MoreWorkThanRoomOverSlowLinks", 2, 6,
      [](FaultScenario& scenario) {
-         for (auto& g : scenario.store_proxies) g->delay = 0.4;
+         for (auto& proxy : scenario.store_proxies) proxy->delay = 0.4;
          for (int i = 1; i <= 8; ++i)
-             scenario.submit("job-" + std::to_string(i), 3, 15,
-                             [&](auto& f) { f["rank"] = packed_text(i % 3 ? "idle" : "production"); });
+             scenario.submit("job-" + std::to_string(i), 3, 15, [&](auto& fields) {
+                 fields["rank"] = packed_text(i % 3 ? "idle" : "production");
+             });
          scenario.cancel("job-5");
          scenario.deployment.run(30);
      }},
@@ -54,17 +55,17 @@
          scenario.submit("job-1", 1, 80);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         SimulatedMachine* m = scenario.fleet.holder("job-1");
+         SimulatedMachine* machine = scenario.fleet.holder("job-1");
          // From before the launch: it lacks the task.
-         std::string old = m->reports.at(m->reports.size() / 2);
+         std::string old = machine->reports.at(machine->reports.size() / 2);
          int first = scenario.await_leader();
-         m->cut = true;
+         machine->cut = true;
          scenario.deployment.kill(first);
          for (int i = 0; i < 12; ++i) {
              scenario.deployment.call(scenario.await_leader(), "POST", "/hello", old);
              scenario.deployment.run(0.5);
          }
-         m->cut = false;
+         machine->cut = false;
          scenario.deployment.start(first);
      }},
     {"CancelledAsTheLeaderIsRefusedAndThenAll", 3, 4,
@@ -102,7 +103,7 @@
          scenario.submit("job-2", 2, 300);
          ASSERT_TRUE(scenario.starts("job-2"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->cut = m->worker.zone == "b";
+         for (auto& machine : scenario.fleet.machines()) machine->cut = machine->worker.zone == "b";
          scenario.cancel("job-2");
          int first = scenario.await_leader();
          scenario.deployment.kill(first);
@@ -115,7 +116,7 @@
          scenario.submit("job-1", 4, 300);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->hung = !m->worker.tasks.empty();
+         for (auto& machine : scenario.fleet.machines()) machine->hung = !machine->worker.tasks.empty();
          scenario.cancel("job-1");
          scenario.submit("job-2", 8, 20);
          scenario.deployment.run(10);
@@ -125,7 +126,7 @@
          scenario.submit("job-1", 4, 400);
          scenario.submit("job-2", 2, 60);
          ASSERT_TRUE(scenario.starts("job-2"));
-         for (auto& g : scenario.store_proxies) g->delay = 0.8;
+         for (auto& proxy : scenario.store_proxies) proxy->delay = 0.8;
          int first = scenario.await_leader();
          scenario.refuse_store(first);
          scenario.ask_first(first + 1);
@@ -227,7 +228,7 @@
          int first = scenario.await_leader();
          scenario.refuse_store(first);
          scenario.cut_peer_links(first);
-         for (auto& m : scenario.fleet.machines()) m->node = first;
+         for (auto& machine : scenario.fleet.machines()) machine->node = first;
          scenario.deployment.run(1);
          scenario.ask_first(first + 1);
          scenario.cancel("job-1");
@@ -238,8 +239,8 @@
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 3, 10);
          ASSERT_TRUE(scenario.starts("job-1"));
-         for (auto& m : scenario.fleet.machines())
-             for (auto& [name, end] : m->ends)
+         for (auto& machine : scenario.fleet.machines())
+             for (auto& [name, end] : machine->ends)
                  if (name != "job-1/0") end += 40;
          scenario.deployment.run(11);
          scenario.poll("job-1");
@@ -255,7 +256,7 @@
          scenario.submit("job-2", 2, 300);
          ASSERT_TRUE(scenario.starts("job-2"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->cannot_report = m->worker.zone == "a";
+         for (auto& machine : scenario.fleet.machines()) machine->cannot_report = machine->worker.zone == "a";
          scenario.cancel("job-2");
          scenario.deployment.run(2);
          EXPECT_FALSE(scenario.fleet.holder("job-2")) << "a direct command halts it";
@@ -269,8 +270,8 @@
          scenario.deployment.run(4);
          int first = scenario.await_leader();
          std::vector<SimulatedMachine*> held;
-         for (auto& m : scenario.fleet.machines())
-             if (!m->worker.tasks.empty()) held.push_back(m.get());
+         for (auto& machine : scenario.fleet.machines())
+             if (!machine->worker.tasks.empty()) held.push_back(machine.get());
          for (auto* m : held) m->hung = true;
          scenario.cancel("job-1");
          scenario.refuse_store(first);
@@ -288,12 +289,13 @@
          scenario.submit("job-1", 4, 400);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->cannot_report = m->cut = !m->worker.tasks.empty();
+         for (auto& machine : scenario.fleet.machines())
+             machine->cannot_report = machine->cut = !machine->worker.tasks.empty();
          int first = scenario.await_leader();
          scenario.cancel("job-1");
          scenario.deployment.run(0.2);
          scenario.deployment.kill(first);
-         for (auto& m : scenario.fleet.machines()) m->cut = false;
+         for (auto& machine : scenario.fleet.machines()) machine->cut = false;
          scenario.deployment.run(14);
          EXPECT_FALSE(scenario.fleet.holder("job-1")) << "halted by the new leader, which they never reach";
          EXPECT_TRUE(scenario.deployment.cloud.deleted.empty());
@@ -305,10 +307,10 @@
          scenario.submit("job-1", 6, 400);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->cut = m->worker.zone == "a";
+         for (auto& machine : scenario.fleet.machines()) machine->cut = machine->worker.zone == "a";
          scenario.fleet.holder("job-1")->hung = true;
-         for (auto& m : scenario.fleet.machines())
-             if (m->cut) m->hung = true;
+         for (auto& machine : scenario.fleet.machines())
+             if (machine->cut) machine->hung = true;
          scenario.deployment.cloud.down = true;
          scenario.cancel("job-1");
          scenario.deployment.run(35);
@@ -331,7 +333,8 @@
          scenario.submit("job-1", 6, 400);
          ASSERT_TRUE(scenario.starts("job-1"));
          scenario.deployment.run(4);
-         for (auto& m : scenario.fleet.machines()) m->cut = m->hung = m->worker.zone == "a";
+         for (auto& machine : scenario.fleet.machines())
+             machine->cut = machine->hung = machine->worker.zone == "a";
          scenario.cancel("job-1");
          for (int i = 0; i < 2; ++i) {
              int first = scenario.await_leader();
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -35,10 +35,12 @@
         server.stop();
         unwind(loop);
     }
-    HttpServer server{loop, address(5, 8080), 4, [this](Request r) { return answer(std::move(r)); }};
-    Task<Response> answer(Request r) {
+    HttpServer server{loop, address(5, 8080), 4,
+                      [this](Request request) { return answer(std::move(request)); }};
+    Task<Response> answer(Request request) {
         ++served;
-        co_return Response{200, r.method + r.path + std::to_string(r.body.size()), 0, "text/plain"};
+        co_return Response{200, request.method + request.path + std::to_string(request.body.size()), 0,
+                           "text/plain"};
     }
     std::pair<std::string, bool> send(std::string bytes, Seconds wait = 5) {
         std::string out;
@@ -159,7 +161,7 @@
     for (int i = 0; i <= 300; ++i) {
         peer.bytes = answers[i < 300 ? rng() % answers.size() : 0];
         if (i < 300) mutate(peer.bytes, rng);
-        Answer a;
+        Answer answer;
         bool over = false;
         Scope scope(loop);
         auto ask = [](Loop& l, Answer& out, bool& done) -> Task<void> {
@@ -167,11 +169,11 @@
             out = co_await http.call("GET", "/x", "", 0.3);
             done = true;
         };
-        scope.spawn(ask(loop, a, over), "ask");
+        scope.spawn(ask(loop, answer, over), "ask");
         ASSERT_TRUE(loop.run_until([&] { return over; }, 5));
-        taken += a.ok();
+        taken += answer.ok();
         if (i == 300) {
-            EXPECT_EQ(a.body, "hello");
+            EXPECT_EQ(answer.body, "hello");
         }
     }
     EXPECT_GT(taken, 30);
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -18,27 +18,27 @@
 }  // namespace
 
 TEST_F(Lifecycle, LaunchesOnlyWhatIsCommitted) {
-    Job& j = add_job(job_spec("job-1", 1));
-    Machine& h = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&h}).size(), 1u);
-    EXPECT_TRUE(jobs.awaits_commit(h));
-    EXPECT_EQ(count_launches(jobs.commands(h, true)), 0u);
-    mark_committed(j);
-    EXPECT_EQ(count_launches(jobs.commands(h, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(count_launches(jobs.commands(h, true)), 1u);
+    Job& job = add_job(job_spec("job-1", 1));
+    Machine& machine = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&machine}).size(), 1u);
+    EXPECT_TRUE(jobs.awaits_commit(machine));
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
+    mark_committed(job);
+    EXPECT_EQ(count_launches(jobs.commands(machine, false)), 0u) << "a direct command carries no launch";
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 1u);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
 // the same attempt. The task stays bound to this machine all the while.
 TEST_F(Lifecycle, RepeatsALaunchWhoseResponseWasLost) {
-    Job& j = add_job(job_spec("job-1", 1));
-    Machine& h = add_machine("vm-1");
-    schedule_for({&h});
-    mark_committed(j);
-    auto first = jobs.commands(h, true);
-    jobs.apply(cluster, h, heartbeat(h, {}), true, now += 3);
-    ASSERT_EQ(j.live.size(), 1u);
-    auto second = jobs.commands(h, true);
+    Job& job = add_job(job_spec("job-1", 1));
+    Machine& machine = add_machine("vm-1");
+    schedule_for({&machine});
+    mark_committed(job);
+    auto first = jobs.commands(machine, true);
+    jobs.apply(cluster, machine, heartbeat(machine, {}), true, now += 3);
+    ASSERT_EQ(job.live.size(), 1u);
+    auto second = jobs.commands(machine, true);
     ASSERT_EQ(count_launches(second), 1u);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
@@ -46,46 +46,47 @@
 // A report that was sent before the launch says nothing about it, however late it comes; and the answer
 // of a direct command proves no absence, since a response may still carry the launch.
 TEST_F(Lifecycle, LateReportsDisproveNothing) {
-    Job& j = add_job(job_spec("job-1", 1));
-    Machine& h = add_machine("vm-1");
-    schedule_for({&h});
-    mark_committed(j);
-    jobs.commands(h, true);
-    WorkerHeartbeat late = heartbeat(h, {});
-    late.sequence = h.sequence;  // the report that was answered with the launch
-    EXPECT_FALSE(late.newer_than(h.incarnation, h.sequence));
-    jobs.apply(cluster, h, heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    jobs.apply(cluster, h, heartbeat(h, {}), false, now += 1);
-    EXPECT_EQ(j.live.size(), 1u);
+    Job& job = add_job(job_spec("job-1", 1));
+    Machine& machine = add_machine("vm-1");
+    schedule_for({&machine});
+    mark_committed(job);
+    jobs.commands(machine, true);
+    WorkerHeartbeat late = heartbeat(machine, {});
+    late.sequence = machine.sequence;  // the report that was answered with the launch
+    EXPECT_FALSE(late.newer_than(machine.incarnation, machine.sequence));
+    jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
+               now += 3);
+    jobs.apply(cluster, machine, heartbeat(machine, {}), false, now += 1);
+    EXPECT_EQ(job.live.size(), 1u);
 }
 
 // After a take-over a placement counts until a report from a machine that has seen the new epoch lacks it:
 // before that, the last leader's launch may still arrive.
 TEST_F(Lifecycle, InheritedPlacementsStayUntilDisproved) {
-    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    Machine& h = cluster.ensure("vm-1", now);
-    h.machine_type = "g2";
-    jobs.apply(cluster, h, heartbeat(h, {}), false, now);  // has not seen the epoch
-    EXPECT_EQ(j.live.size(), 1u);
+    Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    Machine& machine = cluster.ensure("vm-1", now);
+    machine.machine_type = "g2";
+    jobs.apply(cluster, machine, heartbeat(machine, {}), false, now);  // has not seen the epoch
+    EXPECT_EQ(job.live.size(), 1u);
     Machine& other = add_machine("vm-2");
     EXPECT_TRUE(schedule_for({&other}).empty());
-    jobs.apply(cluster, h, heartbeat(h, {}), true, now);
+    jobs.apply(cluster, machine, heartbeat(machine, {}), true, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
-    auto commands = jobs.commands(h, true);
+    auto commands = jobs.commands(machine, true);
     ASSERT_EQ(count_launches(commands), 1u);
     EXPECT_EQ(commands[0].attempt, 3u);
     EXPECT_TRUE(schedule_for({&other}).empty());
 }
 
 TEST_F(Lifecycle, NoTimeoutFreesAPlacementOnlyTheDeletionDoes) {
-    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& other = add_machine("vm-2");
     now += 100000;
     EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.machine_deleted("vm-1", now);
-    EXPECT_EQ(j.live.size(), 0u);
+    EXPECT_EQ(job.live.size(), 0u);
     EXPECT_EQ(schedule_for({&other}).size(), 1u);
-    EXPECT_GT(j.live.at(0).attempt, 3u);
+    EXPECT_GT(job.live.at(0).attempt, 3u);
 }
 
 // A cancelled task that is still on its machine after any lease it was given can only be on one that hangs.
@@ -97,17 +98,17 @@
     };
     using Names = std::vector<std::string>;
     for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
-    Job& j = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
+    Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     add_job(job_spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
     now += 30;
     EXPECT_TRUE(due(0).empty()) << "silence alone is no reason";
     cluster.machine("vm-1")->last_heartbeat = now - 1;
-    jobs.cancel(j, now);
+    jobs.cancel(job, now);
     now += 10;
     EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
     now += config.lease_s - 8 + constants::kLeaseMargin_s;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
-    EXPECT_LT(now, j.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
+    EXPECT_LT(now, job.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
     EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
     cluster.machine("vm-1")->last_heartbeat = now;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "it reports, and hears nothing";
@@ -117,11 +118,11 @@
     cluster.machine("vm-1")->deleting = true;
     EXPECT_EQ(due(0), Names{"vm-2"});
     // One that inherits a cancellation does not know since when: a machine that does not come is due soon.
-    JobRecord r;
-    r.spec = job_spec("job-3", 1);
-    r.cancelled = true;
-    r.live[0] = {4, "vm-9", "a"};
-    jobs.load(r, 9, now, {0});
+    JobRecord record;
+    record.spec = job_spec("job-3", 1);
+    record.cancelled = true;
+    record.live[0] = {4, "vm-9", "a"};
+    jobs.load(record, 9, now, {0});
     cluster.ensure("vm-9", now);
     Seconds loaded = now;
     now += 5;
@@ -133,102 +134,103 @@
 
 // Launch after forget: the exit is committed first, and the next start has another attempt.
 TEST_F(Lifecycle, ForgetsOnlyWhatIsCommittedAndNeverReusesAnAttempt) {
-    Job& j = add_job(job_spec("job-1", 1));
-    Machine& h = add_machine("vm-1");
-    schedule_for({&h});
-    mark_committed(j);
-    jobs.commands(h, true);
+    Job& job = add_job(job_spec("job-1", 1));
+    Machine& machine = add_machine("vm-1");
+    schedule_for({&machine});
+    mark_committed(job);
+    jobs.commands(machine, true);
     auto exited = task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
-    jobs.apply(cluster, h, heartbeat(h, {exited}), true, now += 3);
-    EXPECT_TRUE(jobs.commands(h, true).empty()) << "the exit is not committed yet";
-    mark_committed(j);
-    auto o = jobs.commands(h, true);
+    jobs.apply(cluster, machine, heartbeat(machine, {exited}), true, now += 3);
+    EXPECT_TRUE(jobs.commands(machine, true).empty()) << "the exit is not committed yet";
+    mark_committed(job);
+    auto o = jobs.commands(machine, true);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kForget);
     Machine& other = add_machine("vm-2");
     now += 30;
     ASSERT_EQ(schedule_for({&other}).size(), 1u);
-    EXPECT_EQ(j.live.at(0).attempt, 2u);
+    EXPECT_EQ(job.live.at(0).attempt, 2u);
 }
 
 TEST_F(Lifecycle, CountsInheritedPlacementsAgainstTheTeamsLimit) {
     add_job(job_spec("job-1", 3), {{0, {1, "vm-8", "a"}}, {1, {1, "vm-8", "a"}}, {2, {1, "vm-9", "a"}}});
     add_job(job_spec("job-2", 4));
-    Machine& h = add_machine("vm-1");
-    EXPECT_EQ(schedule_for({&h}).size(), 1u) << "three of four GPUs are in use on machines not heard of yet";
+    Machine& machine = add_machine("vm-1");
+    EXPECT_EQ(schedule_for({&machine}).size(), 1u)
+        << "three of four GPUs are in use on machines not heard of yet";
 }
 
 TEST_F(Lifecycle, KeepsAJobInTheZoneOfItsInheritedPlacements) {
-    JobSpec s = job_spec("job-1", 3);
-    s.single_zone = true;
-    add_job(s, {{0, {1, "vm-8", "a"}}});
-    Machine& b = add_machine("vm-1", "b");
-    EXPECT_TRUE(schedule_for({&b}).empty());
-    Machine& a = add_machine("vm-2", "a");
-    EXPECT_EQ(schedule_for({&a}).size(), 2u);
+    JobSpec spec = job_spec("job-1", 3);
+    spec.single_zone = true;
+    add_job(spec, {{0, {1, "vm-8", "a"}}});
+    Machine& in_b = add_machine("vm-1", "b");
+    EXPECT_TRUE(schedule_for({&in_b}).empty());
+    Machine& in_a = add_machine("vm-2", "a");
+    EXPECT_EQ(schedule_for({&in_a}).size(), 2u);
 }
 
 TEST_F(Lifecycle, PutsAtMostHalfRoundedUpIntoAZone) {
     config.teams[0].gpus_max = 0;
-    JobSpec s = job_spec("job-1", 5);
-    s.spread_across_zones = true;
-    add_job(s);
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-    EXPECT_EQ(schedule_for({&x, &y}).size(), 3u);
+    JobSpec spec = job_spec("job-1", 5);
+    spec.spread_across_zones = true;
+    add_job(spec);
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 3u);
 }
 
 TEST_F(Lifecycle, StartsAGangOnlyWithRoomForAllTasks) {
-    Job& g = add_job(job_spec("job-1", 4, JobKind::kGang));
-    Machine& x = add_machine("vm-1");
-    EXPECT_TRUE(schedule_for({&x}).empty());
-    EXPECT_EQ(g.wait_reason, WaitReason::kGangRoom);
+    Job& gang = add_job(job_spec("job-1", 4, JobKind::kGang));
+    Machine& first = add_machine("vm-1");
+    EXPECT_TRUE(schedule_for({&first}).empty());
+    EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
     add_machine("vm-2");
-    EXPECT_EQ(schedule_for({&x}).size(), 4u);
+    EXPECT_EQ(schedule_for({&first}).size(), 4u);
     std::set<uint64_t> attempts;
-    for (auto& [n, p] : g.live) attempts.insert(p.attempt);
+    for (auto& [n, p] : gang.live) attempts.insert(p.attempt);
     EXPECT_EQ(attempts.size(), 1u) << "tasks of a gang find each other by their attempt";
 }
 
 // Until the last task of the old attempt has exited, no task of the gang may start anywhere.
 TEST_F(Lifecycle, RestartsAGangOnlyWhenItsLastAttemptIsGone) {
-    Job& g = add_job(job_spec("job-1", 2, JobKind::kGang));
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-    x.free = {};
-    ASSERT_EQ(schedule_for({&x}).size(), 2u);
-    mark_committed(g);
-    Machine& h = *cluster.machine(g.live.at(0).machine);
+    Job& gang = add_job(job_spec("job-1", 2, JobKind::kGang));
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    first.free = {};
+    ASSERT_EQ(schedule_for({&first}).size(), 2u);
+    mark_committed(gang);
+    Machine& machine = *cluster.machine(gang.live.at(0).machine);
     auto t0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
          t1 = task_status("job-1", 1, 1, TaskPhase::kRunning);
-    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
-    EXPECT_TRUE(g.started);
+    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
+    EXPECT_TRUE(gang.started);
     exit_task(t0, ExitCause::kPeersGone);
-    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
-    EXPECT_TRUE(schedule_for({&x, &y}).empty());
-    EXPECT_EQ(g.wait_reason, WaitReason::kOldAttempt);
-    auto o = jobs.commands(h, true);
+    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
+    EXPECT_TRUE(schedule_for({&first, &y}).empty());
+    EXPECT_EQ(gang.wait_reason, WaitReason::kOldAttempt);
+    auto o = jobs.commands(machine, true);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
     exit_task(t1, ExitCause::kStopped);
-    jobs.apply(cluster, h, heartbeat(h, {t0, t1}), true, now += 3);
-    EXPECT_EQ(schedule_for({&x, &y}).size(), 2u);
-    EXPECT_EQ(g.live.at(0).attempt, 2u);
+    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
+    EXPECT_EQ(gang.live.at(0).attempt, 2u);
 }
 
 TEST_F(Lifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
-    Job& g = add_job(job_spec("job-1", 2, JobKind::kGang));
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-    schedule_for({&x});
-    mark_committed(g);
-    Machine& h = *cluster.machine(g.live.at(0).machine);
-    Machine& other = &h == &x ? y : x;
-    jobs.apply(cluster, h,
-               heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning),
-                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
+    Job& gang = add_job(job_spec("job-1", 2, JobKind::kGang));
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    schedule_for({&first});
+    mark_committed(gang);
+    Machine& machine = *cluster.machine(gang.live.at(0).machine);
+    Machine& other = &machine == &first ? y : first;
+    jobs.apply(cluster, machine,
+               heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning),
+                                   task_status("job-1", 1, 1, TaskPhase::kRunning)}),
                true, now);
-    jobs.apply(cluster, h,
-               heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
-                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
+    jobs.apply(cluster, machine,
+               heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
+                                   task_status("job-1", 1, 1, TaskPhase::kRunning)}),
                true, now += 3);
-    EXPECT_TRUE(g.finished());
+    EXPECT_TRUE(gang.finished());
     recount_resources();
     EXPECT_EQ(cluster.teams["team"].gpus, 1.0);
     (void)other;
@@ -237,30 +239,31 @@
 // A task that nothing confirms for is stopped, and its job does not start it elsewhere meanwhile.
 TEST_F(Lifecycle, StopsOrphansAndStartsNothingBesideThem) {
     add_job(job_spec("job-1", 1));
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-    jobs.apply(cluster, x,
-               heartbeat(x, {task_status("job-1", 0, 77, TaskPhase::kRunning),
-                             task_status("job-9", 0, 1, TaskPhase::kRunning)}),
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    jobs.apply(cluster, first,
+               heartbeat(first, {task_status("job-1", 0, 77, TaskPhase::kRunning),
+                                 task_status("job-9", 0, 1, TaskPhase::kRunning)}),
                true, now);
     EXPECT_TRUE(schedule_for({&y}).empty());
-    auto o = jobs.commands(x, true);
+    auto o = jobs.commands(first, true);
     ASSERT_EQ(o.size(), 2u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[1].verb, CommandKind::kStop);
 }
 
 TEST_F(Lifecycle, ACancelledJobIsLaunchedNowhereAndHaltedEverywhere) {
-    Job& j = add_job(job_spec("job-1", 3));
-    Machine& h = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&h}).size(), 2u);
-    mark_committed(j);
-    jobs.commands(h, true);
-    jobs.cancel(j, now);
-    EXPECT_TRUE(schedule_for({&h}).empty());
-    EXPECT_EQ(count_launches(jobs.commands(h, true)), 0u);
+    Job& job = add_job(job_spec("job-1", 3));
+    Machine& machine = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&machine}).size(), 2u);
+    mark_committed(job);
+    jobs.commands(machine, true);
+    jobs.cancel(job, now);
+    EXPECT_TRUE(schedule_for({&machine}).empty());
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
     // The launch was in flight and took effect.
-    jobs.apply(cluster, h, heartbeat(h, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    auto o = jobs.commands(h, true);
+    jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
+               now += 3);
+    auto o = jobs.commands(machine, true);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
@@ -269,15 +272,15 @@
 TEST_F(Lifecycle, TellsFaultyMachinesFromFaultyJobs) {
     config.teams[0].gpus_max = 0;
     Machine& bad = add_machine("vm-1");
-    auto fail = [&](Machine& h, const std::string& id) {
-        Job& j = jobs.find(id) ? *jobs.find(id) : add_job(job_spec(id, 1));
-        h.tasks.clear();
-        jobs.bind(j, 0, h, j.next_attempt++, now);
-        mark_committed(j);
-        jobs.apply(
-            cluster, h,
-            heartbeat(h, {task_status(id, 0, j.live.at(0).attempt, TaskPhase::kExited, ExitCause::kError)}),
-            true, now);
+    auto fail = [&](Machine& machine, const std::string& id) {
+        Job& job = jobs.find(id) ? *jobs.find(id) : add_job(job_spec(id, 1));
+        machine.tasks.clear();
+        jobs.bind(job, 0, machine, job.next_attempt++, now);
+        mark_committed(job);
+        jobs.apply(cluster, machine,
+                   heartbeat(machine, {task_status(id, 0, job.live.at(0).attempt, TaskPhase::kExited,
+                                                   ExitCause::kError)}),
+                   true, now);
     };
     fail(bad, "job-1");
     EXPECT_FALSE(bad.cordoned) << "one failure says little";
@@ -285,9 +288,9 @@
     EXPECT_TRUE(bad.cordoned);
     // One job that fails everywhere costs no machine.
     for (const char* m : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
-        Machine& h = add_machine(m);
-        fail(h, "job-7");
-        EXPECT_FALSE(h.cordoned);
+        Machine& machine = add_machine(m);
+        fail(machine, "job-7");
+        EXPECT_FALSE(machine.cordoned);
     }
     EXPECT_TRUE(jobs.find("job-7")->failing);
     EXPECT_GT(jobs.find("job-7")->not_before, now);
@@ -308,8 +311,8 @@
     add_job(old);
     now += 80;
     add_job(young);
-    Machine& h = add_machine("vm-1");
-    auto b = schedule_for({&h});
+    Machine& machine = add_machine("vm-1");
+    auto b = schedule_for({&machine});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
@@ -318,18 +321,18 @@
 // A machine that straggles shows against peers of the same job elsewhere; a long job alone shows nothing.
 TEST_F(Lifecycle, CondemnsMachinesThatStraggler) {
     config.teams[0].gpus_max = 0;
-    Job& j = add_job(job_spec("job-1", 8));
+    Job& job = add_job(job_spec("job-1", 8));
     std::vector<Machine*> machines;
     for (int i = 0; i < 4; ++i) machines.push_back(&add_machine("vm-" + std::to_string(i)));
     ASSERT_EQ(schedule_for(machines).size(), 8u);
-    mark_committed(j);
-    auto state = [&](Machine& h, TaskPhase p, ExitCause c) {
+    mark_committed(job);
+    auto state = [&](Machine& machine, TaskPhase p, ExitCause c) {
         std::vector<TaskStatus> t;
-        for (auto& r : jobs.on_machine(h.name))
+        for (auto& r : jobs.on_machine(machine.name))
             t.push_back(task_status(r.job->spec.id, r.task, r.placement->attempt, p, c));
-        jobs.apply(cluster, h, heartbeat(h, t), true, now);
+        jobs.apply(cluster, machine, heartbeat(machine, t), true, now);
     };
-    for (Machine* h : machines) state(*h, TaskPhase::kRunning, ExitCause::kNone);
+    for (Machine* machine : machines) state(*machine, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
     jobs.find_stragglers(cluster, now);
     EXPECT_FALSE(machines[0]->cordoned) << "nothing to compare with";
@@ -345,12 +348,12 @@
 }
 
 TEST_F(Lifecycle, WaitsBrieflyForAnIdleHolderOfTheImage) {
-    Job& j = add_job(job_spec("job-1", 1));
+    Job& job = add_job(job_spec("job-1", 1));
     Machine &asker = add_machine("vm-1"), &holder = add_machine("vm-2");
     holder.cache.set_capacity(50);
-    holder.cache.use(j.spec.image, 2);
+    holder.cache.use(job.spec.image, 2);
     EXPECT_TRUE(schedule_for({&asker}).empty());
-    EXPECT_EQ(j.wait_reason, WaitReason::kHeldForImage);
+    EXPECT_EQ(job.wait_reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(schedule_for({&asker}).size(), 1u) << "not for ever";
 }
@@ -361,11 +364,11 @@
     big.image_gb = 9;
     now += 1;
     add_job(big);
-    Machine& h = add_machine("vm-1");
-    h.cache.set_capacity(50);
-    h.cache.use("img-job-1", 2);
-    h.cache.use("img-job-2", 9);
-    auto b = schedule_for({&h});
+    Machine& machine = add_machine("vm-1");
+    machine.cache.set_capacity(50);
+    machine.cache.use("img-job-1", 2);
+    machine.cache.use("img-job-2", 9);
+    auto b = schedule_for({&machine});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
 }
@@ -385,12 +388,12 @@
 // its record stays within the state service's limit for a value.
 TEST_F(Lifecycle, AHugeJobCostsNoMoreThanItsMachines) {
     config.teams[0].gpus_max = 0;
-    Job& j = add_job(job_spec("job-1", 100'000));
+    Job& job = add_job(job_spec("job-1", 100'000));
     std::vector<Machine*> machines;
     for (int i = 0; i < 40; ++i) machines.push_back(&add_machine("vm-" + std::to_string(100 + i)));
     EXPECT_EQ(schedule_for(machines).size(), 80u);
-    EXPECT_LE(j.pending.pieces(), 1u);
-    EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
+    EXPECT_LE(job.pending.pieces(), 1u);
+    EXPECT_LT(job.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
     ScalingInput in{config, settings, now, now, {}, {}, true, false};
     auto plan = plan_scaling(cluster, jobs, in);
@@ -435,10 +438,10 @@
     add_job(job_spec("job-1", 4));
     for (bool heard : {true, false}) {
         for (int i = 0; i < 6; ++i) {
-            Machine& h = *cluster.machine("vm-" + std::to_string(i));
-            h.last_heartbeat = then;
-            h.listed = true;
-            h.reported = heard;
+            Machine& machine = *cluster.machine("vm-" + std::to_string(i));
+            machine.last_heartbeat = then;
+            machine.listed = true;
+            machine.reported = heard;
         }
         now = then + 2 * config.lease_s;
         recount_resources();
@@ -454,9 +457,9 @@
         cut.now = now + 1;
         cut.cut_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
-            Machine& h = *cluster.machine("vm-" + std::to_string(i));
-            h.reported = true;
-            h.last_heartbeat = cut.now;
+            Machine& machine = *cluster.machine("vm-" + std::to_string(i));
+            machine.reported = true;
+            machine.last_heartbeat = cut.now;
         }
         EXPECT_TRUE(plan_scaling(cluster, jobs, cut).silent.empty());
         cut.now += 2 * config.lease_s;
@@ -468,17 +471,18 @@
 // Work is moved together only when no job has come for a while, and only if it can save and fits elsewhere.
 TEST_F(Lifecycle, EmptiesHalfUsedMachinesOnlyInACalm) {
     config.teams[0].gpus_max = 0;
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-    JobSpec s = job_spec("job-1", 2);
-    s.estimate_s = 500;
-    Job& j = add_job(s);
-    jobs.bind(j, 0, x, 1, now);
-    jobs.bind(j, 1, y, 2, now);
-    mark_committed(j);
-    jobs.apply(cluster, x, heartbeat(x, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    JobSpec spec = job_spec("job-1", 2);
+    spec.estimate_s = 500;
+    Job& job = add_job(spec);
+    jobs.bind(job, 0, first, 1, now);
+    jobs.bind(job, 1, y, 2, now);
+    mark_committed(job);
+    jobs.apply(cluster, first, heartbeat(first, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
+               now);
     jobs.apply(cluster, y, heartbeat(y, {task_status("job-1", 1, 2, TaskPhase::kRunning)}), true, now);
     auto moved = [&] {
-        x.last_heartbeat = y.last_heartbeat = now;
+        first.last_heartbeat = y.last_heartbeat = now;
         recount_resources();
         ScalingInput in{config, settings, now, 0, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).drain.size();
@@ -487,14 +491,14 @@
     EXPECT_EQ(moved(), 0u);
     now += 40;
     EXPECT_EQ(moved(), 1u);
-    j.spec.checkpoint_s = 0;
+    job.spec.checkpoint_s = 0;
     EXPECT_EQ(moved(), 0u) << "what cannot save is not moved";
 }
 
 // A waiting gang keeps the machines that come free, except for work that is over before it can start.
 TEST_F(Lifecycle, KeepsRoomForAWaitingGangAndLendsItToShortWork) {
     config.teams[0].gpus_max = 0;
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
     JobSpec longer = job_spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 200;
@@ -502,18 +506,18 @@
     jobs.bind(busy, 0, y, 1, now);
     mark_committed(busy);
     jobs.apply(cluster, y, heartbeat(y, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
-    JobSpec g = job_spec("job-2", 2, JobKind::kGang);
-    g.gpus = 2;
-    g.single_zone = true;
-    add_job(g);
+    JobSpec gang_spec = job_spec("job-2", 2, JobKind::kGang);
+    gang_spec.gpus = 2;
+    gang_spec.single_zone = true;
+    add_job(gang_spec);
     JobSpec slow = job_spec("job-3", 1), quick = job_spec("job-4", 1);
     slow.estimate_s = 300;
     quick.estimate_s = 20;
     now += 1;
     add_job(slow);
-    EXPECT_TRUE(schedule_for({&x}).empty()) << "kept for the gang";
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "kept for the gang";
     add_job(quick);
-    auto b = schedule_for({&x});
+    auto b = schedule_for({&first});
     ASSERT_EQ(b.size(), 1u);
     EXPECT_EQ(b[0].job->spec.id, "job-4");
 }
@@ -524,27 +528,27 @@
     guaranteed.name = "other";
     guaranteed.gpus = 2;
     config.teams.push_back(guaranteed);
-    Machine& x = add_machine("vm-1");
+    Machine& first = add_machine("vm-1");
     Job& low = add_job(job_spec("job-1", 2));
     low.spec.priority = PriorityClass::kStandard;
     low.spec.checkpoint_s = 100;
-    schedule_for({&x});
+    schedule_for({&first});
     mark_committed(low);
-    jobs.apply(cluster, x,
-               heartbeat(x, {task_status("job-1", 0, 1, TaskPhase::kRunning),
-                             task_status("job-1", 1, 2, TaskPhase::kRunning)}),
+    jobs.apply(cluster, first,
+               heartbeat(first, {task_status("job-1", 0, 1, TaskPhase::kRunning),
+                                 task_status("job-1", 1, 2, TaskPhase::kRunning)}),
                true, now);
     auto stopping = [&] {
         return std::count_if(low.live.begin(), low.live.end(), [](auto& p) { return p.second.stopping; });
     };
     JobSpec same = job_spec("job-2", 1, JobKind::kGang);
     add_job(same);
-    schedule_for({&x});
+    schedule_for({&first});
     EXPECT_EQ(stopping(), 0) << "not for work of the same priority";
     JobSpec owed = job_spec("job-3", 1);
     owed.team = "other";
     add_job(owed);
-    schedule_for({&x});
+    schedule_for({&first});
     EXPECT_EQ(stopping(), 1) << "for another team's guarantee, one task is enough";
     EXPECT_GT(std::max(low.live.at(0).grace_s, low.live.at(1).grace_s), 2) << "with time to save";
 }
@@ -556,21 +560,21 @@
     config.teams[0].gpus_max = 0;
     std::vector<Job*> low;
     for (int i = 0; i < 4; ++i) {
-        Machine& h = add_machine("vm-" + std::to_string(i));
-        Job& j = add_job(job_spec("job-" + std::to_string(i), 2));
-        low.push_back(&j);
-        schedule_for({&h});
-        for (auto& [n, p] : j.live) p.seen = true;
+        Machine& machine = add_machine("vm-" + std::to_string(i));
+        Job& job = add_job(job_spec("job-" + std::to_string(i), 2));
+        low.push_back(&job);
+        schedule_for({&machine});
+        for (auto& [n, p] : job.live) p.seen = true;
     }
     now = 1000;
     Seconds began[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints come every 10 s
     for (size_t i = 0; i < 4; ++i)
         for (auto& [n, p] : low[i]->live) p.running_since = began[i];
-    JobSpec s = job_spec("job-9", 2, JobKind::kGang);
-    s.gpus = 2;
-    s.cpus = 8;
-    s.priority = PriorityClass::kHigh;
-    add_job(s);
+    JobSpec spec = job_spec("job-9", 2, JobKind::kGang);
+    spec.gpus = 2;
+    spec.cpus = 8;
+    spec.priority = PriorityClass::kHigh;
+    add_job(spec);
     schedule_for({});
     auto stopping = [&](size_t i) {
         return std::count_if(low[i]->live.begin(), low[i]->live.end(),
@@ -585,17 +589,17 @@
 // Launch after launch comes to nothing although newer reports arrive: the machine does not hear its answers.
 // The task goes elsewhere, nothing more is bound there, and the machine is replaced.
 TEST_F(Lifecycle, GivesUpAMachineThatReportsButDoesNotHear) {
-    Job& j = add_job(job_spec("job-1", 1));
+    Job& job = add_job(job_spec("job-1", 1));
     Machine &deaf = add_machine("vm-1"), &other = add_machine("vm-2");
     other.cordoned = true;
     ASSERT_EQ(schedule_for({&deaf}).size(), 1u);
-    mark_committed(j);
+    mark_committed(job);
     for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
-        ASSERT_EQ(j.live.count(0), 1u);
+        ASSERT_EQ(job.live.count(0), 1u);
         EXPECT_EQ(count_launches(jobs.commands(deaf, true)), 1u);
         jobs.apply(cluster, deaf, heartbeat(deaf, {}), true, now += 3);
     }
-    EXPECT_TRUE(j.live.empty());
+    EXPECT_TRUE(job.live.empty());
     EXPECT_TRUE(schedule_for({&deaf}).empty()) << "no room to count on";
     other.cordoned = false;
     EXPECT_EQ(schedule_for({&deaf, &other}).size(), 1u);
@@ -613,15 +617,15 @@
 // What its reports say of the answers to them: one that is answered stays and numbers its reports one by
 // one, and its lease does not end.
 TEST_F(Lifecycle, SeesFromReportsWhetherAnswersAreHeard) {
-    Machine& h = add_machine("vm-1");
+    Machine& machine = add_machine("vm-1");
     auto next = [&](uint64_t incarnation, uint64_t sequence, bool direct = true) {
-        WorkerHeartbeat r = heartbeat(h, {});
+        WorkerHeartbeat r = heartbeat(machine, {});
         r.incarnation = incarnation;
         r.sequence = sequence;
-        h.update_reachability(r, direct, config.lease_s, now += 3);
-        jobs.apply(cluster, h, r, true, now);
-        h.answered(direct, now);
-        return !h.unreachable_since;
+        machine.update_reachability(r, direct, config.lease_s, now += 3);
+        jobs.apply(cluster, machine, r, true, now);
+        machine.answered(direct, now);
+        return !machine.unreachable_since;
     };
     EXPECT_TRUE(next(1, 10));
     EXPECT_TRUE(next(1, 11));
@@ -629,10 +633,10 @@
     EXPECT_FALSE(next(1, 15, false)) << "a relayed report shows nothing";
     EXPECT_FALSE(next(1, 16));
     EXPECT_TRUE(next(1, 17));
-    h.answered(false, now);
+    machine.answered(false, now);
     EXPECT_TRUE(next(1, 20)) << "a command's answer may have taken a number";
     EXPECT_FALSE(next(2, 21)) << "its lease has ended although it was answered";
-    h.unreachable_since.reset();
+    machine.unreachable_since.reset();
     now += config.lease_s;
     EXPECT_TRUE(next(3, 40)) << "it was silent for a lease";
 }
@@ -641,11 +645,11 @@
 TEST_F(Lifecycle, ALateCopyAtANewLeaderIsNoRoom) {
     settings.max_machines = 5;
     add_job(job_spec("job-1", 2));
-    Machine& h = add_machine("vm-1");
-    h.current = false;
-    h.last_heartbeat = now;
+    Machine& machine = add_machine("vm-1");
+    machine.current = false;
+    machine.last_heartbeat = now;
     recount_resources();
-    EXPECT_FALSE(h.schedulable);
+    EXPECT_FALSE(machine.schedulable);
     auto rented = [&] {
         ScalingInput in{config, settings, now, now, {}, {}, true, false};
         int n = 0;
@@ -653,7 +657,7 @@
         return n;
     };
     EXPECT_EQ(rented(), 1) << "it does not stand in for a machine";
-    h.listed = true;
+    machine.listed = true;
     EXPECT_EQ(rented(), 0) << "one that the cloud lists does";
 }
 
@@ -661,7 +665,7 @@
 // lateness: after the bound it goes first, and what comes free is kept for it until it can begin.
 TEST_F(Lifecycle, AStarvedJobGoesBeforeAllOthers) {
     config.teams[0].gpus_max = 0;
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
     JobSpec large = job_spec("job-1", 2, JobKind::kGang);
     large.gpus = 2;
     large.single_zone = true;
@@ -673,21 +677,21 @@
     Job& overdue = add_job(late);
     int next = 10;
     auto stream = [&] {
-        JobSpec s = job_spec("job-" + std::to_string(next++), 4);
-        s.priority = PriorityClass::kHigh;
-        return &add_job(s);
+        JobSpec spec = job_spec("job-" + std::to_string(next++), 4);
+        spec.priority = PriorityClass::kHigh;
+        return &add_job(spec);
     };
     stream();
-    ASSERT_EQ(schedule_for({&x, &y}).size(), 4u);
+    ASSERT_EQ(schedule_for({&first, &y}).size(), 4u);
     EXPECT_TRUE(old.live.empty());
     now += settings.begin_bound_s + 1;
     stream();
     // One machine comes free: it is kept, whatever else waits.
     jobs.machine_deleted("vm-1", now);
-    EXPECT_TRUE(schedule_for({&x}).empty());
+    EXPECT_TRUE(schedule_for({&first}).empty());
     jobs.erase("job-10");
     jobs.machine_deleted("vm-2", now);
-    auto b = schedule_for({&x, &y});
+    auto b = schedule_for({&first, &y});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job, &old);
     // The late array has its turn before what came after it, too, and only until it has begun.
@@ -695,7 +699,7 @@
     jobs.machine_deleted("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
-    b = schedule_for({&x, &y});
+    b = schedule_for({&first, &y});
     ASSERT_EQ(b.size(), 4u);
     EXPECT_EQ(b[0].job, &overdue);
     EXPECT_NE(b[1].job, &overdue);
@@ -704,12 +708,12 @@
 // A gang that its team's limit keeps waiting: the team's own lower work yields, and small jobs of the team
 // that come later do not take what comes free of the limit for ever.
 TEST_F(Lifecycle, ATeamsLimitIsGatheredForItsWaitingGang) {
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
     add_machine("vm-3");
     Job& low = add_job(job_spec("job-1", 2));
     low.spec.priority = PriorityClass::kIdle;
     Job& same = add_job(job_spec("job-2", 2));
-    ASSERT_EQ(schedule_for({&x, &y}).size(), 4u) << "the limit is used up";
+    ASSERT_EQ(schedule_for({&first, &y}).size(), 4u) << "the limit is used up";
     mark_committed(low);
     mark_committed(same);
     now += 1;
@@ -718,19 +722,19 @@
     idle.priority = PriorityClass::kIdle;
     Job& lower = add_job(idle);
     config.teams[0].gpus_max = 5;
-    EXPECT_TRUE(schedule_for({&x, &y, cluster.machine("vm-3")}).empty())
+    EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty())
         << "what is free is kept from lower work";
     EXPECT_EQ(lower.wait_reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
-    schedule_for({&x});
-    auto stopping = [&](Job& j) {
-        return std::count_if(j.live.begin(), j.live.end(), [](auto& p) { return p.second.stopping; });
+    schedule_for({&first});
+    auto stopping = [&](Job& job) {
+        return std::count_if(job.live.begin(), job.live.end(), [](auto& p) { return p.second.stopping; });
     };
     EXPECT_EQ(stopping(low), 0) << "stopping them would not do, there is too little of it";
     gang.spec.tasks = 2;
     gang.pending = Ranges::whole(2);
-    schedule_for({&x});
+    schedule_for({&first});
     EXPECT_EQ(stopping(low), 2);
     EXPECT_EQ(stopping(same), 0);
     // Not enough came free, and a small job comes.
@@ -740,7 +744,7 @@
     for (const auto& r : std::vector(jobs.on_machine("vm-1")))
         if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
     add_job(job_spec("job-4", 1));
-    EXPECT_TRUE(schedule_for({&x, &y}).empty()) << "what is free of the limit is kept";
+    EXPECT_TRUE(schedule_for({&first, &y}).empty()) << "what is free of the limit is kept";
     EXPECT_EQ(gang.wait_reason, WaitReason::kTeamLimit);
     // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
     // would be started again, and stopped again.
@@ -749,7 +753,7 @@
     gang.spec.single_zone = true;
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
-    EXPECT_TRUE(schedule_for({&x, &y, cluster.machine("vm-3")}).empty());
+    EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty());
     EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
 }
 
@@ -762,8 +766,8 @@
     add_job(old);
     now += 60;
     add_job(young);
-    Machine& h = add_machine("vm-1");
-    auto b = schedule_for({&h});
+    Machine& machine = add_machine("vm-1");
+    auto b = schedule_for({&machine});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
@@ -775,17 +779,17 @@
 TEST_F(Lifecycle, StartAimsDoNotHoldBackWhatHasBegun) {
     config.wait_within["c"] = {50, 100};
     config.finish_within["c"] = 400;
-    JobSpec s = job_spec("job-1", 2);
-    s.job_class = "c";
-    Job& old = add_job(s);
-    Machine& h = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&h}).size(), 2u);
+    JobSpec spec = job_spec("job-1", 2);
+    spec.job_class = "c";
+    Job& old = add_job(spec);
+    Machine& machine = add_machine("vm-1");
+    ASSERT_EQ(schedule_for({&machine}).size(), 2u);
     mark_committed(old);
     now += 60;
     jobs.machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
-    s.id = "job-2";
-    add_job(s);
+    spec.id = "job-2";
+    add_job(spec);
     auto b = schedule_for({&add_machine("vm-2")});
     ASSERT_EQ(b.size(), 2u);
     EXPECT_EQ(b[0].job->spec.id, "job-1");
@@ -795,7 +799,7 @@
 // What is kept of the limit for a starved gang does not count against itself: it still keeps the machines
 // that come free.
 TEST_F(Lifecycle, AStarvedGangKeepsLimitAndMachines) {
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
     JobSpec longer = job_spec("job-1", 1);
     longer.gpus = 2;
     longer.estimate_s = 300;
@@ -803,10 +807,10 @@
     jobs.bind(busy, 0, y, 1, now);
     mark_committed(busy);
     config.teams[0].gpus_max = 6;
-    JobSpec g = job_spec("job-2", 2, JobKind::kGang);
-    g.gpus = 2;
-    g.single_zone = true;
-    add_job(g);
+    JobSpec gang_spec = job_spec("job-2", 2, JobKind::kGang);
+    gang_spec.gpus = 2;
+    gang_spec.single_zone = true;
+    add_job(gang_spec);
     Team other;
     other.name = "other";
     config.teams.push_back(other);
@@ -815,11 +819,11 @@
     theirs.estimate_s = 900;
     now += settings.begin_bound_s + 1;
     add_job(theirs);
-    EXPECT_TRUE(schedule_for({&x}).empty()) << "the machine is kept, from other teams as well";
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "the machine is kept, from other teams as well";
     jobs.machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
-    EXPECT_EQ(schedule_for({&x, &y}).size(), 2u);
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
 }
 
 // What a scheduling pass, a rental plan and a take-over cost grows with the fleet, although jobs wait in
@@ -838,19 +842,19 @@
             fleet_machines.push_back(&add_machine("vm-" + std::to_string(10000 + i), i % 2 ? "a" : "b"));
         // Half of the fleet runs an array that yields, half one that does not.
         for (int i = 0; i < machines; i += 10) {
-            JobSpec s = job_spec("job-" + std::to_string(i), 20);
-            s.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
-            Job& j = add_job(s);
+            JobSpec spec = job_spec("job-" + std::to_string(i), 20);
+            spec.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
+            Job& job = add_job(spec);
             for (uint32_t t = 0; t < 20; ++t)
-                jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
+                jobs.bind(job, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
-            JobSpec s = job_spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
-                                 i % 2 ? JobKind::kGang : JobKind::kArray);
-            s.priority = i % 2 ? PriorityClass::kHigh : PriorityClass::kStandard;
-            s.single_zone = s.gang();
-            s.image = "img-" + std::to_string(i % 6);
-            add_job(s);
+            JobSpec spec = job_spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
+                                    i % 2 ? JobKind::kGang : JobKind::kArray);
+            spec.priority = i % 2 ? PriorityClass::kHigh : PriorityClass::kStandard;
+            spec.single_zone = spec.gang();
+            spec.image = "img-" + std::to_string(i % 6);
+            add_job(spec);
         }
         Cost c;
         recount_resources();
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -22,10 +22,10 @@
 
 // The settings announce the limits; the service keeps today's until limits_fall().
 void announce_limits(Deployment& deployment) {
-    for (auto& c : deployment.configs) {
-        c.next_value_bytes = kLaterValueBytes;
-        c.txn_ops = std::min(c.txn_ops, kLaterTxnOps);
-        c.write_rps = std::min(c.write_rps, kLaterWriteRate);
+    for (auto& config : deployment.configs) {
+        config.next_value_bytes = kLaterValueBytes;
+        config.txn_ops = std::min(config.txn_ops, kLaterTxnOps);
+        config.write_rps = std::min(config.write_rps, kLaterWriteRate);
     }
     deployment.store.value_bytes = deployment.configs[0].value_bytes;
 }
@@ -37,32 +37,32 @@
 
 // An array whose tasks all run, on so many machines in two zones.
 JobRecord running_array(const std::string& id, uint32_t tasks, uint32_t machines, uint32_t first_machine) {
-    JobRecord r;
-    r.spec.id = id;
-    r.spec.job_class = "c";
-    r.spec.team = "team";
-    r.spec.tasks = tasks;
-    r.spec.cpus = r.spec.memory_gb = 0.01;
-    r.spec.image = "img-1";
-    r.spec.image_gb = 2;
-    r.spec.estimate_s = 60;
-    r.spec.checkpoint_s = 10;
-    r.spec.save_s = 2;
-    r.accepted_wall = {1};
-    r.next_attempt = tasks + 1;
+    JobRecord record;
+    record.spec.id = id;
+    record.spec.job_class = "c";
+    record.spec.team = "team";
+    record.spec.tasks = tasks;
+    record.spec.cpus = record.spec.memory_gb = 0.01;
+    record.spec.image = "img-1";
+    record.spec.image_gb = 2;
+    record.spec.estimate_s = 60;
+    record.spec.checkpoint_s = 10;
+    record.spec.save_s = 2;
+    record.accepted_wall = {1};
+    record.next_attempt = tasks + 1;
     for (uint32_t n = 0; n < tasks; ++n) {
         uint32_t machine = n % machines;
-        r.live[n] = {n + 1, machine_name(first_machine + machine), machine % 2 ? "b" : "a"};
+        record.live[n] = {n + 1, machine_name(first_machine + machine), machine % 2 ? "b" : "a"};
     }
-    return r;
+    return record;
 }
 
 size_t stored_bytes(Deployment& deployment, const std::string& id) {
     return json_text(deployment.store.rows.at(live_key(id)).data).size();
 }
 
-Task<void> report(Deployment& deployment, FakeWorker& w, int node, size_t& answered) {
-    co_await w.send_report(deployment.loop, deployment.config(node).listen);
+Task<void> report(Deployment& deployment, FakeWorker& worker, int node, size_t& answered) {
+    co_await worker.send_report(deployment.loop, deployment.config(node).listen);
     ++answered;
 }
 
@@ -70,25 +70,25 @@
 void report_all(Deployment& deployment, std::vector<FakeWorker>& workers, int node) {
     Scope scope(deployment.loop);
     size_t answered = 0;
-    for (auto& w : workers) scope.spawn(report(deployment, w, node, answered), "report");
+    for (auto& worker : workers) scope.spawn(report(deployment, worker, node, answered), "report");
     EXPECT_TRUE(deployment.until([&] { return answered == workers.size(); }, 20));
 }
 
 size_t exits_kept(const std::vector<FakeWorker>& workers) {
     size_t n = 0;
-    for (const auto& w : workers)
-        n += static_cast<size_t>(std::count_if(w.tasks.begin(), w.tasks.end(), [](const TaskStatus& t) {
-            return t.phase == TaskPhase::kExited;
-        }));
+    for (const auto& worker : workers)
+        n += static_cast<size_t>(
+            std::count_if(worker.tasks.begin(), worker.tasks.end(),
+                          [](const TaskStatus& task) { return task.phase == TaskPhase::kExited; }));
     return n;
 }
 
 // Whether some task runs on two machines at once.
 bool ran_twice(const std::vector<FakeWorker>& workers) {
     std::set<TaskName> running;
-    for (const auto& w : workers)
-        for (const auto& t : w.tasks)
-            if (t.phase != TaskPhase::kExited && !running.insert(t.name).second) return true;
+    for (const auto& worker : workers)
+        for (const auto& task : worker.tasks)
+            if (task.phase != TaskPhase::kExited && !running.insert(task.name).second) return true;
     return false;
 }
 
@@ -126,9 +126,9 @@
         << "the put of the format is on its way";
     limits_fall(deployment);
 
-    for (auto& w : workers)
-        for (auto& t : w.tasks)
-            if (t.name.task % 2) exit_task(t, ExitCause::kDone);
+    for (auto& worker : workers)
+        for (auto& task : worker.tasks)
+            if (task.name.task % 2) exit_task(task, ExitCause::kDone);
     for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
     EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     EXPECT_EQ(exits_kept(workers), 75U) << "not forgotten before what came of them is kept";
@@ -163,9 +163,10 @@
         std::vector<FakeWorker> workers;
         constexpr int kJobs = 6;
         for (int i = 0; i < kJobs; ++i) {
-            JobRecord r = running_array("job-" + std::to_string(i), 140, 10, static_cast<uint32_t>(100 * i));
-            store_record(deployment, r);
-            for (auto& w : workers_of(r)) workers.push_back(std::move(w));
+            JobRecord record =
+                running_array("job-" + std::to_string(i), 140, 10, static_cast<uint32_t>(100 * i));
+            store_record(deployment, record);
+            for (auto& worker : workers_of(record)) workers.push_back(std::move(worker));
         }
         deployment.store.let_through = [&](const std::string& txn) {
             return record_format_put || !puts(txn, kRecordFormatKey);
@@ -190,9 +191,9 @@
         deployment.store.let_through = {};
 
         report_all(deployment, workers, second);
-        for (auto& w : workers)
-            for (auto& t : w.tasks)
-                if (t.name.task % 4 == 1) exit_task(t, ExitCause::kDone);
+        for (auto& worker : workers)
+            for (auto& task : worker.tasks)
+                if (task.name.task % 4 == 1) exit_task(task, ExitCause::kDone);
         for (int i = 0; i < 2; ++i) report_all(deployment, workers, second);
         deployment.run(4);
         ASSERT_EQ(deployment.leader(), second);
@@ -220,13 +221,13 @@
     for (bool carried_out : {true, false}) {
         Deployment deployment(2);
         announce_limits(deployment);
-        JobRecord r = running_array("job-1", 150, 12, 100);
-        store_record(deployment, r);
+        JobRecord record = running_array("job-1", 150, 12, 100);
+        store_record(deployment, record);
         store_record(deployment, running_array("job-2", 150, 10, 200));
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(1);
-        auto workers = workers_of(r);
+        auto workers = workers_of(record);
         report_all(deployment, workers, 0);
         bool lose = true;
         deployment.store.let_through = [&](const std::string& txn) {
@@ -237,9 +238,9 @@
             }
             return false;
         };
-        for (auto& w : workers)
-            for (auto& t : w.tasks)
-                if (t.name.task < 50) exit_task(t, ExitCause::kDone);
+        for (auto& worker : workers)
+            for (auto& task : worker.tasks)
+                if (task.name.task < 50) exit_task(task, ExitCause::kDone);
         report_all(deployment, workers, 0);
         EXPECT_NE(deployment.call(0, "POST", "/v2/runs/job-2/withdraw").status, 200);
         EXPECT_NE(deployment.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
@@ -278,23 +279,23 @@
     Deployment deployment;
     announce_limits(deployment);
     deployment.configs[0].heartbeat_interval_s = 10;
-    JobRecord r = running_array("job-1", kTasks, kTasks, 1);
-    ASSERT_GT(json_text(r.pack(1)).size(), kLaterValueBytes);
-    store_record(deployment, r);
+    JobRecord record = running_array("job-1", kTasks, kTasks, 1);
+    ASSERT_GT(json_text(record.pack(1)).size(), kLaterValueBytes);
+    store_record(deployment, record);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     limits_fall(deployment);
-    auto workers = workers_of(r);
+    auto workers = workers_of(record);
     ASSERT_EQ(workers.size(), kTasks);
     std::map<TaskName, uint64_t> newest;
     auto round = [&] {
         report_all(deployment, workers, 0);
         EXPECT_FALSE(ran_twice(workers));
-        for (const auto& w : workers)
-            for (const auto& t : w.tasks) {
-                auto& attempt = newest[t.name];
-                EXPECT_GE(t.attempt, attempt) << t.name.text();
-                attempt = t.attempt;
+        for (const auto& worker : workers)
+            for (const auto& task : worker.tasks) {
+                auto& attempt = newest[task.name];
+                EXPECT_GE(task.attempt, attempt) << task.name.text();
+                attempt = task.attempt;
             }
         if (!deployment.store.rows.contains("j/job-1")) return;
         EXPECT_LE(stored_bytes(deployment, "job-1"),
@@ -303,12 +304,12 @@
     };
     for (int i = 0; i < 2; ++i) round();
     EXPECT_EQ(stored_format(deployment, "job-1"), 1U) << "nothing has changed yet";
-    for (auto& w : workers)
-        for (auto& t : w.tasks) {
-            if (t.name.task % 3 == 0)
-                exit_task(t, ExitCause::kDone);
-            else if (t.name.task % 5 == 1)
-                exit_task(t, ExitCause::kStopped);
+    for (auto& worker : workers)
+        for (auto& task : worker.tasks) {
+            if (task.name.task % 3 == 0)
+                exit_task(task, ExitCause::kDone);
+            else if (task.name.task % 5 == 1)
+                exit_task(task, ExitCause::kStopped);
         }
     round();
     EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 2));
@@ -320,8 +321,8 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     for (int i = 0; i < 2; ++i) round();
     EXPECT_EQ(stored_record(deployment, "job-1").live.size(), kTasks - kTasks / 3);
-    for (auto& w : workers)
-        for (auto& t : w.tasks) exit_task(t, ExitCause::kDone);
+    for (auto& worker : workers)
+        for (auto& task : worker.tasks) exit_task(task, ExitCause::kDone);
     for (int i = 0; i < 3; ++i) round();
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
     EXPECT_EQ(newest.size(), kTasks) << "no task was invented";
@@ -343,24 +344,25 @@
     }
 };
 
-Task<void> submit(Deployment& deployment, Submission& x, size_t& answered) {
+Task<void> submit(Deployment& deployment, Submission& submission, size_t& answered) {
     Seconds began = deployment.loop.now(), until = began + 5;
-    std::string body =
-        job_body(x.id, [](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = packed_number(0.01); });
-    x.answer.clear();
-    auto stream = co_await connect_to(deployment.loop, deployment.config(x.node).listen, until);
+    std::string body = job_body(submission.id, [](auto& fields) {
+        fields["vcpus"] = fields["cards"] = fields["memory_gb"] = packed_number(0.01);
+    });
+    submission.answer.clear();
+    auto stream = co_await connect_to(deployment.loop, deployment.config(submission.node).listen, until);
     if (stream) {
         std::string request =
             "POST /v2/runs HTTP/1.1\r\nHost: n\r\nContent-Length: " + std::to_string(body.size()) +
             "\r\n\r\n" + body;
         bool sent = co_await stream->write(request, until);
-        while (sent && x.answer.find("\r\n\r\n") == std::string::npos) {
+        while (sent && submission.answer.find("\r\n\r\n") == std::string::npos) {
             Stream::Read got = co_await stream->read(until);
             if (!got.ok()) break;
-            x.answer.append(got.bytes);
+            submission.answer.append(got.bytes);
         }
     }
-    x.took = deployment.loop.now() - began;
+    submission.took = deployment.loop.now() - began;
     ++answered;
 }
 
@@ -385,16 +387,16 @@
     limits_fall(deployment);
     int lead = deployment.leader();
     deployment.run(1);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     std::vector<Submission> before(60);
     for (size_t i = 0; i < before.size(); ++i) {
         before[i].id = "job-" + std::to_string(1000 + i);
         submit_all(deployment, {&before[i]});
         ASSERT_TRUE(before[i].accepted());
     }
-    for (int i = 0; i < 12; ++i) deployment.send_report(w, lead);
-    ASSERT_EQ(w.tasks.size(), before.size());
+    for (int i = 0; i < 12; ++i) deployment.send_report(worker, lead);
+    ASSERT_EQ(worker.tasks.size(), before.size());
     // From here on the service keeps to the rate.
     TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
     deployment.store.let_through = [&](const std::string& txn) {
@@ -404,8 +406,8 @@
         return true;
     };
     rate.take(kLaterWriteRate, deployment.loop.now());  // the burst is used up
-    for (auto& t : w.tasks) exit_task(t, ExitCause::kDone);
-    deployment.send_report(w, lead);
+    for (auto& task : worker.tasks) exit_task(task, ExitCause::kDone);
+    deployment.send_report(worker, lead);
     std::vector<Submission> steady(15);
     for (size_t i = 0; i < steady.size(); ++i) {
         deployment.run(0.35);
@@ -456,18 +458,18 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     limits_fall(deployment);
     deployment.run(1);
-    FakeWorker w;
-    deployment.settle(w);
+    FakeWorker worker;
+    deployment.settle(worker);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto hangs = [&](const std::string& txn) { return puts(txn, "j/job-1"); };
     deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
     Scope scope(deployment.loop);
     size_t answered = 0;
-    scope.spawn(report(deployment, w, 0, answered), "report");
+    scope.spawn(report(deployment, worker, 0, answered), "report");
     ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
-    Submission x{"job-2", 0, "", -1};
-    submit_all(deployment, {&x});
-    EXPECT_TRUE(x.accepted()) << x.answer;
-    EXPECT_LT(x.took, 0.3);
+    Submission submission{"job-2", 0, "", -1};
+    submit_all(deployment, {&submission});
+    EXPECT_TRUE(submission.accepted()) << submission.answer;
+    EXPECT_LT(submission.took, 0.3);
     ASSERT_TRUE(deployment.until([&] { return answered == 1; }));
 }
--- a/tests/poll_rate_test.cc
+++ b/tests/poll_rate_test.cc
@@ -23,13 +23,15 @@
     HttpServer server;
 
     RateLimitedState(Loop& l, FakeStore& behind, Address at)
-        : loop(l), state(behind), server(l, at, 200, [this](Request r) { return pass(std::move(r)); }) {}
-    Task<Response> pass(Request r) {
+        : loop(l),
+          state(behind),
+          server(l, at, 200, [this](Request request) { return pass(std::move(request)); }) {}
+    Task<Response> pass(Request request) {
         if (!rate.take(1, loop.now())) {
             ++refused;
             co_return Response{429, "", 0, "application/msgpack"};
         }
-        co_return co_await state.handle(std::move(r));
+        co_return co_await state.handle(std::move(request));
     }
 };
 
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -49,24 +49,24 @@
         bool spot;  // of a machine that breaks it
     };
     const Rule rules[] = {
-        {"zone", [](JobSpec& s) { s.zone = std::string("a"); }, "b", "g2", false},
-        {"type", [](JobSpec& s) { s.machine_types = {"g2"}; }, "a", "g8", false},
+        {"zone", [](JobSpec& spec) { spec.zone = std::string("a"); }, "b", "g2", false},
+        {"type", [](JobSpec& spec) { spec.machine_types = {"g2"}; }, "a", "g8", false},
         {"kind", [](JobSpec&) {}, "a", "g2", true},
     };
     int n = 0;
     for (const Rule& rule : rules) {
         std::string id = "job-" + std::to_string(++n);
-        Job& j = add(id, 2, rule.set);
+        Job& job = add(id, 2, rule.set);
         Machine &first = add_machine("first"),
                 &wrong = add_machine("wrong", MachineKind{rule.machine_type, rule.zone, rule.spot});
         EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
         ASSERT_EQ(bound({&first}), 2U) << rule.what;
         delete_machine(first.name);
         EXPECT_EQ(bound({&wrong}), 0U) << rule.what;
-        EXPECT_EQ(j.pending.size(), 2U);
+        EXPECT_EQ(job.pending.size(), 2U);
         Machine& right = add_machine("right");
         EXPECT_EQ(bound({&wrong, &right}), 2U) << rule.what;
-        for (const auto& [task, p] : j.live) EXPECT_EQ(p.machine, "right") << rule.what;
+        for (const auto& [task, p] : job.live) EXPECT_EQ(p.machine, "right") << rule.what;
         jobs.erase(id);
         cluster.machines.clear();
     }
@@ -74,35 +74,21 @@
 
 // While one replica is where it was, the other's successor must come there too.
 TEST_F(Rebinding, StaysInTheOneZoneOfTheOthers) {
-    Job& j = add("job-1", 2, [](JobSpec& s) { s.single_zone = true; });
-    Machine &x = add_machine("vm-1"), &y = add_machine("vm-2"), &other = add_machine("vm-3", "b");
-    ASSERT_EQ(bound({&x}), 2U);
-    jobs.stop(j, 0, now);
+    Job& job = add("job-1", 2, [](JobSpec& spec) { spec.single_zone = true; });
+    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2"), &other = add_machine("vm-3", "b");
+    ASSERT_EQ(bound({&first}), 2U);
+    jobs.stop(job, 0, now);
     EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
     // One has ended; the other is being stopped, and counts until it is gone.
-    jobs.stop(j, 1, now);
-    WorkerHeartbeat r;
-    r.machine = "vm-1";
-    r.zone = "a";
-    r.machine_type = "g2";
-    r.incarnation = 1;
-    r.sequence = 1;
-    for (uint32_t task : {0U, 1U}) {
-        TaskStatus t;
-        t.name.job = j.spec.id;
-        t.name.task = task;
-        t.attempt = j.live.at(task).attempt;
-        t.phase = task == 0 ? TaskPhase::kExited : TaskPhase::kRunning;
-        t.cause = task == 0 ? ExitCause::kStopped : ExitCause::kNone;
-        r.tasks.push_back(t);
-    }
-    jobs.apply(cluster, x, r, true, now);
-    ASSERT_EQ(j.pending.size(), 1U);
+    jobs.stop(job, 1, now);
+    report(first, {task_status("job-1", 0, job.live.at(0).attempt, TaskPhase::kExited, ExitCause::kStopped),
+                   task_status("job-1", 1, job.live.at(1).attempt, TaskPhase::kRunning)});
+    ASSERT_EQ(job.pending.size(), 1U);
     EXPECT_EQ(bound({&other}), 0U);
     EXPECT_EQ(bound({&y}), 1U);
-    EXPECT_EQ(j.live.at(0).zone, "a");
+    EXPECT_EQ(job.live.at(0).zone, "a");
     // With none left any zone will do.
-    delete_machine(x.name);
+    delete_machine(first.name);
     delete_machine(y.name);
     EXPECT_EQ(bound({&other}), 2U);
 }
@@ -111,21 +97,21 @@
 TEST_F(Rebinding, PutsHalfRoundedUpIntoAZone) {
     for (uint32_t replicas : {1U, 2U, 5U, 9U}) {
         uint32_t half = (replicas + 1) / 2;
-        Job& j = add("job-1", replicas, [](JobSpec& s) { s.spread_across_zones = true; });
-        Machine &a = add_machine("vm-1"), &b = add_machine("vm-2", "b"), &again = add_machine("vm-3");
-        ASSERT_EQ(bound({&a}), half) << replicas;
+        Job& job = add("job-1", replicas, [](JobSpec& spec) { spec.spread_across_zones = true; });
+        Machine &in_a = add_machine("vm-1"), &b = add_machine("vm-2", "b"), &again = add_machine("vm-3");
+        ASSERT_EQ(bound({&in_a}), half) << replicas;
         ASSERT_EQ(bound({&b}), replicas - half) << replicas;
         // Those of `b` move: until their exit is known they are there, and there is no room in `a`.
-        for (const auto& [task, p] : j.live)
-            if (p.machine == "vm-2") jobs.stop(j, task, now);
-        EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
+        for (const auto& [task, p] : job.live)
+            if (p.machine == "vm-2") jobs.stop(job, task, now);
+        EXPECT_EQ(bound({&in_a, &again}), 0U) << replicas;
         delete_machine(b.name);
-        EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
-        EXPECT_EQ(j.pending.size(), replicas - half);
+        EXPECT_EQ(bound({&in_a, &again}), 0U) << replicas;
+        EXPECT_EQ(job.pending.size(), replicas - half);
         Machine& b2 = add_machine("vm-4", "b");
         EXPECT_EQ(bound({&b2}), replicas - half) << replicas;
         // Those of `a` are lost: their successors may come back to it, and no more of them than half.
-        delete_machine(a.name);
+        delete_machine(in_a.name);
         EXPECT_EQ(bound({&again}), half) << replicas;
         jobs.erase("job-1");
         cluster.machines.clear();
@@ -137,21 +123,21 @@
     for (bool cpus : {true, false}) {
         config.teams[0].cpus_max = cpus ? 4 : 0;
         config.teams[0].gpus_max = cpus ? 0 : 2;
-        auto amount = [&](JobSpec& s) { s.gpus = cpus ? 0 : 0.5; };
-        Job& j = add("job-1", 4, amount);
-        Machine &x = add_machine("vm-1"), &y = add_machine("vm-2");
-        ASSERT_EQ(bound({&x}), 4U);
+        auto amount = [&](JobSpec& spec) { spec.gpus = cpus ? 0 : 0.5; };
+        Job& job = add("job-1", 4, amount);
+        Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+        ASSERT_EQ(bound({&first}), 4U);
         add("job-2", 1, [&](JobSpec& spec) {
             amount(spec);
             spec.kind = JobKind::kArray;
         });
         add("job-3", 1, amount);
-        for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, now);
+        for (uint32_t task = 0; task < 4; ++task) jobs.stop(job, task, now);
         EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
-        x.current = false;
+        first.current = false;
         now += 500;
         EXPECT_EQ(bound({&y}), 0U) << "nor is silence";
-        delete_machine(x.name);
+        delete_machine(first.name);
         EXPECT_EQ(bound({&y}), 4U) << "and then no more than the limit";
         // An attempt that no placement accounts for still takes its part.
         MachineTask has_unplaced_task;
@@ -161,8 +147,8 @@
         has_unplaced_task.sized = true;
         has_unplaced_task.team = "team";
         has_unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
-        Machine& z = add_machine("vm-3");
-        z.tasks = {has_unplaced_task};
+        Machine& third = add_machine("vm-3");
+        third.tasks = {has_unplaced_task};
         jobs.machine_deleted("vm-2", now);
         EXPECT_EQ(bound({&y}), 3U);
         for (const char* id : {"job-1", "job-2", "job-3"}) jobs.erase(id);
@@ -178,8 +164,8 @@
     bool operator==(const State&) const = default;
 };
 
-State state_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+State state_of(const Answer& answer) {
+    auto m = Message::parse(answer.body);
     if (!m) return {};
     return {m->root()["phase"].text_or(""), m->root()["done"].count_or(0), m->root()["running"].count_or(0)};
 }
@@ -204,7 +190,7 @@
     EXPECT_EQ(submit(service_body("job-1", 8, 1, 1)), 201);
     EXPECT_EQ(submit(service_body("job-2", 20)), 201) << "each by itself; together they wait for each other";
     EXPECT_EQ(submit(service_body("job-1", 21)), 200) << "known for ever, whatever the repeat says";
-    EXPECT_EQ(submit(job_body("job-3", [](auto& f) { set_tasks(f, 9); })), 201);
+    EXPECT_EQ(submit(job_body("job-3", [](auto& fields) { set_tasks(fields, 9); })), 201);
 }
 
 // A poll counts replicas that are on machines and none that is done; a repeated submission gets the state at
@@ -218,17 +204,17 @@
     ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", body).status, 201);
     auto poll = [&] { return state_of(deployment.call(other, "GET", "/v2/runs/job-1")); };
     auto repeated = [&] {
-        Answer a = deployment.call(other, "POST", "/v2/runs", body);
-        EXPECT_EQ(a.status, 200);
-        return state_of(a).phase;
+        Answer answer = deployment.call(other, "POST", "/v2/runs", body);
+        EXPECT_EQ(answer.status, 200);
+        return state_of(answer).phase;
     };
     EXPECT_EQ(poll(), (State{"pending", 0, 0}));
     EXPECT_EQ(repeated(), "pending");
     std::vector<FakeWorker> workers(2);
     workers[1].name = "vm-000002";
-    for (const FakeWorker& w : workers) deployment.list_machine(w);
-    auto report = [&](FakeWorker& w) {
-        for (int i = 0; i < 2; ++i) deployment.send_report(w, lead);
+    for (const FakeWorker& worker : workers) deployment.list_machine(worker);
+    auto report = [&](FakeWorker& worker) {
+        for (int i = 0; i < 2; ++i) deployment.send_report(worker, lead);
         deployment.run(0.5);
     };
     deployment.settle(workers[0]);
@@ -241,21 +227,21 @@
     // All exit as if they were done.
     Seconds steady = deployment.loop.now() + constants::kReplicaSteady_s;
     while (deployment.loop.now() < steady)
-        for (auto& w : workers) report(w);
-    for (auto& w : workers) {
-        report(w);
-        for (auto& t : w.tasks) {
-            exit_task(t, ExitCause::kDone);
+        for (auto& worker : workers) report(worker);
+    for (auto& worker : workers) {
+        report(worker);
+        for (auto& task : worker.tasks) {
+            exit_task(task, ExitCause::kDone);
         }
     }
     for (int i = 0; i < 2; ++i)
-        for (auto& w : workers) report(w);
+        for (auto& worker : workers) report(worker);
     EXPECT_EQ(poll(), (State{"running", 0, 3})) << "started again, and none is done";
     EXPECT_EQ(repeated(), "running");
     EXPECT_EQ(state_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
     EXPECT_EQ(repeated(), "withdrawn");
     for (int i = 0; i < 2; ++i)
-        for (auto& w : workers) report(w);
+        for (auto& worker : workers) report(worker);
     deployment.run(1);
     EXPECT_EQ(deployment.store.rows.count("f/job-1"), 1U);
     EXPECT_EQ(repeated(), "withdrawn");
@@ -287,17 +273,18 @@
     FakeWorker from, to;
     from.spot = true;
     to.name = "vm-000002";
-    for (const FakeWorker* w : {&from, &to}) deployment.list_machine(*w);
+    for (const FakeWorker* worker : {&from, &to}) deployment.list_machine(*worker);
     deployment.settle(from);
     ASSERT_EQ(deployment
                   .call(lead, "POST", "/v2/runs",
                         job_body("job-1",
-                                 [](auto& f) {
-                                     f["shape"] = packed_text("standing");
-                                     set_tasks(f, kReplicas);
-                                     f["vcpus"] = packed_number(1);
-                                     f["cards"] = f["snapshot_s"] = f["flush_s"] = packed_number(0);
-                                     f["driftwood"] = packed_flag(true);
+                                 [](auto& fields) {
+                                     fields["shape"] = packed_text("standing");
+                                     set_tasks(fields, kReplicas);
+                                     fields["vcpus"] = packed_number(1);
+                                     fields["cards"] = fields["snapshot_s"] = fields["flush_s"] =
+                                         packed_number(0);
+                                     fields["driftwood"] = packed_flag(true);
                                  }))
                   .status,
               201);
@@ -338,20 +325,20 @@
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == asked; }));
         lead = asked;
     }
-    auto gone = [&](const FakeWorker& w) {
-        return w.live_tasks() == 0 ||
-               std::count(deployment.cloud.deleted.begin(), deployment.cloud.deleted.end(), w.name) > 0;
+    auto gone = [&](const FakeWorker& worker) {
+        return worker.live_tasks() == 0 ||
+               std::count(deployment.cloud.deleted.begin(), deployment.cloud.deleted.end(), worker.name) > 0;
     };
     std::set<std::pair<TaskName, uint64_t>> before;
-    for (const FakeWorker* w : {&from, &to})
-        for (const auto& t : w->tasks) before.insert({t.name, t.attempt});
+    for (const FakeWorker* worker : {&from, &to})
+        for (const auto& task : worker->tasks) before.insert({task.name, task.attempt});
     Seconds all_gone = -1;
     while (deployment.loop.now() < announced + deployment.configs[0].cancel_s) {
         if (move != Move::kPredecessorsHang) deployment.send_report(from, lead);
         deployment.send_report(to, lead);
-        for (const FakeWorker* w : {&from, &to})
-            for (const auto& t : w->tasks)
-                EXPECT_TRUE(before.count({t.name, t.attempt})) << "started after the cancellation";
+        for (const FakeWorker* worker : {&from, &to})
+            for (const auto& task : worker->tasks)
+                EXPECT_TRUE(before.count({task.name, task.attempt})) << "started after the cancellation";
         if (gone(from) && gone(to) && all_gone < 0) all_gone = deployment.loop.now();
         deployment.run(1);
     }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -28,68 +28,68 @@
 const char* kFinalBytes = "84a26964aa6a6f622d303030343132a977697468647261776ec3a57461736b7310a4646f6e6506";
 
 JobRecord production_record() {
-    JobRecord r;
-    r.spec.id = "job-000412";
-    r.spec.job_class = "train";
-    r.spec.team = "vision";
-    r.spec.priority = PriorityClass::kHigh;
-    r.spec.tasks = 16;
-    r.spec.cpus = 8;
-    r.spec.gpus = 1;
-    r.spec.memory_gb = 64;
-    r.spec.image = "img-07";
-    r.spec.image_gb = 6.2;
-    r.spec.machine_types = {"g8", "g2"};
-    r.spec.zone = "zone a";
-    r.spec.single_zone = true;
-    r.spec.spot = true;
-    r.spec.estimate_s = 240;
-    r.spec.checkpoint_s = 30;
-    r.spec.save_s = 4;
-    r.spec.due_s = 900;
-    r.accepted_wall = {1796181234.125};
-    for (uint32_t n : {0u, 1u, 2u, 5u, 9u, 10u}) r.done.add(n);
-    r.next_attempt = 21;
-    r.live[3] = {8, "vm-000003", "zone a"};
-    r.live[4] = {20, "vm-000231", "zone a"};
-    return r;
+    JobRecord record;
+    record.spec.id = "job-000412";
+    record.spec.job_class = "train";
+    record.spec.team = "vision";
+    record.spec.priority = PriorityClass::kHigh;
+    record.spec.tasks = 16;
+    record.spec.cpus = 8;
+    record.spec.gpus = 1;
+    record.spec.memory_gb = 64;
+    record.spec.image = "img-07";
+    record.spec.image_gb = 6.2;
+    record.spec.machine_types = {"g8", "g2"};
+    record.spec.zone = "zone a";
+    record.spec.single_zone = true;
+    record.spec.spot = true;
+    record.spec.estimate_s = 240;
+    record.spec.checkpoint_s = 30;
+    record.spec.save_s = 4;
+    record.spec.due_s = 900;
+    record.accepted_wall = {1796181234.125};
+    for (uint32_t n : {0u, 1u, 2u, 5u, 9u, 10u}) record.done.add(n);
+    record.next_attempt = 21;
+    record.live[3] = {8, "vm-000003", "zone a"};
+    record.live[4] = {20, "vm-000231", "zone a"};
+    return record;
 }
 
-bool same(const JobRecord& a, const JobRecord& b) {
+bool same(const JobRecord& left, const JobRecord& right) {
     auto bound = [](const auto& x, const auto& y) {
         return x.first == y.first && x.second.attempt == y.second.attempt &&
                x.second.machine == y.second.machine && x.second.zone == y.second.zone;
     };
-    return a.spec == b.spec && a.done == b.done && a.cancelled == b.cancelled &&
-           a.next_attempt == b.next_attempt && a.accepted_wall == b.accepted_wall &&
-           std::equal(a.live.begin(), a.live.end(), b.live.begin(), b.live.end(), bound);
+    return left.spec == right.spec && left.done == right.done && left.cancelled == right.cancelled &&
+           left.next_attempt == right.next_attempt && left.accepted_wall == right.accepted_wall &&
+           std::equal(left.live.begin(), left.live.end(), right.live.begin(), right.live.end(), bound);
 }
 
 // An array whose tasks are all on machines, as the production version wrote it before the upgrade.
 JobRecord large_record(const std::string& id, uint32_t tasks, uint32_t machines) {
-    JobRecord r = production_record();
-    r.spec.id = id;
-    r.spec.team = "team";
-    r.spec.zone = "";
-    r.spec.single_zone = false;
-    r.spec.machine_types = {};
-    r.spec.cpus = r.spec.memory_gb = 0.01;
-    r.spec.gpus = 0;
-    r.spec.tasks = tasks;
-    r.done = {};
-    r.live.clear();
-    r.next_attempt = tasks + 1;
+    JobRecord record = production_record();
+    record.spec.id = id;
+    record.spec.team = "team";
+    record.spec.zone = "";
+    record.spec.single_zone = false;
+    record.spec.machine_types = {};
+    record.spec.cpus = record.spec.memory_gb = 0.01;
+    record.spec.gpus = 0;
+    record.spec.tasks = tasks;
+    record.done = {};
+    record.live.clear();
+    record.next_attempt = tasks + 1;
     for (uint32_t n = 0; n < tasks; ++n)
-        r.live[n] = {n + 1, machine_name(231 + n % machines), n % machines % 2 ? "b" : "a"};
-    return r;
+        record.live[n] = {n + 1, machine_name(231 + n % machines), n % machines % 2 ? "b" : "a"};
+    return record;
 }
 
 // A deployment under the limits that the state service will have: the service enforces them at once.
 void lower_limits(Deployment& deployment, size_t value_bytes, size_t txn_ops) {
-    for (auto& c : deployment.configs) {
-        c.next_value_bytes = value_bytes;
-        c.txn_ops = std::min(c.txn_ops, txn_ops);
-        c.write_rps = std::min(c.write_rps, 15.0);
+    for (auto& config : deployment.configs) {
+        config.next_value_bytes = value_bytes;
+        config.txn_ops = std::min(config.txn_ops, txn_ops);
+        config.write_rps = std::min(config.write_rps, 15.0);
     }
     deployment.store.value_bytes = value_bytes;
     deployment.store.txn_ops = txn_ops;
@@ -115,32 +115,32 @@
     std::mt19937 rng(5);
     auto below = [&](uint32_t n) { return static_cast<uint32_t>(rng() % n); };
     for (int i = 0; i < 400; ++i) {
-        JobRecord r = production_record();
-        r.spec.tasks = 1 + below(i % 3 ? 300 : 100'000);
-        r.done = {};
-        r.live.clear();
-        r.next_attempt = 1 + below(1'000'000);
+        JobRecord record = production_record();
+        record.spec.tasks = 1 + below(i % 3 ? 300 : 100'000);
+        record.done = {};
+        record.live.clear();
+        record.next_attempt = 1 + below(1'000'000);
         uint32_t density = 1 + below(9);
-        for (uint32_t n = 0; n < std::min(r.spec.tasks, 200u); ++n) {
-            if (below(10) < density) r.done.add(below(r.spec.tasks));
-            uint32_t task = below(r.spec.tasks);
+        for (uint32_t n = 0; n < std::min(record.spec.tasks, 200u); ++n) {
+            if (below(10) < density) record.done.add(below(record.spec.tasks));
+            uint32_t task = below(record.spec.tasks);
             std::string machine = machine_name(below(2000));
             if (below(20) == 0) machine = i % 2 ? "metal" : "rack-" + std::to_string(below(40)) + "-x";
             if (below(30) == 0) machine = "vm-" + std::to_string(1u << below(31)) + "0000000";
-            if (below(3) == 0 && !r.done.has(task))
-                r.live[task] = {1 + below(static_cast<uint32_t>(r.next_attempt)), machine,
-                                below(2) ? "a" : "é\"b"};
+            if (below(3) == 0 && !record.done.has(task))
+                record.live[task] = {1 + below(static_cast<uint32_t>(record.next_attempt)), machine,
+                                     below(2) ? "a" : "é\"b"};
         }
-        std::string packed = r.pack(2);
+        std::string packed = record.pack(2);
         auto again = JobRecord::unpack(packed);
         ASSERT_TRUE(again);
-        EXPECT_TRUE(same(*again, r));
+        EXPECT_TRUE(same(*again, record));
         EXPECT_FALSE(newer_record_format(packed));
         EXPECT_GE(json_size(packed), json_text(packed).size()) << "counted at most, never at least";
-        EXPECT_GE(json_size(r.pack(1)), json_text(r.pack(1)).size());
+        EXPECT_GE(json_size(record.pack(1)), json_text(record.pack(1)).size());
         // A reader of format 1 must not take its tasks for free: it cannot read the done ranges.
         auto text = Message::parse(packed)->root()["done"].text();
-        EXPECT_FALSE(Ranges::parse(*text, r.spec.tasks));
+        EXPECT_FALSE(Ranges::parse(*text, record.spec.tasks));
     }
 }
 
@@ -148,16 +148,16 @@
     std::mt19937 rng(6);
     size_t most = 0;
     for (int i = 0; i < 200; ++i) {
-        JobRecord r = large_record("job-738642", 150, 1);
-        r.spec.job_class = "etiqueta-scan";
-        r.spec.team = "equipo-vision";
-        r.spec.image = "img-etiqueta-scan-07";
-        r.spec.image_gb = 5.123456789012345;
-        r.next_attempt = 2000;
-        for (auto& [task, b] : r.live)
+        JobRecord record = large_record("job-738642", 150, 1);
+        record.spec.job_class = "etiqueta-scan";
+        record.spec.team = "equipo-vision";
+        record.spec.image = "img-etiqueta-scan-07";
+        record.spec.image_gb = 5.123456789012345;
+        record.next_attempt = 2000;
+        for (auto& [task, b] : record.live)
             b = {1 + rng() % 2000, machine_name(static_cast<uint32_t>(rng() % 3000)),
                  rng() % 2 ? "lujan-zone" : "uco-zone"};
-        most = std::max(most, json_size(r.pack(2)));
+        most = std::max(most, json_size(record.pack(2)));
     }
     EXPECT_LE(most, 2048u);
 }
@@ -193,13 +193,13 @@
         config.next_value_bytes = 2048;
         JobTable jobs;
         Cluster cluster;
-        JobRecord r = large_record("job-1", 1, 1);
-        r.spec.tasks = tasks;
-        r.live.clear();
-        r.next_attempt = 1;
+        JobRecord record = large_record("job-1", 1, 1);
+        record.spec.tasks = tasks;
+        record.live.clear();
+        record.next_attempt = 1;
         // Of the largest, the last part; what came before is one range.
-        for (uint32_t n = 0; n + 10'000 < tasks; ++n) r.done.add(n);
-        Job& j = jobs.load(r, 5, 0, {0});
+        for (uint32_t n = 0; n + 10'000 < tasks; ++n) record.done.add(n);
+        Job& job = jobs.load(record, 5, 0, {0});
         size_t most_live = 0, steps = 0;
         std::vector<Machine> machines(600);
         for (auto& h : machines) {
@@ -208,47 +208,48 @@
         }
         machines[0].name = "a machine whose name follows no pattern at all";
         uint64_t record_format = 1;
-        while (!j.finished() && steps < 400'000) {
+        while (!job.finished() && steps < 400'000) {
             ++steps;
             if (steps == 3000) record_format = 2;
             auto choice = rng() % 10;
-            const Machine* h = &machines[rng() % machines.size()];
-            const Machine* on[] = {h};
-            if (choice < 7 && !j.pending.empty() && j.room_in_record(config, record_format, on)) {
-                jobs.bind(j, *j.pending.first(), *h, j.next_attempt++, 0);
-            } else if (j.live.empty()) {
+            const Machine* machine = &machines[rng() % machines.size()];
+            const Machine* on[] = {machine};
+            if (choice < 7 && !job.pending.empty() && job.room_in_record(config, record_format, on)) {
+                jobs.bind(job, *job.pending.first(), *machine, job.next_attempt++, 0);
+            } else if (job.live.empty()) {
                 // Nothing runs: then one task at least may start, wherever.
-                ASSERT_TRUE(j.room_in_record(config, record_format, on)) << steps << ' ' << j.record_bytes(2);
+                ASSERT_TRUE(job.room_in_record(config, record_format, on))
+                    << steps << ' ' << job.record_bytes(2);
                 continue;
             } else {
                 // One ends, done more often than not, or a machine goes with all that is on it.
-                auto it = std::next(j.live.begin(), static_cast<long>(rng() % j.live.size()));
-                std::string machine = it->second.machine;
+                auto it = std::next(job.live.begin(), static_cast<long>(rng() % job.live.size()));
+                std::string name = it->second.machine;
                 if (choice < 9 && (tasks < 2000 || steps % 400 != 0)) {
-                    Machine& x = cluster.ensure(machine, 0);
+                    Machine& holder = cluster.ensure(name, 0);
                     WorkerHeartbeat report;
-                    report.machine = machine;
-                    report.sequence = x.sequence + 1;
+                    report.machine = name;
+                    report.sequence = holder.sequence + 1;
                     report.tasks = {{{"job-1", it->first},
                                      it->second.attempt,
                                      TaskPhase::kExited,
                                      rng() % 4 ? ExitCause::kDone : ExitCause::kStopped,
                                      false}};
-                    jobs.apply(cluster, x, report, false, 0);
+                    jobs.apply(cluster, holder, report, false, 0);
                 } else {
-                    jobs.machine_deleted(machine, 0);
+                    jobs.machine_deleted(name, 0);
                 }
             }
-            most_live = std::max(most_live, j.live.size());
+            most_live = std::max(most_live, job.live.size());
             if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
-            JobRecord now = j.record();
+            JobRecord now = job.record();
             ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
             if (record_format == 1) {
                 ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
             }
-            ASSERT_LE(json_size(now.pack(2)), j.record_bytes(2) + 16);
+            ASSERT_LE(json_size(now.pack(2)), job.record_bytes(2) + 16);
         }
-        EXPECT_TRUE(j.finished()) << tasks << " tasks, " << j.done.size() << " done";
+        EXPECT_TRUE(job.finished()) << tasks << " tasks, " << job.done.size() << " done";
         if (tasks > 200) {
             EXPECT_GE(most_live, 100u) << tasks;
         }
@@ -264,10 +265,10 @@
     EXPECT_EQ(deployment.store.rows.count("form"), 0u);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
-    FakeWorker w;
-    deployment.settle(w);
-    deployment.send_report(w, 0);
-    ASSERT_TRUE(w.find("job-1/0"));
+    FakeWorker worker;
+    deployment.settle(worker);
+    deployment.send_report(worker, 0);
+    ASSERT_TRUE(worker.find("job-1/0"));
     EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
     EXPECT_TRUE(Message::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
@@ -316,22 +317,23 @@
         deployment.run(2);
         EXPECT_EQ(stored_format(deployment, "job-1"), 1u) << "its next change replaces it, nothing before";
         auto one = workers_of(ended), two = workers_of(cancelled);
-        for (auto& w : one) deployment.settle(w);
-        for (auto& w : two) deployment.settle(w);
-        for (const auto& w : one)
-            for (const auto& t : w.tasks) EXPECT_EQ(t.phase, TaskPhase::kRunning) << t.name.text();
+        for (auto& worker : one) deployment.settle(worker);
+        for (auto& worker : two) deployment.settle(worker);
+        for (const auto& worker : one)
+            for (const auto& task : worker.tasks)
+                EXPECT_EQ(task.phase, TaskPhase::kRunning) << task.name.text();
         ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(stored_format(deployment, "job-2"), 2u);
         EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150u)
             << "none is free yet";
         // Every second task ends first: the done ranges are as long as they can be.
         for (uint32_t odd : {1u, 0u}) {
-            for (auto& w : one) {
-                for (auto& t : w.tasks) {
-                    if (t.name.task % 2 != odd) continue;
-                    exit_task(t, ExitCause::kDone);
+            for (auto& worker : one) {
+                for (auto& task : worker.tasks) {
+                    if (task.name.task % 2 != odd) continue;
+                    exit_task(task, ExitCause::kDone);
                 }
-                deployment.send_report(w, 0);
+                deployment.send_report(worker, 0);
             }
             deployment.run(2);
             if (odd) {
@@ -340,7 +342,7 @@
             }
         }
         for (int i = 0; i < 3; ++i)
-            for (auto& w : two) deployment.send_report(w, 0);
+            for (auto& worker : two) deployment.send_report(worker, 0);
         deployment.run(2);
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
@@ -353,24 +355,24 @@
 // ended tasks that they are live, which is safe; a cancellation leaves out what it does not need.
 TEST(Upgrade, AChangeThatDoesNotFitIsKeptUntilItDoes) {
     Deployment deployment;
-    JobRecord r = large_record("job-1", 150, 12), w = large_record("job-2", 400, 12);
+    JobRecord record = large_record("job-1", 150, 12), w = large_record("job-2", 400, 12);
     for (uint32_t n = 0; n < 400; n += 2) w.done.add(n);
     std::erase_if(w.live, [&](const auto& l) { return l.first % 4 != 1; });
-    store_value(deployment, "j/job-1", r.pack(1));
+    store_value(deployment, "j/job-1", record.pack(1));
     store_value(deployment, "j/job-2", w.pack(1));
     lower_limits(deployment, 780, 4);
-    ASSERT_GT(json_text(r.pack(2)).size(), 780u);
+    ASSERT_GT(json_text(record.pack(2)).size(), 780u);
     ASSERT_GT(json_text(w.pack(2)).size(), 780u);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(2);
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
     EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), w.live.size());
-    auto workers = workers_of(r);
+    auto workers = workers_of(record);
     for (auto& x : workers) deployment.settle(x);
     for (size_t i = 0; i < workers.size(); ++i) {
-        for (auto& t : workers[i].tasks) {
-            exit_task(t, ExitCause::kDone);
+        for (auto& task : workers[i].tasks) {
+            exit_task(task, ExitCause::kDone);
         }
         deployment.send_report(workers[i], 0);
         deployment.run(1);
@@ -397,21 +399,21 @@
     std::string team(100, 't');
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto text = [](const std::string& x) { return packed_text(x); };
-    ASSERT_EQ(
-        deployment
-            .call(0, "POST", "/v2/runs", job_body("job-2", [&](auto& f) { f["jobclass"] = text(team); }))
-            .status,
-        201);
+    ASSERT_EQ(deployment
+                  .call(0, "POST", "/v2/runs",
+                        job_body("job-2", [&](auto& fields) { fields["jobclass"] = text(team); }))
+                  .status,
+              201);
     deployment.run(1);
     // The service is stricter than any settings said.
     deployment.store.value_bytes = json_text(deployment.store.rows.at("j/job-2").data).size();
-    FakeWorker w;
-    deployment.settle(w);
-    deployment.send_report(w, 0);
-    deployment.send_report(w, 0);
+    FakeWorker worker;
+    deployment.settle(worker);
+    deployment.send_report(worker, 0);
+    deployment.send_report(worker, 0);
     deployment.run(10);
-    EXPECT_TRUE(w.find("job-1/0"));
-    EXPECT_FALSE(w.find("job-2/0")) << "not committed, so not launched";
+    EXPECT_TRUE(worker.find("job-1/0"));
+    EXPECT_FALSE(worker.find("job-2/0")) << "not committed, so not launched";
     EXPECT_GE(deployment.store.invalid_transactions, 1);
     EXPECT_LE(deployment.store.invalid_transactions, 2) << "in a batch, and once by itself";
     int before = deployment.store.invalid_transactions;
@@ -429,23 +431,25 @@
         ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
         deployment.run(1);
         auto number = [](double d) { return packed_number(d); };
-        FakeWorker w;
-        deployment.settle(w);
+        FakeWorker worker;
+        deployment.settle(worker);
         for (int i = 0; i < 10; ++i)
-            ASSERT_EQ(
-                deployment
-                    .call(0, "POST", "/v2/runs",
-                          job_body("job-" + std::to_string(i),
-                                   [&](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = number(0.1); }))
-                    .status,
-                201);
+            ASSERT_EQ(deployment
+                          .call(0, "POST", "/v2/runs",
+                                job_body("job-" + std::to_string(i),
+                                         [&](auto& fields) {
+                                             fields["vcpus"] = fields["cards"] = fields["memory_gb"] =
+                                                 number(0.1);
+                                         }))
+                          .status,
+                      201);
         deployment.run(1);
-        for (int i = 0; i < 4; ++i) deployment.send_report(w, 0);
-        EXPECT_EQ(w.tasks.size(), 10u);
-        for (auto& t : w.tasks) {
-            exit_task(t, ExitCause::kDone);
+        for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
+        EXPECT_EQ(worker.tasks.size(), 10u);
+        for (auto& task : worker.tasks) {
+            exit_task(task, ExitCause::kDone);
         }
-        for (int i = 0; i < 4; ++i) deployment.send_report(w, 0);
+        for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
         deployment.run(3);
         for (int i = 0; i < 10; ++i)
             EXPECT_EQ(deployment.store.rows.count("f/job-" + std::to_string(i)), 1u)
@@ -465,15 +469,15 @@
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
-    auto long_list = [](auto& f) {
-        Packer p;
-        p.list(64).text("g2");
-        for (int i = 1; i < 64; ++i) p.text(std::string(126, 'x') + std::to_string(10 + i));
-        f["flavors"] = p.take();
+    auto long_list = [](auto& fields) {
+        Packer packer;
+        packer.list(64).text("g2");
+        for (int i = 1; i < 64; ++i) packer.text(std::string(126, 'x') + std::to_string(10 + i));
+        fields["flavors"] = packer.take();
     };
-    Answer a = deployment.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
-    EXPECT_EQ(a.status, 400);
-    EXPECT_NE(a.body.find("description"), std::string::npos);
+    Answer answer = deployment.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
+    EXPECT_EQ(answer.status, 400);
+    EXPECT_NE(answer.body.find("description"), std::string::npos);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-9", long_list)).status, 200);
     EXPECT_EQ(deployment.store.invalid_transactions, 0);
@@ -489,8 +493,8 @@
     auto refused = [&](const std::string& path, const std::string& body) {
         deployment.store.transactions_to_limit = 1;
         Seconds began = deployment.loop.now();
-        Answer a = deployment.call(0, "POST", path, body);
-        EXPECT_EQ(a.status, 429) << path;
+        Answer answer = deployment.call(0, "POST", path, body);
+        EXPECT_EQ(answer.status, 429) << path;
         EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
         EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
     };
@@ -506,27 +510,27 @@
 // again.
 TEST(Upgrade, DecidesNothingOnARecordOfANewerRecordFormat) {
     Deployment deployment;
-    JobRecord r = large_record("job-7", 1, 1);
-    std::string packed = r.pack(2);
+    JobRecord record = large_record("job-7", 1, 1);
+    std::string packed = record.pack(2);
     packed.back() = 3;  // "v", packed last
     ASSERT_TRUE(newer_record_format(packed));
     store_value(deployment, "j/job-7", packed);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
-    FakeWorker w;
-    w.name = r.live.at(0).machine;
-    w.tasks = {{{"job-7", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false},
-               {{"job-7", 5}, 9, TaskPhase::kExited, ExitCause::kDone, false}};
-    deployment.settle(w);
+    FakeWorker worker;
+    worker.name = record.live.at(0).machine;
+    worker.tasks = {{{"job-7", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false},
+                    {{"job-7", 5}, 9, TaskPhase::kExited, ExitCause::kDone, false}};
+    deployment.settle(worker);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-7").status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-7/withdraw").status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
-    for (int i = 0; i < 3; ++i) deployment.send_report(w, 0);
-    ASSERT_EQ(w.tasks.size(), 2u) << "neither forgotten";
-    ASSERT_TRUE(w.find("job-7/0"));
-    EXPECT_EQ(w.find("job-7/0")->phase, TaskPhase::kRunning) << "nor halted";
+    for (int i = 0; i < 3; ++i) deployment.send_report(worker, 0);
+    ASSERT_EQ(worker.tasks.size(), 2u) << "neither forgotten";
+    ASSERT_TRUE(worker.find("job-7/0"));
+    EXPECT_EQ(worker.find("job-7/0")->phase, TaskPhase::kRunning) << "nor halted";
     EXPECT_EQ(deployment.store.rows.at("j/job-7").data, packed);
     FakeWorker other;
     deployment.settle(other);
