--- /dev/null
+++ b/src/cloud/cloud_client.h
@@ -0,0 +1,41 @@
+// A client of the cloud: the machine types on offer, the machines that exist, their creation and deletion.
+//
+// Each call waits for the client's share of the cloud's rate limit, which all controllers share, and is then
+// sent once: whether to repeat it is the caller's decision, by its outcome.
+#pragma once
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/token_bucket.h"
+#include "cloud/cloud_types.h"
+#include "cloud/machine_type.h"
+#include "http/client.h"
+
+namespace hareshore {
+
+class CloudClient {
+  public:
+    // The cloud takes rate_limit requests per second from all controllers together. The loop must outlive the
+    // client, and the client its calls.
+    CloudClient(Loop& loop, Address cloud, double rate_limit, size_t controllers);
+
+    // None if the request failed or the answer is malformed.
+    [[nodiscard]] Task<std::optional<std::vector<MachineType>>> machine_types();
+    // All machines, page by page; none if any of the pages could not be read.
+    [[nodiscard]] Task<std::optional<std::vector<ListedMachine>>> list_machines();
+    // Idempotent by the request's key.
+    [[nodiscard]] Task<CreateMachinesResult> create_machines(CreateMachinesRequest request);
+    // At most constants::kMachinesPerDeletion names. Idempotent: a machine that is gone counts as deleted.
+    [[nodiscard]] Task<DeleteOutcome> delete_machines(std::vector<std::string> names);
+
+  private:
+    // Sends a request as soon as the rate limit allows.
+    Task<Answer> call(std::string method, std::string path, std::string body);
+
+    Loop& loop_;
+    HttpClient http_;
+    TokenBucket rate_limit_;
+};
+
+}  // namespace hareshore
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "cloud/cloud.h"
+#include "cloud/machine_type.h"
 #include "cluster/image_cache.h"
 #include "model/resources.h"
-#include "workers/workers.h"
+#include "workers/worker_heartbeat.h"
 
 namespace hareshore {
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -6,6 +6,8 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
@@ -109,7 +111,7 @@
     b.worker_heartbeats_received = static_cast<uint16_t>(
         std::count_if(worker_heartbeat_times_.begin(), worker_heartbeat_times_.end(),
                       [&](Seconds t) { return loop_.now() - t < constants::kReportWindow_s; }));
-    b.store_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
+    b.store_age_ms = state_.last_contact() ? ms(*state_.last_contact()) : UINT32_MAX;
     b.quiet_ms = ms(users_.last_cancellation());
     return b;
 }
@@ -149,8 +151,8 @@
 
 bool Controller::ready() const {
     if (record_format_.newer()) return false;  // of what is kept it understands nothing
-    Seconds age = loop_.now() - std::max(state_.last_contact(), started_);
-    if (state_.last_contact() < 0) {
+    Seconds age = loop_.now() - state_.last_contact().value_or(started_);
+    if (!state_.last_contact()) {
         // Started in an outage: it has not learned the machine types, but tells users as well as any other
         // when to come back, and the load balancer need not find it anew when the outage is over. Not before
         // the peers had time to say whether they are served.
@@ -218,7 +220,7 @@
     while (machine_types_.empty()) {
         GetResult kept = co_await state_.get(kMachineTypesKey, constants::kStateCall_s);
         if (kept.status == StoreStatus::kOk) {
-            if (auto f = Cloud::unpack_machine_types(kept.entry.data)) machine_types_ = std::move(*f);
+            if (auto f = decode_machine_types(kept.entry.data)) machine_types_ = std::move(*f);
         }
         if (!machine_types_.empty()) break;
         auto got = co_await cloud_.machine_types();
@@ -237,9 +239,9 @@
 }
 
 Task<Response> Controller::handle_heartbeat(std::string body) {
-    auto report = WorkerHeartbeat::parse(body);
+    auto report = decode_heartbeat(body);
     if (!report) co_return status(400);
-    const HeartbeatHeader seen = report->head();  // the report itself is passed on
+    const HeartbeatHeader seen = report->header();  // the report itself is passed on
     worker_heartbeat_times_.push_back(loop_.now());
     while (worker_heartbeat_times_.size() > constants::kRedirectionsKept ||
            loop_.now() - worker_heartbeat_times_.front() > constants::kReportWindow_s)
@@ -251,7 +253,7 @@
     }
     const std::string& to = election_.leader();
     if (to.empty() || to == config_.label)
-        co_return Response{421, pack_redirect(""), 0, "application/msgpack"};
+        co_return Response{421, encode_redirect(std::nullopt), 0, "application/msgpack"};
     if (redirections_.size() > constants::kRedirectionsKept) redirections_.clear();
     Redirection& p = redirections_[seen.machine];
     Seconds now = loop_.now();
@@ -273,12 +275,12 @@
         p.at = now;
         auto r = co_await peers_.relay(to, std::move(body));
         if (r && r->status == 200) co_return *r;
-        co_return Response{421, pack_redirect(""), 0, "application/msgpack"};
+        co_return Response{421, encode_redirect(std::nullopt), 0, "application/msgpack"};
     }
     p.leader = to;
     p.at = now;
     p.relayed_since = -1;
-    co_return Response{421, pack_redirect(to), 0, "application/msgpack"};
+    co_return Response{421, encode_redirect(to), 0, "application/msgpack"};
 }
 
 bool Controller::zone_cut(const std::string& zone) {
@@ -295,7 +297,7 @@
 }
 
 Task<Response> Controller::relayed(std::string body) {
-    auto report = WorkerHeartbeat::parse(body);
+    auto report = decode_heartbeat(body);
     auto leader = leader_;
     if (!report || !leader) co_return status(421);
     co_return co_await leader->handle_heartbeat(std::move(*report), constants::kHoldRelayed_s, false);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,5 +1,6 @@
 // One controller: it serves users, takes part in elections, and leads or points workers to the leader.
 #pragma once
+#include "cloud/cloud_client.h"
 #include "config/config.h"
 #include "http/server.h"
 #include "leader/election.h"
@@ -42,7 +43,7 @@
     const Settings& settings_;
     Seconds started_;
     StoreClient state_;
-    Cloud cloud_;
+    CloudClient cloud_;
     Election election_;
     std::vector<MachineType> machine_types_;
     RecordFormat record_format_;
--- a/src/jobs/table.cc
+++ b/src/jobs/table.cc
@@ -4,6 +4,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "workers/command.h"
 
 namespace hareshore {
 
--- a/src/jobs/table.h
+++ b/src/jobs/table.h
@@ -9,6 +9,7 @@
 
 #include "cluster/cluster.h"
 #include "jobs/record.h"
+#include "workers/command.h"
 
 namespace hareshore {
 
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -68,7 +68,7 @@
     if (resigning_) {
         // Workers may be launched nothing by us any more; the key goes at once, so that others need not wait.
         resigning_ = false;
-        co_await state_.revoke(lease_, constants::kStateCall_s);
+        co_await state_.revoke_lease(lease_, constants::kStateCall_s);
     }
     // A list, since only that tells the revision from which to watch: the key's own mod revision may be so
     // old that the service has forgotten the changes since.
@@ -105,7 +105,7 @@
         log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
         GetResult own = co_await state_.get(kLeaderKey, constants::kStateCall_s);
         if (own.status == StoreStatus::kOk && own.entry.mod_revision == held->mod_revision)
-            co_await state_.revoke(own.entry.lease, constants::kStateCall_s);
+            co_await state_.revoke_lease(own.entry.lease.value_or(0), constants::kStateCall_s);
         co_return;
     }
     if (leader_ != node) {
@@ -113,8 +113,8 @@
         leader_ = node;
         changed_.notify();
     }
-    ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeadWatch_s);
-    if (c.status != StoreStatus::kOk) {
+    WatchResult c = co_await state_.watch(kLeaderKey, got.revision, constants::kLeadWatch_s);
+    if (c.status != WatchStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
     }
@@ -150,7 +150,7 @@
         }
     }
     Seconds asked = loop_.now();
-    LeaseResult lease = co_await state_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
+    LeaseResult lease = co_await state_.grant_lease(constants::kLeadTtl_s, constants::kStateCall_s);
     if (lease.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
@@ -158,9 +158,12 @@
     }
     uint64_t fencing_token = std::max(last, known_fencing_token_) + 1;
     Transaction txn;
-    txn.expect(kLeaderKey, 0).expect(kTermKey, term.status == StoreStatus::kOk ? term.entry.mod_revision : 0);
-    txn.expect(kRecordFormatKey,
-               record_format.status == StoreStatus::kOk ? record_format.entry.mod_revision : 0);
+    txn.expect_absent(kLeaderKey)
+        .expect_revision(kTermKey,
+                         term.status == StoreStatus::kOk ? term.entry.mod_revision : kAbsentRevision);
+    txn.expect_revision(kRecordFormatKey, record_format.status == StoreStatus::kOk
+                                              ? record_format.entry.mod_revision
+                                              : kAbsentRevision);
     std::string mine = pack_leader(label_, fencing_token);
     txn.put(kLeaderKey, mine, lease.lease).put(kTermKey, mine);
     TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
@@ -174,7 +177,7 @@
         }
     }
     if (r.status != StoreStatus::kOk) {
-        co_await state_.revoke(lease.lease, constants::kStateCall_s);
+        co_await state_.revoke_lease(lease.lease, constants::kStateCall_s);
         co_return;
     }
     lease_ = lease.lease;
@@ -194,7 +197,7 @@
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds asked = loop_.now();
-        StoreStatus r = co_await state_.renew(lease_, constants::kStateCall_s);
+        StoreStatus r = co_await state_.renew_lease(lease_, constants::kStateCall_s);
         if (r == StoreStatus::kOk) confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
         if (r == StoreStatus::kNotFound) deposed("its lease ended");
         pause = r == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -4,6 +4,7 @@
 #include <memory>
 
 #include "base/token_bucket.h"
+#include "cloud/cloud_client.h"
 #include "fleet/scaling_plan.h"
 #include "jobs/record_format.h"
 #include "jobs/resource_accounting.h"
@@ -83,7 +84,7 @@
     WorkerConnection& worker_connection(const std::string& machine);
     bool may_renew();
     void finished(const std::string& id, uint64_t revision);
-    void take_change(const Change& c);
+    void take_change(const KeyChange& c);
     void log_waiting();
     void account(Seconds since);
     void log_fleet();
@@ -93,7 +94,7 @@
     const Config& config_;
     const Settings& settings_;
     StoreClient& state_;
-    Cloud& cloud_;
+    CloudClient& cloud_;
     RecordFormat& record_format_;
     LeaderTerm term_;
     std::unique_ptr<Leadership> leadership_;
--- a/src/leader/leadership.h
+++ b/src/leader/leadership.h
@@ -4,7 +4,8 @@
 #include <cstdint>
 #include <string>
 
-#include "cloud/cloud.h"
+#include "cloud/cloud_client.h"
+#include "cloud/machine_type.h"
 #include "config/config.h"
 #include "jobs/record_format.h"
 #include "state/store_client.h"
@@ -46,7 +47,7 @@
     const Config& config;
     const Settings& settings;
     StoreClient& store;
-    Cloud& cloud;
+    CloudClient& cloud;
     RecordFormat& record_format;
 };
 
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -3,6 +3,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
 #include "leader/leader.h"
 
 namespace hareshore {
@@ -14,13 +15,13 @@
             cluster_.machine_types = std::move(*machine_types);
             if (!machine_types_kept_) {
                 // Kept for controllers that start while the cloud is away.
-                std::string data = Cloud::pack_machine_types(cluster_.machine_types);
+                std::string data = encode_machine_types(cluster_.machine_types);
                 if (json_size(data) > config_.value_limit(kNewestRecordFormat)) {
                     log::info("machine_types_not_stored", {{"reason", "too_large"}});
                     machine_types_kept_ = true;
                 } else {
                     Transaction txn;
-                    txn.expect(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
+                    txn.expect_revision(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
                     TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
                     machine_types_kept_ = r.status == StoreStatus::kOk || r.status == StoreStatus::kInvalid;
                 }
@@ -35,7 +36,7 @@
 Task<void> Leader::read_machines() {
     while (true) {
         Seconds asked = loop_.now();
-        auto list = co_await cloud_.list();
+        auto list = co_await cloud_.list_machines();
         if (list) {
             for (const auto& m : *list) {
                 if (deleted_machines_.contains(m.name)) continue;
@@ -153,9 +154,9 @@
     Seconds pause = constants::kRetryPause_s;
     while (true) {
         co_await confirmation();
-        RentResult r = co_await cloud_.rent(claim, rental.kind.machine_type, rental.kind.zone,
-                                            rental.kind.spot, rental.number);
-        if (r.result == Rent::kRented || r.result == Rent::kNoCapacity) {
+        CreateMachinesResult r = co_await cloud_.create_machines(
+            {claim, rental.kind.machine_type, rental.kind.zone, rental.kind.spot, rental.number});
+        if (r.outcome == CreateOutcome::kCreated || r.outcome == CreateOutcome::kNoCapacity) {
             for (const auto& name : r.machines) {
                 if (deleted_machines_.contains(name)) continue;
                 Machine& h = cluster_.ensure(name, loop_.now());
@@ -211,13 +212,13 @@
             co_await loop_.sleep(constants::kRetryPause_s);
             continue;
         }
-        Removal r = co_await cloud_.remove(asked);
-        if (r == Removal::kDone) {
+        DeleteOutcome r = co_await cloud_.delete_machines(asked);
+        if (r == DeleteOutcome::kDeleted) {
             gone(asked);
             std::erase_if(names, [&](const std::string& name) { return deleted_machines_.contains(name); });
             continue;
         }
-        perhaps = perhaps || r == Removal::kUnknown;
+        perhaps = perhaps || r == DeleteOutcome::kUnknown;
         co_await loop_.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryPauseMax_s);
     }
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -36,7 +36,7 @@
         if (revision == 0) revision = page.revision;  // changes since the first page are watched
         for (auto& e : page.entries) {
             from = e.key;
-            Change c{e.key, false, e.mod_revision, std::move(e.data)};
+            KeyChange c{e.key, false, e.mod_revision, std::move(e.data)};
             take_change(c);
         }
         if (!page.more) break;
@@ -46,8 +46,8 @@
     co_return true;
 }
 
-void Leader::take_change(const Change& c) {
-    if (c.dropped) return;  // only this leader drops records, and it knows
+void Leader::take_change(const KeyChange& c) {
+    if (c.deleted) return;  // only this leader drops records, and it knows
     auto record = JobRecord::unpack(c.data);
     if (!record || live_key(record->spec.id) != c.key) {
         std::string id = c.key.substr(kLivePrefix.size());
@@ -73,8 +73,8 @@
     Seconds pause = 0;
     while (true) {
         Seconds sent = loop_.now();
-        ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kWatchWait_s);
-        if (r.status == StoreStatus::kOk) {
+        WatchResult r = co_await state_.watch(kLivePrefix, revision_, constants::kWatchWait_s);
+        if (r.status == WatchStatus::kOk) {
             pause = 0;
             for (const auto& c : r.changes) take_change(c);
             revision_ = std::max(revision_, r.revision);
@@ -83,7 +83,7 @@
             if (!r.changes.empty()) request_pass();
             continue;
         }
-        if (r.status == StoreStatus::kNotFound && co_await read_records()) {
+        if (r.status == WatchStatus::kCompacted && co_await read_records()) {
             // Never at once again: a service that keeps saying so must not be stampeded.
             request_pass();
             co_await loop_.sleep(constants::kRetryPause_s);
@@ -124,7 +124,7 @@
             batch.resize(1);
         }
         Transaction txn;
-        txn.expect(term_.key, term_.mod_revision);
+        txn.expect_revision(term_.key, term_.mod_revision);
         std::vector<std::string> ids;
         std::set<std::string> final_ids;
         for (Job* j : batch) {
@@ -144,10 +144,10 @@
             }
             ids.push_back(id);
             j->inflight = j->version;
-            txn.expect(live_key(id), j->mod_revision);
+            txn.expect_revision(live_key(id), j->mod_revision);
             if (final) {
                 FinalRecord f{id, j->cancelled, j->spec.tasks, j->done.size()};
-                txn.put(final_key(id), f.pack()).drop(live_key(id));
+                txn.put(final_key(id), f.pack()).delete_key(live_key(id));
                 final_ids.insert(id);
             } else {
                 txn.put(live_key(id), std::move(data));
@@ -181,12 +181,13 @@
         for (const auto& id : ids)
             if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
         if (r.status == StoreStatus::kConflict) {
-            if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
+            if (std::find(r.failed_keys.begin(), r.failed_keys.end(), term_.key) != r.failed_keys.end()) {
                 leadership_->deposed("the leadership key has changed");
                 co_return;
             }
             for (const auto& id : ids)
-                if (std::find(r.failed.begin(), r.failed.end(), live_key(id)) != r.failed.end())
+                if (std::find(r.failed_keys.begin(), r.failed_keys.end(), live_key(id)) !=
+                    r.failed_keys.end())
                     co_await reread(id);
             request_pass();
             continue;
@@ -212,8 +213,8 @@
     while (record_format_.kept < kNewestRecordFormat) {
         if (leadership_->all_peers_upgraded()) {
             Transaction txn;
-            txn.expect(term_.key, term_.mod_revision)
-                .expect(kRecordFormatKey, 0)
+            txn.expect_revision(term_.key, term_.mod_revision)
+                .expect_absent(kRecordFormatKey)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, loop_.now());
             co_await state_.commit(std::move(txn), constants::kStateCall_s);
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -4,6 +4,9 @@
 #include "base/constants.h"
 #include "base/log.h"
 #include "leader/leader.h"
+#include "workers/command.h"
+#include "workers/worker_client.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
@@ -122,11 +125,11 @@
     Response ok;
     std::vector<Command> commands = jobs_.commands(*h, h->current);
     for (const auto& o : commands)
-        log::debug("command_sent", {{"command", command_name(o.verb)},
+        log::debug("command_sent", {{"command", command_name(o.kind)},
                                     {"task", o.name.text()},
                                     {"attempt", o.attempt},
                                     {"machine", name}});
-    ok.body = pack_report_answer(term_.fencing_token, commands);
+    ok.body = encode_heartbeat_answer(term_.fencing_token, commands);
     h->answered(direct && !worker_connection(name).command_in_flight, loop_.now());
     co_return ok;
 }
@@ -229,7 +232,7 @@
         Address to;
         if (!h || !Address::parse(h->addr, to)) break;
         std::vector<Command> stops = jobs_.commands(*h, false);
-        std::erase_if(stops, [](const Command& o) { return o.verb != CommandKind::kStop; });
+        std::erase_if(stops, [](const Command& o) { return o.kind != CommandKind::kStop; });
         // One that has not reported to this leader may be held by another that knows less. Its session is
         // learned from its refusal; a command that it takes also tells it of this epoch, and through it the
         // other.
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -1,107 +1,55 @@
-// The state service's protocol.
+// A client of the consensus-backed key-value store: reads, compare-and-swap transactions, leases and watches.
+//
+// It sends each call once: whether and when to repeat one is the caller's decision, by the status of its
+// result. Each call fails after its timeout at the latest, as kNotExecuted if it was not sent and as kUnknown
+// otherwise.
 #pragma once
-#include <vector>
+#include <optional>
+#include <string>
 
 #include "http/client.h"
+#include "state/store_types.h"
 
 namespace hareshore {
 
-enum class StoreStatus {
-    kOk,
-    kNotFound,     // the key or the lease does not exist
-    kConflict,     // a condition failed; nothing was written
-    kNotExecuted,  // certainly not executed
-    kRateLimited,  // nor this, for the rate was exceeded
-    kInvalid,      // nor this, for what it is: the same again would get the same
-    kUnknown,      // may have been executed, or may yet be
-};
-
-struct Entry {
-    std::string key;
-    uint64_t mod_revision = 0;
-    uint64_t lease = 0;
-    std::string data;  // packed
-};
-
-struct GetResult {
-    StoreStatus status = StoreStatus::kNotExecuted;
-    Entry entry;
-    uint64_t revision = 0;  // only when absent
-};
-
-struct ListResult {
-    StoreStatus status = StoreStatus::kNotExecuted;
-    std::vector<Entry> entries;
-    bool more = false;
-    uint64_t revision = 0;
-};
-
-struct Change {
-    std::string key;
-    bool dropped = false;
-    uint64_t mod_revision = 0;
-    std::string data;  // packed
-};
-
-struct ChangesResult {
-    StoreStatus status = StoreStatus::kNotExecuted;  // kAbsent: the revision is too old, read again
-    std::vector<Change> changes;
-    uint64_t revision = 0;
-};
-
-struct Transaction {
-    struct Write {
-        std::string key;
-        bool drop = false;
-        std::string data;  // packed
-        uint64_t lease = 0;
-    };
-    std::vector<std::pair<std::string, uint64_t>> when;  // key, mod revision; 0: must not exist
-    std::vector<Write> writes;
-
-    Transaction& expect(std::string key, uint64_t mod_revision);
-    Transaction& put(std::string key, std::string data, uint64_t lease = 0);
-    Transaction& drop(std::string key);
-    std::string pack() const;
-};
-
-struct TransactionResult {
-    StoreStatus status = StoreStatus::kNotExecuted;
-    uint64_t revision = 0;
-    std::vector<std::string> failed;  // keys whose condition failed
-};
-
-struct LeaseResult {
-    StoreStatus status = StoreStatus::kNotExecuted;
-    uint64_t lease = 0;
-};
-
 class StoreClient {
   public:
-    StoreClient(Loop& loop, Address at, size_t answer_limit = constants::kAnswerLimit)
-        : loop_(loop),
-          http_(loop, at, constants::kPoolPerPeer, answer_limit),
-          leases_(loop, at, constants::kPoolLeases),
-          watches_(loop, at, 4, answer_limit) {}
-    Task<GetResult> get(std::string key, Seconds timeout);
-    Task<ListResult> list(std::string prefix, std::string from, size_t page, Seconds timeout);
-    Task<TransactionResult> commit(Transaction txn, Seconds timeout);
-    Task<LeaseResult> grant(Seconds ttl, Seconds timeout);
-    Task<StoreStatus> renew(uint64_t lease, Seconds timeout);
-    Task<StoreStatus> revoke(uint64_t lease, Seconds timeout);
-    Task<ChangesResult> changes(std::string prefix, uint64_t from, Seconds wait);
-    // When the service last carried out a request of ours; -1: never.
-    Seconds last_contact() const { return last_contact_; }
+    // An answer of more than answer_limit bytes is not read to its end and counts as none. The loop must
+    // outlive the client, and the client its calls.
+    StoreClient(Loop& loop, Address store, size_t answer_limit);
+
+    [[nodiscard]] Task<GetResult> get(std::string key, Seconds timeout);
+    // Keys after `after` that begin with the prefix, at most page_size of them; an empty `after` begins at
+    // the first.
+    [[nodiscard]] Task<ListResult> list(std::string prefix, std::string after, size_t page_size,
+                                        Seconds timeout);
+    [[nodiscard]] Task<TransactionResult> commit(Transaction transaction, Seconds timeout);
+
+    [[nodiscard]] Task<LeaseResult> grant_lease(Seconds ttl, Seconds timeout);
+    // Prolongs the lease by its time to live; kNotFound: it has expired.
+    [[nodiscard]] Task<StoreStatus> renew_lease(LeaseId lease, Seconds timeout);
+    // Ends the lease at once, which deletes its keys.
+    [[nodiscard]] Task<StoreStatus> revoke_lease(LeaseId lease, Seconds timeout);
+
+    // Changes after the revision to keys that begin with the prefix. Returns with the first ones, or with
+    // none after the wait.
+    [[nodiscard]] Task<WatchResult> watch(std::string prefix, Revision after, Seconds wait);
+
+    // When the store last executed a request of this client, on the loop's clock; none: it never has.
+    [[nodiscard]] std::optional<Seconds> last_contact() const { return last_contact_; }
 
   private:
-    Task<Answer> call(HttpClient& on, std::string method, std::string path, std::string body,
+    // Sends a request other than a watch, and records the contact.
+    Task<Answer> call(HttpClient& connections, std::string method, std::string path, std::string body,
                       Seconds timeout);
 
     Loop& loop_;
+    // Reads and transactions, lease calls and watches use connections of their own: a lease must not wait for
+    // a large listing, nor anything for a watch.
     HttpClient http_;
     HttpClient leases_;
     HttpClient watches_;
-    Seconds last_contact_ = -1;
+    std::optional<Seconds> last_contact_;
 };
 
 }  // namespace hareshore
--- a/src/users/service.cc
+++ b/src/users/service.cc
@@ -63,7 +63,7 @@
 // A node cut off from the state service would let each user wait for an answer that does not come. The
 // election's watches, which end every 2 s, notice when it is back.
 bool UserService::state_away() const {
-    return state_.last_contact() >= 0 && loop_.now() - state_.last_contact() > constants::kStoreUnavailable_s;
+    return state_.last_contact() && loop_.now() - *state_.last_contact() > constants::kStoreUnavailable_s;
 }
 
 void UserService::keep_final(const std::string& id, const FinalRecord& f) {
@@ -197,7 +197,7 @@
     }
     if (state_away()) co_return unavailable(503, constants::kRetryAfterOutage_s);
     Transaction txn;
-    txn.expect(live_key(spec.id), 0).expect(final_key(spec.id), 0);
+    txn.expect_absent(live_key(spec.id)).expect_absent(final_key(spec.id));
     txn.put(live_key(spec.id), record.pack(record_format_.in_force()));
     TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
     if (r.status == StoreStatus::kOk) {
@@ -263,7 +263,7 @@
             co_return unavailable();
         }
         Transaction txn;
-        txn.expect(live_key(id), k.mod_revision).put(live_key(id), std::move(data));
+        txn.expect_revision(live_key(id), k.mod_revision).put(live_key(id), std::move(data));
         TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
         if (r.status == StoreStatus::kOk) {
             k.phase = JobPhase::kCancelled;
--- a/src/users/wire.cc
+++ b/src/users/wire.cc
@@ -1,6 +1,7 @@
 #include "users/wire.h"
 
 #include "base/constants.h"
+#include "http/pack.h"
 
 namespace hareshore {
 
--- a/src/users/wire.h
+++ b/src/users/wire.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <variant>
 
-#include "cloud/cloud.h"
+#include "cloud/machine_type.h"
 #include "config/config.h"
 #include "model/job_spec.h"
 
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -5,13 +5,15 @@
 
 #include "base/ranges.h"
 #include "base/token_bucket.h"
-#include "cloud/cloud.h"
+#include "cloud/cloud_wire.h"
+#include "cloud/machine_type.h"
 #include "config/config.h"
 #include "http/pack.h"
 #include "jobs/record.h"
 #include "peer/frames.h"
 #include "users/wire.h"
-#include "workers/workers.h"
+#include "workers/worker_heartbeat.h"
+#include "workers/worker_wire.h"
 
 using namespace hareshore;
 
@@ -235,7 +237,7 @@
         peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
         peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
-        Cloud::pack_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
+        encode_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kGood};
     std::mt19937 rng(11);
     size_t taken = 0;
@@ -254,10 +256,10 @@
             }
         }
         taken += JobRecord::unpack(s).has_value();
-        taken += WorkerHeartbeat::parse(s).has_value();
+        taken += decode_heartbeat(s).has_value();
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
         taken += FinalRecord::unpack(s).has_value();
-        taken += Cloud::unpack_machine_types(s).has_value();
+        taken += decode_machine_types(s).has_value();
         peer::Reader reader;
         reader.feed(s);
         while (auto f = reader.next()) {
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -9,6 +9,8 @@
 #include "jobs/record.h"
 #include "peer/frames.h"
 #include "standins.h"
+#include "state/store_wire.h"
+#include "workers/worker_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -234,8 +236,8 @@
 // The only controller of a deployment, elected for the term after the stored one.
 void lead_after(Site& site, uint64_t last_epoch) {
     Transaction txn;
-    txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
+    txn.expect_revision("term", 0).put("term", term_of("node-9", last_epoch));
+    ASSERT_EQ(site.state.apply(encode_transaction(txn)).status, 200);
     site.start(0);
     ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.state.rows.count("form") == 1; }));
     site.run(1);
@@ -296,8 +298,8 @@
 
 void store(Site& site, const std::string& key, std::string value) {
     Transaction txn;
-    txn.expect(key, 0).put(key, std::move(value));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
+    txn.expect_absent(key).put(key, std::move(value));
+    ASSERT_EQ(site.state.apply(encode_transaction(txn)).status, 200);
 }
 
 }  // namespace
@@ -445,7 +447,7 @@
     EXPECT_EQ(frame.kind, peer::Kind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    auto report = WorkerHeartbeat::parse(frame.payload);
+    auto report = decode_heartbeat(frame.payload);
     ASSERT_TRUE(report);
     EXPECT_EQ(report->machine, "vm-000001");
     EXPECT_EQ(report->fencing_token, kStoredFencingToken);
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -5,6 +5,7 @@
 
 #include "base/constants.h"
 #include "standins.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -416,8 +417,8 @@
         r.spec.tasks = 1;
         r.spec.image = std::string(5000, 'x');
         Transaction t;
-        t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
-        ASSERT_EQ(s.state.apply(t.pack()).status, 200);
+        t.expect_absent(live_key(r.spec.id)).put(live_key(r.spec.id), r.pack(1));
+        ASSERT_EQ(s.state.apply(encode_transaction(t)).status, 200);
     }
     s.state.down = false;
     s.run(10);
--- a/tests/election_test.cc
+++ b/tests/election_test.cc
@@ -1,5 +1,6 @@
 // Elections: what a candidate's transaction depends on.
 #include "standins.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -11,8 +12,9 @@
         Site s;
         auto put_record_format = [&](uint64_t mod_revision, uint64_t record_format) {
             Transaction t;
-            t.expect(kRecordFormatKey, mod_revision).put(kRecordFormatKey, pack_record_format(record_format));
-            EXPECT_EQ(s.state.apply(t.pack()).status, 200);
+            t.expect_revision(kRecordFormatKey, mod_revision)
+                .put(kRecordFormatKey, pack_record_format(record_format));
+            EXPECT_EQ(s.state.apply(encode_transaction(t)).status, 200);
         };
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -7,6 +7,7 @@
 #include <fmt/format.h>
 
 #include "standins.h"
+#include "workers/worker_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -49,7 +50,7 @@
     }
 
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
-        auto report = WorkerHeartbeat::parse(worker.report());
+        auto report = decode_heartbeat(worker.report());
         Response answer =
             co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
         if (answer.status != 200) co_return;
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -6,6 +6,7 @@
 #include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
 #include "standins.h"
+#include "workers/command.h"
 
 using namespace hareshore;
 
@@ -88,7 +89,7 @@
     void committed(Job& j) { j.committed = j.version; }
     static size_t launches(const std::vector<Command>& o) {
         return static_cast<size_t>(
-            std::count_if(o.begin(), o.end(), [](auto& x) { return x.verb == CommandKind::kLaunch; }));
+            std::count_if(o.begin(), o.end(), [](auto& x) { return x.kind == CommandKind::kLaunch; }));
     }
 };
 
@@ -221,7 +222,7 @@
     committed(j);
     auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, CommandKind::kForget);
+    EXPECT_EQ(o[0].kind, CommandKind::kForget);
     Machine& other = machine("vm-2");
     now += 30;
     ASSERT_EQ(pull({&other}).size(), 1u);
@@ -283,7 +284,7 @@
     EXPECT_TRUE(pull({&x, &y}).empty());
     EXPECT_EQ(g.wait_reason, WaitReason::kOldAttempt);
     auto o = jobs.commands(h, true);
-    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
+    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.kind == CommandKind::kStop; }));
     t1.phase = TaskPhase::kExited;
     t1.cause = ExitCause::kStopped;
     jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
@@ -323,8 +324,8 @@
     EXPECT_TRUE(pull({&y}).empty());
     auto o = jobs.commands(x, true);
     ASSERT_EQ(o.size(), 2u);
-    EXPECT_EQ(o[0].verb, CommandKind::kStop);
-    EXPECT_EQ(o[1].verb, CommandKind::kStop);
+    EXPECT_EQ(o[0].kind, CommandKind::kStop);
+    EXPECT_EQ(o[1].kind, CommandKind::kStop);
 }
 
 TEST_F(Lifecycle, ACancelledJobIsLaunchedNowhereAndHaltedEverywhere) {
@@ -340,7 +341,7 @@
     jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
     auto o = jobs.commands(h, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, CommandKind::kStop);
+    EXPECT_EQ(o[0].kind, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
 }
 
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -9,6 +9,7 @@
 #include "base/constants.h"
 #include "base/token_bucket.h"
 #include "standins.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -63,8 +64,8 @@
 
 void store(Site& s, const JobRecord& r) {
     Transaction t;
-    t.expect(live_key(r.spec.id), 0).put(live_key(r.spec.id), r.pack(1));
-    ASSERT_EQ(s.state.apply(t.pack()).status, 200);
+    t.expect_absent(live_key(r.spec.id)).put(live_key(r.spec.id), r.pack(1));
+    ASSERT_EQ(s.state.apply(encode_transaction(t)).status, 200);
 }
 
 JobRecord stored(Site& s, const std::string& id) {
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -9,6 +9,7 @@
 #include "scheduler/scheduler.h"
 #include "standins.h"
 #include "users/wire.h"
+#include "workers/command.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -104,13 +105,13 @@
             auto it = std::find_if(list.begin(), list.end(), [&](const TaskStatus& t) {
                 return t.name == o.name && t.attempt == o.attempt;
             });
-            if (o.verb == CommandKind::kLaunch && it == list.end())
+            if (o.kind == CommandKind::kLaunch && it == list.end())
                 list.push_back({o.name, o.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-            if (o.verb == CommandKind::kStop && it != list.end()) {
+            if (o.kind == CommandKind::kStop && it != list.end()) {
                 it->phase = TaskPhase::kExited;
                 it->cause = ExitCause::kStopped;
             }
-            if (o.verb == CommandKind::kForget && it != list.end()) list.erase(it);
+            if (o.kind == CommandKind::kForget && it != list.end()) list.erase(it);
         }
         reported(h);
     }
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
 
 namespace hareshore::test {
 
@@ -241,7 +242,7 @@
         p.map(1).key("error").text("trouble");
         co_return packed(503, p);
     }
-    if (r.path == "/flavors") co_return Response{200, Cloud::pack_machine_types(machine_types), 0, ""};
+    if (r.path == "/flavors") co_return Response{200, encode_machine_types(machine_types), 0, ""};
     if (r.path == "/hosts/delete") {
         auto m = Message::parse(r.body);
         for (size_t i = 0; i < m->root()["hosts"].size(); ++i) {
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -9,6 +9,7 @@
 #include "base/constants.h"
 #include "jobs/compact.h"
 #include "standins.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -96,8 +97,8 @@
 
 void keep(Site& s, const std::string& key, std::string data) {
     Transaction t;
-    t.expect(key, 0).put(key, std::move(data));
-    ASSERT_EQ(s.state.apply(t.pack()).status, 200);
+    t.expect_absent(key).put(key, std::move(data));
+    ASSERT_EQ(s.state.apply(encode_transaction(t)).status, 200);
 }
 
 std::vector<FakeWorker> workers_of(const JobRecord& r) {
