--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -10,6 +10,8 @@
 #include "jobs/record.h"
 #include "peer/frames.h"
 #include "standins/records.h"
+#include "state/store_wire.h"
+#include "workers/worker_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -235,8 +237,8 @@
 // The only controller of a deployment, elected for the term after the stored one.
 void lead_after(Deployment& deployment, uint64_t last_epoch) {
     Transaction txn;
-    txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
-    ASSERT_EQ(deployment.store.apply(txn.pack()).status, 200);
+    txn.expect_revision("term", 0).put("term", term_of("node-9", last_epoch));
+    ASSERT_EQ(deployment.store.apply(encode_transaction(txn)).status, 200);
     deployment.start(0);
     ASSERT_TRUE(deployment.until(
         [&] { return deployment.leader() == 0 && deployment.store.rows.count("form") == 1; }));
@@ -425,7 +427,7 @@
     EXPECT_EQ(frame.kind, peer::Kind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    auto report = WorkerHeartbeat::parse(frame.payload);
+    auto report = decode_heartbeat(frame.payload);
     ASSERT_TRUE(report);
     EXPECT_EQ(report->machine, "vm-000001");
     EXPECT_EQ(report->fencing_token, kStoredFencingToken);
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -6,6 +6,7 @@
 
 #include "base/constants.h"
 #include "standins/deployment.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -394,8 +395,8 @@
         record.spec.tasks = 1;
         record.spec.image = std::string(5000, 'x');
         Transaction transaction;
-        transaction.expect(live_key(record.spec.id), 0).put(live_key(record.spec.id), record.pack(1));
-        ASSERT_EQ(deployment.store.apply(transaction.pack()).status, 200);
+        transaction.expect_absent(live_key(record.spec.id)).put(live_key(record.spec.id), record.pack(1));
+        ASSERT_EQ(deployment.store.apply(encode_transaction(transaction)).status, 200);
     }
     deployment.store.down = false;
     deployment.run(10);
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -7,6 +7,7 @@
 #include "scheduler/scheduler.h"
 #include "standins/scheduling_test.h"
 #include "standins/worker.h"
+#include "workers/command.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -145,7 +146,7 @@
     mark_committed(job);
     auto o = jobs.commands(machine, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, CommandKind::kForget);
+    EXPECT_EQ(o[0].kind, CommandKind::kForget);
     Machine& other = add_machine("vm-2");
     now += 30;
     ASSERT_EQ(schedule_for({&other}).size(), 1u);
@@ -208,7 +209,7 @@
     EXPECT_TRUE(schedule_for({&first, &y}).empty());
     EXPECT_EQ(gang.wait_reason, WaitReason::kOldAttempt);
     auto o = jobs.commands(machine, true);
-    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
+    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.kind == CommandKind::kStop; }));
     exit_task(t1, ExitCause::kStopped);
     jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
     EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
@@ -247,8 +248,8 @@
     EXPECT_TRUE(schedule_for({&y}).empty());
     auto o = jobs.commands(first, true);
     ASSERT_EQ(o.size(), 2u);
-    EXPECT_EQ(o[0].verb, CommandKind::kStop);
-    EXPECT_EQ(o[1].verb, CommandKind::kStop);
+    EXPECT_EQ(o[0].kind, CommandKind::kStop);
+    EXPECT_EQ(o[1].kind, CommandKind::kStop);
 }
 
 TEST_F(Lifecycle, ACancelledJobIsLaunchedNowhereAndHaltedEverywhere) {
@@ -265,7 +266,7 @@
                now += 3);
     auto o = jobs.commands(machine, true);
     ASSERT_EQ(o.size(), 1u);
-    EXPECT_EQ(o[0].verb, CommandKind::kStop);
+    EXPECT_EQ(o[0].kind, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
 }
 
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "cloud/cloud_wire.h"
 #include "http/pack.h"
 #include "standins/messages.h"
 
@@ -40,7 +41,7 @@
 
 Task<Response> FakeCloud::handle(Request request) {
     if (down) co_return error("trouble");
-    if (request.path == "/flavors") co_return Response{200, Cloud::pack_machine_types(machine_types), 0, ""};
+    if (request.path == "/flavors") co_return Response{200, encode_machine_types(machine_types), 0, ""};
     if (request.path == "/hosts/delete") co_return delete_machines(request);
     if (request.method == "POST") co_return rent_machines(request);
     co_return list_machines(request);
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "cloud/cloud.h"
+#include "cloud/machine_type.h"
 #include "http/server.h"
 
 namespace hareshore::test {
--- a/tests/standins/scheduling_test.cc
+++ b/tests/standins/scheduling_test.cc
@@ -5,6 +5,7 @@
 #include "jobs/resource_accounting.h"
 #include "standins/cloud.h"
 #include "standins/worker.h"
+#include "workers/command.h"
 
 namespace hareshore::test {
 
@@ -122,7 +123,7 @@
 
 size_t SchedulingTest::count_launches(const std::vector<Command>& commands) {
     return static_cast<size_t>(std::count_if(commands.begin(), commands.end(), [](const Command& command) {
-        return command.verb == CommandKind::kLaunch;
+        return command.kind == CommandKind::kLaunch;
     }));
 }
 
@@ -180,10 +181,10 @@
             return here.name == command.name && here.attempt == command.attempt;
         });
         bool here = task != tasks.end();
-        if (command.verb == CommandKind::kLaunch && !here)
+        if (command.kind == CommandKind::kLaunch && !here)
             tasks.push_back({command.name, command.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-        if (command.verb == CommandKind::kStop && here) exit_task(*task, ExitCause::kStopped);
-        if (command.verb == CommandKind::kForget && here) tasks.erase(task);
+        if (command.kind == CommandKind::kStop && here) exit_task(*task, ExitCause::kStopped);
+        if (command.kind == CommandKind::kForget && here) tasks.erase(task);
     }
     report_tasks(machine);
 }
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "http/message.h"
-#include "workers/workers.h"
+#include "workers/worker_heartbeat.h"
 
 namespace hareshore::test {
 
