--- a/tests/election_test.cc
+++ b/tests/election_test.cc
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "standins/deployment.h"
+#include "state/store_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -13,9 +14,9 @@
         Deployment deployment;
         auto put_record_format = [&](uint64_t mod_revision, uint64_t record_format) {
             Transaction transaction;
-            transaction.expect(kRecordFormatKey, mod_revision)
+            transaction.expect_revision(kRecordFormatKey, mod_revision)
                 .put(kRecordFormatKey, pack_record_format(record_format));
-            EXPECT_EQ(deployment.store.apply(transaction.pack()).status, 200);
+            EXPECT_EQ(deployment.store.apply(encode_transaction(transaction)).status, 200);
         };
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
--- a/tests/standins/records.cc
+++ b/tests/standins/records.cc
@@ -5,6 +5,8 @@
 
 #include <map>
 
+#include "state/store_wire.h"
+
 namespace hareshore::test {
 
 std::string from_hex(std::string_view hex) {
@@ -23,8 +25,8 @@
 
 void store_value(Deployment& deployment, const std::string& key, std::string value) {
     Transaction transaction;
-    transaction.expect(key, 0).put(key, std::move(value));
-    ASSERT_EQ(deployment.store.apply(transaction.pack()).status, 200);
+    transaction.expect_absent(key).put(key, std::move(value));
+    ASSERT_EQ(deployment.store.apply(encode_transaction(transaction)).status, 200);
 }
 
 void store_record(Deployment& deployment, const JobRecord& record) {
