--- a/src/base/ranges.h
+++ b/src/base/ranges.h
@@ -25,8 +25,8 @@
     const std::map<uint32_t, uint32_t>& all() const { return map_; }
     // Adds a range that begins behind all others and does not touch them.
     void append(uint32_t first, uint32_t last);
-    size_t pieces() const { return map_.size(); }  // number of ranges
-    std::string text() const;                      // "0-3,7"
+    size_t range_count() const { return map_.size(); }
+    std::string text() const;  // "0-3,7"
     bool operator==(const Ranges&) const = default;
 
   private:
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -17,7 +17,7 @@
     // Takes n if there are as many.
     bool take(double n, Seconds now) {
         refill(now);
-        if (left_ + constants::kTokenRounding < n) return false;
+        if (left_ + constants::kTokenRoundingTolerance < n) return false;
         left_ -= n;
         return true;
     }
@@ -25,12 +25,12 @@
     Seconds until(double n, Seconds now) {
         refill(now);
         // What rounding leaves out of a token is no reason to wait: so short a wait would not move the clock.
-        return left_ + constants::kTokenRounding >= std::min(n, burst_)
+        return left_ + constants::kTokenRoundingTolerance >= std::min(n, burst_)
                    ? 0
                    : (std::min(n, burst_) - left_) / rate_;
     }
     // The peer says that the limit is exceeded: what was thought to be left is not there.
-    void drain(Seconds now) {
+    void mark_exhausted(Seconds now) {
         refill(now);
         left_ = std::min(left_, 0.0);
     }
--- a/src/cloud/cloud.cc
+++ b/src/cloud/cloud.cc
@@ -8,18 +8,18 @@
 Cloud::Cloud(Loop& loop, Address at, double rps, size_t nodes)
     : loop_(loop),
       http_(loop, at, 4),
-      bucket_(rps * constants::kCloudShare, std::max(1.0, 2 * rps / static_cast<double>(nodes))) {}
+      bucket_(rps * constants::kCloudRateShare, std::max(1.0, 2 * rps / static_cast<double>(nodes))) {}
 
-Task<Answer> Cloud::call(std::string method, std::string path, std::string body) {
+Task<CallResult> Cloud::call(std::string method, std::string path, std::string body) {
     while (!bucket_.take(1, loop_.now())) co_await loop_.sleep(bucket_.until(1, loop_.now()) + 0.001);
-    Answer a =
-        co_await http_.call(std::move(method), std::move(path), std::move(body), constants::kCloudCall_s);
-    if (a.status == 429) bucket_.drain(loop_.now());
+    CallResult a = co_await http_.call(std::move(method), std::move(path), std::move(body),
+                                       constants::kCloudCallTimeout_s);
+    if (a.status == 429) bucket_.mark_exhausted(loop_.now());
     co_return a;
 }
 
 std::string Cloud::pack_machine_types(const std::vector<MachineType>& machine_types) {
-    Packer p;
+    MsgpackWriter p;
     p.map(1).key("flavors").list(machine_types.size());
     for (const auto& f : machine_types) {
         p.map(10).key("name").text(f.name).key("vcpus").number(f.cpus).key("cards").number(f.gpus);
@@ -37,12 +37,12 @@
 }
 
 std::optional<std::vector<MachineType>> Cloud::unpack_machine_types(const std::string& packed) {
-    auto m = Message::parse(packed);
+    auto m = MsgpackDocument::parse(packed);
     if (!m || !m->root()["flavors"].is_list()) return std::nullopt;
-    Node list = m->root()["flavors"];
+    MsgpackValue list = m->root()["flavors"];
     std::vector<MachineType> machine_types;
     for (size_t i = 0; i < list.size(); ++i) {
-        Node n = list.at(i);
+        MsgpackValue n = list.at(i);
         MachineType f;
         f.name = n["name"].text_or("");
         f.cpus = n["vcpus"].number_or(0);
@@ -62,7 +62,7 @@
 }
 
 Task<std::optional<std::vector<MachineType>>> Cloud::machine_types() {
-    Answer a = co_await call("GET", "/flavors", "");
+    CallResult a = co_await call("GET", "/flavors", "");
     if (!a.ok()) co_return std::nullopt;
     co_return unpack_machine_types(a.body);
 }
@@ -71,16 +71,16 @@
     std::vector<ListedMachine> machines;
     std::string from;
     while (true) {
-        std::string path = "/hosts?page=" + std::to_string(constants::kListPage);
+        std::string path = "/hosts?page=" + std::to_string(constants::kMachineListPageSize);
         if (!from.empty()) path += "&from=" + from;
-        Answer a = co_await call("GET", std::move(path), "");
+        CallResult a = co_await call("GET", std::move(path), "");
         if (!a.ok()) co_return std::nullopt;
-        auto m = Message::parse(a.body);
+        auto m = MsgpackDocument::parse(a.body);
         if (!m || !m->root()["hosts"].is_list()) co_return std::nullopt;
-        Node rows = m->root()["hosts"];
+        MsgpackValue rows = m->root()["hosts"];
         std::string before = from;
         for (size_t i = 0; i < rows.size(); ++i) {
-            Node n = rows.at(i);
+            MsgpackValue n = rows.at(i);
             ListedMachine x;
             x.name = n["ref"].text_or("");
             x.addr = n["addr"].text_or("");
@@ -104,31 +104,31 @@
 
 Task<RentResult> Cloud::rent(std::string claim, std::string machine_type, std::string zone, bool spot,
                              int number) {
-    Packer p;
+    MsgpackWriter p;
     p.map(5).key("claim").text(claim).key("flavor").text(machine_type).key("cove").text(zone);
     p.key("driftwood").flag(spot).key("number").count(static_cast<uint64_t>(number));
-    Answer a = co_await call("POST", "/hosts", p.take());
+    CallResult a = co_await call("POST", "/hosts", p.take());
     RentResult r;
-    auto m = Message::parse(a.body);
+    auto m = MsgpackDocument::parse(a.body);
     if (a.ok() && m && m->root()["hosts"].is_list()) {
         r.result = Rent::kRented;
-        Node machines = m->root()["hosts"];
+        MsgpackValue machines = m->root()["hosts"];
         for (size_t i = 0; i < machines.size(); ++i) r.machines.push_back(machines.at(i).text_or(""));
     } else if (a.status == 503 && m && m->root()["error"].text_or("") == "no capacity") {
         r.result = Rent::kNoCapacity;
-    } else if (a.status == 0 && a.sent) {
+    } else if (a.status == 0 && a.maybe_executed) {
         r.result = Rent::kUnknown;
     }
     co_return r;
 }
 
 Task<Removal> Cloud::remove(std::vector<std::string> names) {
-    Packer p;
+    MsgpackWriter p;
     p.map(1).key("hosts").list(names.size());
     for (const auto& n : names) p.text(n);
-    Answer a = co_await call("POST", "/hosts/delete", p.take());
+    CallResult a = co_await call("POST", "/hosts/delete", p.take());
     if (a.ok()) co_return Removal::kDone;
-    bool refused = a.status == 429 || a.status == 503 || (a.status == 0 && !a.sent);
+    bool refused = a.status == 429 || a.status == 503 || (a.status == 0 && !a.maybe_executed);
     co_return refused ? Removal::kRefused : Removal::kUnknown;
 }
 
--- a/src/cloud/cloud.h
+++ b/src/cloud/cloud.h
@@ -50,7 +50,7 @@
     static std::optional<std::vector<MachineType>> unpack_machine_types(const std::string& packed);
 
   private:
-    Task<Answer> call(std::string method, std::string path, std::string body);
+    Task<CallResult> call(std::string method, std::string path, std::string body);
     Loop& loop_;
     HttpClient http_;
     TokenBucket bucket_;
--- a/src/config/config.cc
+++ b/src/config/config.cc
@@ -45,9 +45,9 @@
 }
 
 Address address(View v, const std::string& field) {
-    Address a;
-    if (!Address::parse(need_text(v, field), a)) fail(field, "an address like 10.0.0.1:8080 is needed");
-    return a;
+    std::optional<Address> address = Address::parse(need_text(v, field));
+    if (!address) fail(field, "an address like 10.0.0.1:8080 is needed");
+    return *address;
 }
 
 Config from_table(const toml::table& root) {
@@ -117,7 +117,7 @@
         constexpr double kMost = 1e9;
         if (next["value_kb"])
             c.next_value_bytes = static_cast<size_t>(number(next["value_kb"], "facts.state.next.value_kb",
-                                                            constants::kSmallestRecordLimit / 1024.0, kMost) *
+                                                            constants::kSmallestValueLimit / 1024.0, kMost) *
                                                      1024);
         if (next["txn_ops"])
             c.txn_ops = std::min(
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "base/address.h"
 #include "base/clock.h"
-#include "http/message.h"
 
 namespace hareshore {
 
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -24,13 +24,13 @@
 }
 
 size_t connection_limit(const Config& c) {
-    return static_cast<size_t>(static_cast<double>(c.sockets) * (1 - constants::kSocketReserve)) - 4;
+    return static_cast<size_t>(static_cast<double>(c.sockets) * (1 - constants::kReservedSocketShare)) - 4;
 }
 
 size_t answer_limit(const Config& c) {
-    if (c.ram_bytes == 0) return constants::kAnswerLimit;
-    return std::clamp(c.ram_bytes / constants::kAnswerShare, constants::kAnswerLeast,
-                      constants::kAnswerLimit);
+    if (c.ram_bytes == 0) return constants::kResponseLimit;
+    return std::clamp(c.ram_bytes / constants::kResponseMemoryDivisor, constants::kSmallestResponseLimit,
+                      constants::kResponseLimit);
 }
 
 }  // namespace
@@ -108,7 +108,7 @@
     };
     b.worker_heartbeats_received = static_cast<uint16_t>(
         std::count_if(worker_heartbeat_times_.begin(), worker_heartbeat_times_.end(),
-                      [&](Seconds t) { return loop_.now() - t < constants::kReportWindow_s; }));
+                      [&](Seconds t) { return loop_.now() - t < constants::kHeartbeatCountWindow_s; }));
     b.store_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
     b.quiet_ms = ms(users_.last_cancellation());
     return b;
@@ -141,7 +141,7 @@
 bool Controller::no_other_leader() const {
     if (!election_.leading()) return false;
     for (const auto& p : peers_.peers())
-        if (loop_.now() - p.answered >= constants::kHeartbeatFresh_s ||
+        if (loop_.now() - p.answered >= constants::kPeerHeartbeatTimeout_s ||
             p.heartbeat.fencing_token > election_.fencing_token())
             return false;
     return true;
@@ -154,29 +154,29 @@
         // Started in an outage: it has not learned the machine types, but tells users as well as any other
         // when to come back, and the load balancer need not find it anew when the outage is over. Not before
         // the peers had time to say whether they are served.
-        if (age < 2 * constants::kHeartbeat_s) return false;
+        if (age < 2 * constants::kPeerHeartbeatInterval_s) return false;
     } else {
         if (machine_types_.empty()) return false;
-        if (age < constants::kStoreRefused_s) return true;
+        if (age < constants::kUnreadyAfterStoreRefusal_s) return true;
     }
     // In an outage for all, users are better answered than turned away; refused alone, others serve them.
     bool company = peers_.peers().empty();
     for (const auto& p : peers_.peers()) {
-        if (loop_.now() - p.heard >= constants::kHeartbeatFresh_s) continue;
+        if (loop_.now() - p.heard >= constants::kPeerHeartbeatTimeout_s) continue;
         company = true;
-        if (p.heartbeat.ready && p.heartbeat.store_age_ms < constants::kStoreRefused_s * 1000 / 2)
+        if (p.heartbeat.ready && p.heartbeat.store_age_ms < constants::kUnreadyAfterStoreRefusal_s * 1000 / 2)
             return false;
     }
     // Without the state service and all peers this node is more likely cut off than they are all down:
     // a user who stays with it would ask in vain until the cut ends.
-    return company || age < constants::kIsolated_s;
+    return company || age < constants::kUnreadyAfterIsolation_s;
 }
 
 Task<void> Controller::follow_election() {
     while (true) {
-        co_await loop_.wait(election_.changed(), loop_.now() + constants::kHeartbeat_s);
+        co_await loop_.wait(election_.changed(), loop_.now() + constants::kPeerHeartbeatInterval_s);
         for (const auto& p : peers_.peers())
-            if (loop_.now() - p.heard < constants::kHeartbeatFresh_s)
+            if (loop_.now() - p.heard < constants::kPeerHeartbeatTimeout_s)
                 // One that does not lead confirms for the term all the same: the new leader itself may be
                 // behind a cut from here.
                 election_.heard(p.heartbeat.leads ? p.who.label : "", p.heartbeat.fencing_token);
@@ -197,17 +197,17 @@
 
 // A leader that keeps the state service but hears no worker, while others hear them, is cut off from them.
 void Controller::resign_if_isolated() {
-    if (!leader_ || !election_.leading() || leader_->loaded_for() < constants::kResignQuiet_s) return;
-    if (leader_->machines_seen() < constants::kResignMachines) return;
+    if (!leader_ || !election_.leading() || leader_->loaded_for() < constants::kResignAfterSilence_s) return;
+    if (leader_->machines_seen() < constants::kResignMinMachines) return;
     if (!worker_heartbeat_times_.empty() &&
-        loop_.now() - worker_heartbeat_times_.back() < constants::kResignQuiet_s)
+        loop_.now() - worker_heartbeat_times_.back() < constants::kResignAfterSilence_s)
         return;
     for (const auto& p : peers_.peers()) {
-        if (loop_.now() - p.heard > constants::kHeartbeatFresh_s ||
-            p.heartbeat.worker_heartbeats_received < constants::kResignMachines)
+        if (loop_.now() - p.heard > constants::kPeerHeartbeatTimeout_s ||
+            p.heartbeat.worker_heartbeats_received < constants::kResignMinMachines)
             continue;
         log::info("resigning", {{"reason", "no_worker_reaches_this_node"}, {"peer", p.who.label}});
-        election_.resign(constants::kResignStandDown_s);
+        election_.resign(constants::kResignNoCandidacy_s);
         return;
     }
 }
@@ -216,14 +216,14 @@
     // What an earlier leader kept is at hand sooner than the cloud's word, and also while the cloud is away.
     // Later changes of prices concern only the leader, which reads them itself.
     while (machine_types_.empty()) {
-        GetResult kept = co_await state_.get(kMachineTypesKey, constants::kStateCall_s);
+        GetResult kept = co_await state_.get(kMachineTypesKey, constants::kStoreCallTimeout_s);
         if (kept.status == StoreStatus::kOk) {
             if (auto f = Cloud::unpack_machine_types(kept.entry.data)) machine_types_ = std::move(*f);
         }
         if (!machine_types_.empty()) break;
         auto got = co_await cloud_.machine_types();
         if (got) machine_types_ = std::move(*got);
-        if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryPauseMax_s / 2);
+        if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryBackoffMax_s / 2);
     }
 }
 
@@ -231,7 +231,8 @@
 Task<void> Controller::follow_record_format() {
     while (record_format_.kept < kNewestRecordFormat) {
         co_await learn_record_format(state_, record_format_);
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.kept < kNewestRecordFormat)
+            co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     if (record_format_.newer()) election_.stop_standing();
 }
@@ -242,10 +243,11 @@
     const HeartbeatHeader seen = report->head();  // the report itself is passed on
     worker_heartbeat_times_.push_back(loop_.now());
     while (worker_heartbeat_times_.size() > constants::kRedirectionsKept ||
-           loop_.now() - worker_heartbeat_times_.front() > constants::kReportWindow_s)
+           loop_.now() - worker_heartbeat_times_.front() > constants::kHeartbeatCountWindow_s)
         worker_heartbeat_times_.pop_front();
     if (auto leader = leader_) {
-        Response r = co_await leader->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
+        Response r =
+            co_await leader->handle_heartbeat(std::move(*report), constants::kIdleHeartbeatHold_s, true);
         if (r.status == 200) co_return r;
         if (leader_ == leader && election_.leading()) co_return r;
     }
@@ -257,7 +259,7 @@
     Seconds now = loop_.now();
     // A copy of the report that was pointed, or of an older one, does not show that its sender came back.
     bool newer = seen.newer_than(p.incarnation, p.sequence);
-    bool back = p.leader == to && now - p.at < constants::kRelayAfter_s && newer;
+    bool back = p.leader == to && now - p.at < constants::kRelayAfterRedirection_s && newer;
     if (newer) {
         p.incarnation = seen.incarnation;
         p.sequence = seen.sequence;
@@ -266,7 +268,7 @@
     if (back && p.relayed_since < 0) returned_workers_[seen.zone][seen.machine] = now;
     // Workers of a zone cut off from the leader are passed on without being pointed there first.
     back = back || (newer && zone_cut(seen.zone));
-    if (back && (p.relayed_since < 0 || now - p.relayed_since < constants::kRelayFor_s)) {
+    if (back && (p.relayed_since < 0 || now - p.relayed_since < constants::kRelayPeriod_s)) {
         // It was pointed to the leader and is here again: there is a cut between the two.
         if (p.relayed_since < 0 || p.leader != to) p.relayed_since = now;
         p.leader = to;
@@ -287,7 +289,7 @@
     // cost the square of their number.
     size_t recent = 0;
     for (auto it = back.begin(); it != back.end() && recent < constants::kPartitionWitnesses;) {
-        bool old = loop_.now() - it->second > constants::kRelayAfter_s;
+        bool old = loop_.now() - it->second > constants::kRelayAfterRedirection_s;
         if (!old) ++recent;
         it = old ? back.erase(it) : std::next(it);
     }
@@ -298,7 +300,8 @@
     auto report = WorkerHeartbeat::parse(body);
     auto leader = leader_;
     if (!report || !leader) co_return status(421);
-    co_return co_await leader->handle_heartbeat(std::move(*report), constants::kHoldRelayed_s, false);
+    co_return co_await leader->handle_heartbeat(std::move(*report), constants::kRelayedHeartbeatHold_s,
+                                                false);
 }
 
 Response Controller::operator_page(const std::string& path) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -5,7 +5,7 @@
 #include "leader/election.h"
 #include "leader/leader.h"
 #include "peer/peers.h"
-#include "users/service.h"
+#include "users/user_service.h"
 
 namespace hareshore {
 
@@ -63,7 +63,7 @@
     std::deque<Seconds> worker_heartbeat_times_;  // when workers' reports came
     Peers peers_;
     HttpServer server_;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/fleet/scaling_plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -95,7 +95,8 @@
     }
 
     bool late(const Machine& h) const {
-        return !h.holding && quiet(h) > constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s;
+        return !h.holding &&
+               quiet(h) > constants::kSilentAfterHeartbeatIntervals * in_.config.heartbeat_interval_s;
     }
 
     // When most of a zone's machines are quiet at once, the zone is likely cut off from this controller: they
@@ -118,8 +119,8 @@
 
     // A worker silent this long is unreachable: reports are missing, not only on a detour to another node.
     Seconds silent_after() const {
-        return constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s +
-               constants::kRetryOtherController_s;
+        return constants::kSilentAfterHeartbeatIntervals * in_.config.heartbeat_interval_s +
+               constants::kWorkerFailover_s;
     }
 
     // What runs on such a machine ends with its lease; then nothing is lost by returning it.
@@ -177,7 +178,8 @@
     // The cloud's capacity bounds a fleet; the requests on their way are bounded by what it can be asked for
     // in a second, however many tasks wait.
     size_t most_ordered() const {
-        return constants::kMachinesPerRental * static_cast<size_t>(std::max(1.0, in_.config.cloud_rps));
+        return constants::kMachinesPerScaleOutRequest *
+               static_cast<size_t>(std::max(1.0, in_.config.cloud_rps));
     }
 
     bool refused(const MachineKind& k) const {
@@ -191,7 +193,7 @@
         std::vector<std::tuple<double, int, MachineKind>> out;
         for (const auto& f : cluster_.machine_types) {
             Resources whole{f.cpus, f.gpus, f.memory_gb};
-            uint32_t k = whole.fits(s, constants::kMaxTasks);
+            uint32_t k = whole.fits(s, constants::kMaxTasksPerJob);
             if (k == 0) continue;
             for (const auto& z : f.zones)
                 for (bool spot : {true, false}) {
@@ -324,7 +326,7 @@
             });
             int spare = static_cast<int>(idle.size()) - in_.settings.min_idle_machines;
             spare = std::min(spare, in_zone_[zone] - in_.settings.min_machines);
-            Seconds patience = calm() ? constants::kCalmIdle_s : in_.settings.idle_return_s;
+            Seconds patience = calm() ? constants::kCalmIdleReturn_s : in_.settings.idle_return_s;
             for (const Slot* s : idle) {
                 if (spare <= 0) break;
                 if (in_.now -
@@ -347,7 +349,8 @@
             if (j->spec.gang() && j->spec.tasks > 1) return false;
             if (j->spec.checkpoint_s <= 0 || p.stopping || !p.running_since) return false;
             Seconds ran = in_.now - *p.running_since;
-            if (ran < constants::kMoveAfter_s || j->spec.estimate_s - ran < constants::kMoveWorth_s)
+            if (ran < constants::kConsolidationMinRun_s ||
+                j->spec.estimate_s - ran < constants::kConsolidationMinRemaining_s)
                 return false;
             ++tasks;
         }
@@ -411,8 +414,8 @@
                                                     const Config& config, Seconds now,
                                                     Seconds leading_since) {
     std::vector<std::string> out;
-    Seconds lease = config.lease_s * (1 + constants::kDrift) + constants::kLeaseMargin_s;
-    Seconds quiet = constants::kSilentAfterHeartbeats * config.heartbeat_interval_s;
+    Seconds lease = config.lease_s * (1 + constants::kClockDriftRate) + constants::kLeaseExpiryMargin_s;
+    Seconds quiet = constants::kSilentAfterHeartbeatIntervals * config.heartbeat_interval_s;
     // A new leader, and one that stood still, hears its workers first.
     if (now - leading_since <= quiet) return out;
     for (const auto& [id, job] : jobs.all()) {
--- a/src/http/pack.h
+++ b/src/http/msgpack.h
@@ -10,19 +10,19 @@
 namespace hareshore {
 
 // A decoded message. Numbers may be written as integers or decimals; every accessor checks the type.
-class Node {
+class MsgpackValue {
   public:
-    Node() = default;
-    explicit Node(const msgpack::object& o) : o_(&o) {}
+    MsgpackValue() = default;
+    explicit MsgpackValue(const msgpack::object& o) : o_(&o) {}
 
     bool present() const { return o_ != nullptr; }
     const msgpack::object* raw() const { return o_; }
     bool null() const { return !o_ || o_->type == msgpack::type::NIL; }  // null may also be left out
     bool is_map() const { return o_ && o_->type == msgpack::type::MAP; }
     bool is_list() const { return o_ && o_->type == msgpack::type::ARRAY; }
-    Node operator[](std::string_view key) const;  // field of a map
+    MsgpackValue operator[](std::string_view key) const;  // field of a map
     size_t size() const { return is_list() ? o_->via.array.size : 0; }
-    Node at(size_t i) const { return Node(o_->via.array.ptr[i]); }
+    MsgpackValue at(size_t i) const { return MsgpackValue(o_->via.array.ptr[i]); }
 
     std::optional<std::string> text() const;
     std::optional<double> number() const;   // finite
@@ -39,36 +39,28 @@
 };
 
 // Owns a decoded message.
-class Message {
+class MsgpackDocument {
   public:
     // Nothing if the bytes are not exactly one MessagePack value within the limits.
-    static std::optional<Message> parse(std::string_view bytes);
-    Node root() const { return Node(handle_.get()); }
+    static std::optional<MsgpackDocument> parse(std::string_view bytes);
+    MsgpackValue root() const { return MsgpackValue(handle_.get()); }
 
   private:
     msgpack::object_handle handle_;
 };
 
-// How long the JSON text of a packed value is at most: the protocol counts the limits of values in that
-// format. Whoever counts may put a space behind each separator and escape all that is not ASCII, so both are
-// counted.
-size_t json_size(std::string_view packed);
-// The same for a text and for a decimal number by themselves.
-size_t json_text_size(std::string_view text);
-size_t json_number_size(double d);
-
 // Writes a message. map(n) and list(n) announce n entries, as MessagePack wants it.
-class Packer {
+class MsgpackWriter {
   public:
-    Packer& map(size_t n);
-    Packer& list(size_t n);
-    Packer& key(std::string_view k) { return text(k); }
-    Packer& text(std::string_view s);
-    Packer& count(uint64_t n);
-    Packer& number(double d);
-    Packer& flag(bool b);
-    Packer& null();
-    Packer& raw(std::string_view packed);  // a value that is packed already
+    MsgpackWriter& map(size_t n);
+    MsgpackWriter& list(size_t n);
+    MsgpackWriter& key(std::string_view k) { return text(k); }
+    MsgpackWriter& text(std::string_view s);
+    MsgpackWriter& count(uint64_t n);
+    MsgpackWriter& number(double d);
+    MsgpackWriter& flag(bool b);
+    MsgpackWriter& null();
+    MsgpackWriter& raw(std::string_view packed);  // a value that is packed already
     std::string take();
 
   private:
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -1,5 +1,6 @@
 #include "http/server.h"
 
+#include <http_parser.h>
 #include <unistd.h>
 
 #include "base/constants.h"
@@ -34,14 +35,14 @@
         settings.on_headers_complete = [](http_parser* p) {
             auto& c = self(p);
             bool sized = p->content_length != ULLONG_MAX;
-            if (sized && p->content_length > constants::kBodyLimit) c.request.oversized = true;
+            if (sized && p->content_length > constants::kRequestBodyLimit) c.request.oversized = true;
             return 0;
         };
         settings.on_body = [](http_parser* p, const char* at, size_t n) {
             auto& c = self(p);
             c.body += n;
-            if (c.body > constants::kBodyLimit) c.request.oversized = true;
-            if (c.body > constants::kDrainLimit) return 1;
+            if (c.body > constants::kRequestBodyLimit) c.request.oversized = true;
+            if (c.body > constants::kOversizedBodyReadLimit) return 1;
             if (c.request.oversized) {
                 c.request.body.clear();
             } else {
@@ -58,7 +59,7 @@
     static Collector& self(http_parser* p) { return *static_cast<Collector*>(p->data); }
     int on_head(const char* at, size_t n, bool is_url) {
         head += n;
-        if (head > constants::kHeadLimit) return 1;
+        if (head > constants::kRequestHeadLimit) return 1;
         if (is_url) url.append(at, n);
         return 0;
     }
@@ -116,15 +117,15 @@
 Task<void> HttpServer::accept_all() {
     for (size_t accepted = 1;; ++accepted) {
         if (accepted % constants::kAcceptsPerTurn == 0) co_await loop_.yield();
-        int fd = accept_from(listener_.fd());
-        if (fd == -1) {
+        tl::expected<int, AcceptError> fd = accept_connection(listener_.fd());
+        if (!fd && fd.error() == AcceptError::kNoneWaiting) {
             co_await loop_.readable(listener_, -1);
-        } else if (fd == -2) {
-            co_await loop_.sleep(constants::kAcceptPause_s);
+        } else if (!fd) {
+            co_await loop_.sleep(constants::kAcceptRetryPause_s);
         } else if (scope_.size() > most_) {
-            close(fd);  // a refused connection sends the peer to another node at once
+            close(*fd);  // a refused connection sends the peer to another node at once
         } else {
-            scope_.spawn(serve(fd), "http connection");
+            scope_.spawn(serve(*fd), "http connection");
         }
     }
 }
@@ -133,7 +134,7 @@
     Stream stream(loop_, fd);
     Collector c;
     std::string behind;  // bytes that came behind a complete request
-    Seconds until = loop_.now() + constants::kIdleConnection_s;
+    Seconds until = loop_.now() + constants::kIdleConnectionTimeout_s;
     bool started = false;
     while (true) {
         std::string_view input = behind;
@@ -143,7 +144,7 @@
             input = got.bytes;
             if (!started) {
                 started = true;
-                until = loop_.now() + constants::kSlowRequest_s;
+                until = loop_.now() + constants::kRequestReadTimeout_s;
             }
         }
         size_t used = http_parser_execute(&c.parser, &c.settings, input.data(), input.size());
@@ -154,13 +155,13 @@
         if (bad) {
             Response r{400, "", 0, "application/msgpack"};
             std::string out = render(r, false);
-            co_await stream.write(out, loop_.now() + constants::kWriteStall_s);
+            co_await stream.write(out, loop_.now() + constants::kSendTimeout_s);
             co_return;
         }
         if (c.request.oversized && !c.refused) {
             c.refused = true;
             std::string out = render(Response{400, "", 0, "application/msgpack"}, true);
-            if (!co_await stream.write(out, loop_.now() + constants::kWriteStall_s)) co_return;
+            if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s)) co_return;
         }
         if (!c.complete) continue;
         bool keep = http_should_keep_alive(&c.parser) != 0;
@@ -169,7 +170,7 @@
             c.reset();
             http_parser_pause(&c.parser, 0);
             started = false;
-            until = loop_.now() + constants::kIdleConnection_s;
+            until = loop_.now() + constants::kIdleConnectionTimeout_s;
             continue;
         }
         c.request.method = http_method_str(static_cast<http_method>(c.parser.method));
@@ -180,11 +181,11 @@
         request.abandoned = stream.hung_up();
         Response answer = co_await handler_(std::move(request));
         std::string out = render(answer, keep);
-        if (!co_await stream.write(out, loop_.now() + constants::kWriteStall_s) || !keep) co_return;
+        if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s) || !keep) co_return;
         c.reset();
         http_parser_pause(&c.parser, 0);
         started = false;
-        until = loop_.now() + constants::kIdleConnection_s;
+        until = loop_.now() + constants::kIdleConnectionTimeout_s;
     }
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -20,8 +20,8 @@
     Loop& loop_;
     size_t most_;
     Handler handler_;
-    File listener_;
-    Scope scope_;
+    FileDescriptor listener_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/jobs/compact.cc
+++ b/src/jobs/compact.cc
@@ -33,7 +33,7 @@
 // "vm-000231" is {"6vm-", 231}; a name without a number at its end is {"0name", 0}.
 std::pair<std::string, uint64_t> split(std::string_view name) {
     size_t digits = 0;
-    while (digits < name.size() && digits < constants::kMachineDigits) {
+    while (digits < name.size() && digits < constants::kMachineNumberDigits) {
         char c = name[name.size() - 1 - digits];
         if (c < '0' || c > '9') break;
         ++digits;
@@ -172,8 +172,8 @@
             // Every quantity is below 2^60: checked after each step, no sum can overflow.
             task += unfold(*by_task);
             skew += unfold(*by_skew);
-            auto most = static_cast<int64_t>(constants::kMaxCount);
-            if (number > constants::kMaxCount || task < 0 || task >= static_cast<int64_t>(tasks) ||
+            auto most = static_cast<int64_t>(constants::kMaxExactInteger);
+            if (number > constants::kMaxExactInteger || task < 0 || task >= static_cast<int64_t>(tasks) ||
                 skew < -most || skew > most || task + skew < 0)
                 return std::nullopt;
             auto name = join(entry, number);
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "base/constants.h"
+#include "http/json_size.h"
 #include "jobs/compact.h"
 #include "jobs/table.h"
 
@@ -34,7 +35,7 @@
 }
 
 bool Job::skips_saving() const {
-    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kSkipCheckpointShare * spec.save_s;
+    return spec.checkpoint_s > 0 && spec.checkpoint_s <= constants::kSkipCheckpointMaxSaves * spec.save_s;
 }
 
 uint32_t Job::running_replicas() const {
@@ -51,7 +52,7 @@
 
 bool Job::late(const Config& config, Seconds now) const {
     if (spec.service()) return false;  // it has no end
-    return now + constants::kLateShare * spec.estimate_s > due(config);
+    return now + constants::kLateEstimateShare * spec.estimate_s > due(config);
 }
 
 int Job::missed_objectives(const Config& config, Seconds now) const {
@@ -62,7 +63,7 @@
     // Of tasks that were all begun once, only the end is still open.
     if (waits == config.wait_within.end() || interrupted.covers(pending)) return lost;
     for (Seconds within : waits->second)
-        if (now + constants::kStartLatency_s > accepted + within) ++lost;
+        if (now + constants::kExpectedStartLatency_s > accepted + within) ++lost;
     return lost;
 }
 
@@ -97,7 +98,7 @@
         JobRecord bare;
         bare.spec = spec;
         bare.accepted_wall = accepted_wall;
-        bare.next_attempt = constants::kMaxCount;
+        bare.next_attempt = constants::kMaxExactInteger;
         fixed_bytes = json_size(bare.pack(2));  // format 1 has fewer fields
     }
     size_t n = fixed_bytes;
@@ -116,7 +117,7 @@
 
 size_t Job::placement_bytes(uint64_t record_format, const Machine& on) const {
     if (record_format < 2) return format1_placement(spec.tasks, next_attempt, on.name, on.zone);
-    size_t n = constants::kPlacementFixed + json_text_size(on.name) + 3;
+    size_t n = constants::kPlacementOverheadBytes + json_text_size(on.name) + 3;
     bool known_zone =
         std::any_of(live.begin(), live.end(), [&](const auto& l) { return l.second.zone == on.zone; });
     // With one zone more each placement's number may become a digit longer.
@@ -130,13 +131,14 @@
     for (uint64_t f = record_format; f <= kNewestRecordFormat; ++f) {
         size_t limit = config.value_limit(f);
         // The ends of what is live may lengthen the done ranges by more than they take away.
-        size_t growth =
-            spec.tasks > constants::kSmallJob ? constants::kDoneGrowth - constants::kPlacementLeast : 0;
+        size_t growth = spec.tasks > constants::kSmallJobTasks
+                            ? constants::kDoneRangesGrowthBytes - constants::kMinPlacementBytes
+                            : 0;
         growth *= live.size() + on.size();
         size_t more = 0;
         for (const Machine* h : on) more += placement_bytes(f, *h);
         // Room for one stays free, unless this is the one: a job whose record is full goes on one by one.
-        size_t least = live.empty() && on.size() == 1 ? 0 : constants::kRecordReserve;
+        size_t least = live.empty() && on.size() == 1 ? 0 : constants::kRecordReserveBytes;
         auto fits = [&](size_t bytes) { return bytes + std::max(more, least) + growth <= limit; };
         if (fits(measured(f, false).bytes) || fits(measured(f, true).bytes)) continue;
         if (on.size() == 1) return false;
--- a/src/jobs/record.cc
+++ b/src/jobs/record.cc
@@ -13,7 +13,7 @@
 }
 
 std::string JobRecord::pack(uint64_t record_format) const {
-    Packer p;
+    MsgpackWriter p;
     p.map(record_format < 2 ? 26 : 28);
     p.key("id").text(spec.id).key("class").text(spec.job_class).key("team").text(spec.team);
     p.key("shape")
@@ -59,7 +59,7 @@
 }
 
 bool newer_record_format(const std::string& packed) {
-    auto m = Message::parse(packed);
+    auto m = MsgpackDocument::parse(packed);
     return m && m->root().is_map() && m->root()["v"].count_or(1) > kNewestRecordFormat;
 }
 
@@ -85,9 +85,9 @@
 }  // namespace
 
 std::optional<JobRecord> JobRecord::unpack(const std::string& packed) {
-    auto m = Message::parse(packed);
+    auto m = MsgpackDocument::parse(packed);
     if (!m || !m->root().is_map()) return std::nullopt;
-    Node n = m->root();
+    MsgpackValue n = m->root();
     uint64_t record_format = n["v"].count_or(1);
     if (record_format > kNewestRecordFormat) return std::nullopt;
     JobRecord r;
@@ -97,7 +97,7 @@
     r.spec.kind = static_cast<JobKind>(std::min<uint64_t>(2, n["shape"].count_or(0)));
     r.spec.priority = static_cast<PriorityClass>(std::min<uint64_t>(3, n["rank"].count_or(1)));
     uint64_t tasks = n["tasks"].count_or(0);
-    if (r.spec.id.empty() || tasks == 0 || tasks > constants::kMaxTasks) return std::nullopt;
+    if (r.spec.id.empty() || tasks == 0 || tasks > constants::kMaxTasksPerJob) return std::nullopt;
     r.spec.tasks = static_cast<uint32_t>(tasks);
     r.spec.cpus = n["cpus"].number_or(0);
     r.spec.gpus = n["gpus"].number_or(0);
@@ -143,7 +143,7 @@
 }
 
 std::string FinalRecord::pack() const {
-    Packer p;
+    MsgpackWriter p;
     p.map(4)
         .key("id")
         .text(id)
@@ -157,7 +157,7 @@
 }
 
 std::optional<FinalRecord> FinalRecord::unpack(const std::string& packed) {
-    auto m = Message::parse(packed);
+    auto m = MsgpackDocument::parse(packed);
     if (!m || !m->root().is_map()) return std::nullopt;
     FinalRecord r;
     if (m->root()["v"].count_or(1) > kNewestRecordFormat) return std::nullopt;
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "base/ranges.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "model/job_spec.h"
 
 namespace hareshore {
--- a/src/jobs/table.cc
+++ b/src/jobs/table.cc
@@ -297,7 +297,7 @@
                                 {"machine", machine.name},
                                 {"ran_s", ran},
                                 {"cause", exit_cause_name(cause)}});
-    if (ran >= constants::kReplicaSteady_s) return;
+    if (ran >= constants::kReplicaStableRun_s) return;
     job.last_quick_exit_at = now;
     job.failed_on.insert(machine.name);
     if (!job.failing && job.failed_on.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
@@ -305,7 +305,7 @@
         log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failed_on.size()}});
         for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
     }
-    if (++job.quick_exits > constants::kReplicaTries) {
+    if (++job.quick_exits > constants::kReplicaImmediateRestarts) {
         // Replicas that end together count as one: a pause runs already.
         if (now >= job.not_before)
             job.backoff_s =
@@ -371,14 +371,14 @@
         size_t straggling = 0;
         for (const auto& r : on_machine(name)) {
             const Job& j = *r.job;
-            if (j.spec.gang() || j.runs < constants::kStragglerComparisons) continue;
+            if (j.spec.gang() || j.runs < constants::kStragglerMinFinishedTasks) continue;
             const Placement& p = *r.placement;
             Seconds ran = p.running_since ? now - *p.running_since : 0;
-            if (ran > constants::kStragglerLeast_s &&
+            if (ran > constants::kStragglerMinRun_s &&
                 ran > constants::kStragglerFactor * j.runs_sum_s / j.runs)
                 ++straggling;
         }
-        if (straggling < constants::kStragglerTasks) continue;
+        if (straggling < constants::kCordonAfterStragglers) continue;
         h->cordoned = true;
         h->cordon_reason = "tasks take several times as long as others of their job elsewhere";
         log::info("machine_cordoned", {{"machine", name}, {"reason", h->cordon_reason}});
@@ -467,7 +467,7 @@
                 if (t.phase == TaskPhase::kRunning) {
                     if (!p.running_since) p.running_since = now;
                     if (job->spec.service() && p.bound_at >= job->last_quick_exit_at &&
-                        now - *p.running_since >= constants::kReplicaSteady_s) {
+                        now - *p.running_since >= constants::kReplicaStableRun_s) {
                         // What was started since then stays: what ended at once does so no longer.
                         job->failed_on.clear();
                         job->failing = false;
@@ -510,7 +510,7 @@
             if (p.sent_sequence != 0 && !r.newer_than(p.sent_incarnation, p.sent_sequence)) continue;
             // Answer after answer carried the launch and nothing came of it: bound to a machine that does
             // not hear us, the task would wait for ever.
-            if (p.sent >= constants::kUnansweredLaunches && !machine.unreachable_since) {
+            if (p.sent >= constants::kUnansweredLaunchLimit && !machine.unreachable_since) {
                 machine.unreachable_since = now;
                 log::info("machine_unreachable",
                           {{"machine", machine.name}, {"reason", "launches_without_effect"}});
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -9,7 +9,7 @@
 namespace {
 
 std::string pack_leader(const std::string& label, uint64_t fencing_token) {
-    Packer p;
+    MsgpackWriter p;
     p.map(2).key("node").text(label).key("epoch").count(fencing_token);
     return p.take();
 }
@@ -20,7 +20,7 @@
     : loop_(loop), state_(state), label_(std::move(label)), spread_(spread), changed_(loop) {}
 
 void Election::pause_longer() {
-    pause_ = std::clamp(pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+    pause_ = std::clamp(pause_ * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
 }
 
 void Election::deposed(const char* why) {
@@ -68,11 +68,12 @@
     if (resigning_) {
         // Workers may be launched nothing by us any more; the key goes at once, so that others need not wait.
         resigning_ = false;
-        co_await state_.revoke(lease_, constants::kStateCall_s);
+        co_await state_.revoke(lease_, constants::kStoreCallTimeout_s);
     }
     // A list, since only that tells the revision from which to watch: the key's own mod revision may be so
     // old that the service has forgotten the changes since.
-    ListResult got = co_await state_.list(kLeaderKey, "", constants::kRecordsPage, constants::kStateCall_s);
+    ListResult got =
+        co_await state_.list(kLeaderKey, "", constants::kRecordPageSize, constants::kStoreCallTimeout_s);
     const Entry* held = nullptr;
     for (const auto& e : got.entries)
         if (e.key == kLeaderKey) held = &e;
@@ -83,10 +84,10 @@
             changed_.notify();
         }
         if (standing_stopped_ || loop_.now() < out_until_) {
-            co_await loop_.sleep(constants::kLeadRenew_s);
+            co_await loop_.sleep(constants::kLeaderLeaseRenewal_s);
             co_return;
         }
-        co_await loop_.sleep(spread_ * constants::kElectionSpread_s);
+        co_await loop_.sleep(spread_ * constants::kElectionJitter_s);
         co_await stand();
         co_return;
     }
@@ -96,16 +97,16 @@
         co_return;
     }
     pause_ = 0;
-    auto m = Message::parse(held->data);
+    auto m = MsgpackDocument::parse(held->data);
     std::string node = m ? m->root()["node"].text_or("") : "";
     uint64_t fencing_token = m ? m->root()["epoch"].count_or(0) : 0;
     known_fencing_token_ = std::max(known_fencing_token_, fencing_token);
     if (node == label_) {
         // Left by this node's last process, which is gone: no need to wait for its lease.
         log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
-        GetResult own = co_await state_.get(kLeaderKey, constants::kStateCall_s);
+        GetResult own = co_await state_.get(kLeaderKey, constants::kStoreCallTimeout_s);
         if (own.status == StoreStatus::kOk && own.entry.mod_revision == held->mod_revision)
-            co_await state_.revoke(own.entry.lease, constants::kStateCall_s);
+            co_await state_.revoke(own.entry.lease, constants::kStoreCallTimeout_s);
         co_return;
     }
     if (leader_ != node) {
@@ -113,7 +114,7 @@
         leader_ = node;
         changed_.notify();
     }
-    ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeadWatch_s);
+    ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeaderWatchTimeout_s);
     if (c.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
@@ -121,13 +122,13 @@
 }
 
 Task<void> Election::stand() {
-    GetResult term = co_await state_.get(kTermKey, constants::kStateCall_s);
+    GetResult term = co_await state_.get(kTermKey, constants::kStoreCallTimeout_s);
     if (term.status != StoreStatus::kOk && term.status != StoreStatus::kNotFound) {
         pause_longer();
         co_await loop_.sleep(pause_);
         co_return;
     }
-    GetResult record_format = co_await state_.get(kRecordFormatKey, constants::kStateCall_s);
+    GetResult record_format = co_await state_.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
     if (record_format.status != StoreStatus::kOk && record_format.status != StoreStatus::kNotFound) {
         pause_longer();
         co_await loop_.sleep(pause_);
@@ -141,16 +142,16 @@
     }
     uint64_t last = 0;
     if (term.status == StoreStatus::kOk) {
-        auto m = Message::parse(term.entry.data);
+        auto m = MsgpackDocument::parse(term.entry.data);
         last = m ? m->root()["epoch"].count_or(0) : 0;
         if (last == 0) {
             log::error("election_not_joined", {{"reason", "term_unreadable"}});
-            co_await loop_.sleep(constants::kRetryPauseMax_s);
+            co_await loop_.sleep(constants::kRetryBackoffMax_s);
             co_return;
         }
     }
     Seconds asked = loop_.now();
-    LeaseResult lease = co_await state_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
+    LeaseResult lease = co_await state_.grant(constants::kLeaderLeaseTtl_s, constants::kStoreCallTimeout_s);
     if (lease.status != StoreStatus::kOk) {
         pause_longer();
         co_await loop_.sleep(pause_);
@@ -163,18 +164,18 @@
                record_format.status == StoreStatus::kOk ? record_format.entry.mod_revision : 0);
     std::string mine = pack_leader(label_, fencing_token);
     txn.put(kLeaderKey, mine, lease.lease).put(kTermKey, mine);
-    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
     if (r.status == StoreStatus::kUnknown) {
         // It may have been carried out: only the key can tell, and a late copy cannot win once the term
         // has moved on.
-        GetResult now = co_await state_.get(kLeaderKey, constants::kStateCall_s);
+        GetResult now = co_await state_.get(kLeaderKey, constants::kStoreCallTimeout_s);
         if (now.status == StoreStatus::kOk && now.entry.lease == lease.lease) {
             r.status = StoreStatus::kOk;
             r.revision = now.entry.mod_revision;
         }
     }
     if (r.status != StoreStatus::kOk) {
-        co_await state_.revoke(lease.lease, constants::kStateCall_s);
+        co_await state_.revoke(lease.lease, constants::kStoreCallTimeout_s);
         co_return;
     }
     lease_ = lease.lease;
@@ -182,22 +183,23 @@
     mod_revision_ = r.revision;
     known_fencing_token_ = fencing_token;
     leading_ = true;
-    confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
+    confirmed_until_ = asked + constants::kLeaderLeaseTtl_s * (1 - constants::kClockDriftRate);
     leader_ = label_;
     log::info("leadership_won", {{"fencing_token", fencing_token_}, {"took_s", loop_.now() - asked}});
     changed_.notify();
 }
 
 Task<void> Election::keep() {
-    Seconds pause = constants::kLeadRenew_s;
+    Seconds pause = constants::kLeaderLeaseRenewal_s;
     while (leading_) {
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds asked = loop_.now();
-        StoreStatus r = co_await state_.renew(lease_, constants::kStateCall_s);
-        if (r == StoreStatus::kOk) confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
+        StoreStatus r = co_await state_.renew(lease_, constants::kStoreCallTimeout_s);
+        if (r == StoreStatus::kOk)
+            confirmed_until_ = asked + constants::kLeaderLeaseTtl_s * (1 - constants::kClockDriftRate);
         if (r == StoreStatus::kNotFound) deposed("its lease ended");
-        pause = r == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
+        pause = r == StoreStatus::kOk ? constants::kLeaderLeaseRenewal_s : constants::kRetryBackoff_s * 2;
     }
 }
 
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -22,7 +22,7 @@
     }  // of the leadership key: the condition of every write
     const std::string& leader() const { return leader_; }  // who is thought to lead; may be empty
     uint64_t known_fencing_token() const { return known_fencing_token_; }  // highest term heard of
-    Signal& changed() { return changed_; }
+    Condition& changed() { return changed_; }
 
     // Proof that another leads in a later term.
     void deposed(const char* why);
@@ -51,7 +51,7 @@
     Seconds confirmed_until_ = -1;
     Seconds out_until_ = -1;
     Seconds pause_ = 0;
-    Signal changed_;
+    Condition changed_;
 };
 
 }  // namespace hareshore
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -44,7 +44,7 @@
     // What belongs to a machine's connection rather than to the machine.
     struct WorkerConnection {
         explicit WorkerConnection(Loop& loop) : wake(loop) {}
-        Signal wake;
+        Condition wake;
         uint64_t reports = 0;            // how many came; an older one's answer is dropped by the worker
         bool command_in_flight = false;  // a direct command is on its way
         bool again = false;              // another is wanted after it
@@ -132,8 +132,8 @@
     bool wanted_ = false;                     // a scheduling pass is wanted
     uint64_t passes_ = 0;
     Seconds next_pass_ = -1e9, longest_pass_ = 0;
-    Signal ready_, dirty_, ask_, pass_done_;
-    Scope scope_;
+    Condition ready_, dirty_, ask_, pass_done_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -3,6 +3,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "http/json_size.h"
 #include "leader/leader.h"
 
 namespace hareshore {
@@ -21,13 +22,14 @@
                 } else {
                     Transaction txn;
                     txn.expect(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
-                    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+                    TransactionResult r =
+                        co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
                     machine_types_kept_ = r.status == StoreStatus::kOk || r.status == StoreStatus::kInvalid;
                 }
             }
-            co_await loop_.sleep(constants::kMachineTypesEvery_s);
+            co_await loop_.sleep(constants::kMachineTypesInterval_s);
         } else {
-            co_await loop_.sleep(constants::kRetryPauseMax_s);
+            co_await loop_.sleep(constants::kRetryBackoffMax_s);
         }
     }
 }
@@ -54,7 +56,7 @@
                 if (m.phase > h.phase) h.phase = m.phase;
             }
         }
-        co_await loop_.sleep(list ? constants::kListEvery_s : constants::kRetryPauseMax_s);
+        co_await loop_.sleep(list ? constants::kMachineListInterval_s : constants::kRetryBackoffMax_s);
     }
 }
 
@@ -70,10 +72,11 @@
 Task<void> Leader::run_fleet() {
     while (true) {
         Seconds slept = loop_.now();
-        co_await loop_.sleep(constants::kFleetTick_s);
+        co_await loop_.sleep(constants::kScalingInterval_s);
         // Who stood still heard nobody: the machines were not silent, we did not listen.
-        if (loop_.now() - slept > constants::kFleetTick_s + constants::kProcessStall_s) {
-            log::info("process_stalled", {{"stalled_s", loop_.now() - slept - constants::kFleetTick_s}});
+        if (loop_.now() - slept > constants::kScalingInterval_s + constants::kProcessStall_s) {
+            log::info("process_stalled",
+                      {{"stalled_s", loop_.now() - slept - constants::kScalingInterval_s}});
             listening_since_ = loop_.now();
         }
         request_pass();  // time has passed: what was held may go
@@ -88,14 +91,15 @@
         if (!leadership_->confirmed()) continue;
         if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
-        if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
+        if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kNewLeaderScalingDelay_s)
+            continue;
         jobs_.find_stragglers(cluster_, loop_.now());
         jobs_.move_replicas(cluster_, loop_.now());
         ScalingInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
                         refused_until_, on_order_, true,        kind_seen_spot_only(),
                         cut_at_};
         recount(cluster_, jobs_, loop_.now(), silent_after());  // without what is kept
-        account(constants::kFleetTick_s);
+        account(constants::kScalingInterval_s);
         ScalingPlan plan = plan_scaling(cluster_, jobs_, in);
         for (const auto& zone : plan.cut) {
             if (loop_.now() - cut_at_[zone] > constants::kWaitLogInterval_s)
@@ -104,7 +108,7 @@
         }
         for (auto& r : plan.rent) {
             while (r.number > 0) {
-                ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerRental)};
+                ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerScaleOutRequest)};
                 r.number -= part.number;
                 on_order_.push_back(part);
                 spawn(rent(part), "rent");
@@ -137,20 +141,20 @@
         log::info("machine_returned", {{"machine", name}, {"reason", plan.reasons.at(name)}});
         names.push_back(name);
         if (plan.silent.contains(name)) silent.insert(name);
-        if (names.size() == constants::kMachinesPerDeletion) send();
+        if (names.size() == constants::kMachinesPerDeletionRequest) send();
     }
     send();
 }
 
 // Before anything is asked of the cloud.
 Task<void> Leader::confirmation() {
-    while (!leadership_->confirmed()) co_await loop_.sleep(constants::kRetryPause_s);
+    while (!leadership_->confirmed()) co_await loop_.sleep(constants::kRetryBackoff_s);
 }
 
 Task<void> Leader::rent(ScaleOutRequest rental) {
     // The epoch is never reused, so neither is the claim; it is repeated until its answer is known.
     std::string claim = "r-" + std::to_string(term_.fencing_token) + "-" + std::to_string(++claims_);
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     while (true) {
         co_await confirmation();
         RentResult r = co_await cloud_.rent(claim, rental.kind.machine_type, rental.kind.zone,
@@ -174,7 +178,7 @@
             break;
         }
         co_await loop_.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
     for (auto it = on_order_.begin(); it != on_order_.end(); ++it) {
         if (it->kind == rental.kind && it->number == rental.number) {
@@ -185,7 +189,7 @@
 }
 
 Task<void> Leader::remove(std::vector<std::string> names, std::set<std::string> silent) {
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     Seconds decided = loop_.now();
     bool perhaps = false;  // a request may have been carried out, or may yet be
     while (true) {
@@ -208,7 +212,7 @@
                 if (holds_cancelled(name)) asked.push_back(name);
         }
         if (asked.empty()) {
-            co_await loop_.sleep(constants::kRetryPause_s);
+            co_await loop_.sleep(constants::kRetryBackoff_s);
             continue;
         }
         Removal r = co_await cloud_.remove(asked);
@@ -219,7 +223,7 @@
         }
         perhaps = perhaps || r == Removal::kUnknown;
         co_await loop_.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
 }
 
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -3,6 +3,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "http/json_size.h"
 #include "leader/leader.h"
 
 namespace hareshore {
@@ -10,8 +11,8 @@
 Task<void> Leader::load() {
     Seconds began = loop_.now();
     while (!co_await learn_record_format(state_, record_format_))
-        co_await loop_.sleep(constants::kRetryPause_s * 2);
-    while (!co_await read_records()) co_await loop_.sleep(constants::kRetryPause_s * 2);
+        co_await loop_.sleep(constants::kRetryBackoff_s * 2);
+    while (!co_await read_records()) co_await loop_.sleep(constants::kRetryBackoff_s * 2);
     loaded_ = true;
     loaded_at_ = loop_.now();
     log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", loaded_at_ - began}});
@@ -30,8 +31,8 @@
     uint64_t revision = 0;
     Seconds began = loop_.now();
     while (true) {
-        ListResult page =
-            co_await state_.list(kLivePrefix, from, constants::kRecordsPage, constants::kStateCall_s * 2);
+        ListResult page = co_await state_.list(kLivePrefix, from, constants::kRecordPageSize,
+                                               constants::kStoreCallTimeout_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
         if (revision == 0) revision = page.revision;  // changes since the first page are watched
         for (auto& e : page.entries) {
@@ -73,7 +74,7 @@
     Seconds pause = 0;
     while (true) {
         Seconds sent = loop_.now();
-        ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kWatchWait_s);
+        ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kRecordWatchTimeout_s);
         if (r.status == StoreStatus::kOk) {
             pause = 0;
             for (const auto& c : r.changes) take_change(c);
@@ -86,10 +87,10 @@
         if (r.status == StoreStatus::kNotFound && co_await read_records()) {
             // Never at once again: a service that keeps saying so must not be stampeded.
             request_pass();
-            co_await loop_.sleep(constants::kRetryPause_s);
+            co_await loop_.sleep(constants::kRetryBackoff_s);
             continue;
         }
-        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+        pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
         co_await loop_.sleep(pause);
     }
 }
@@ -117,7 +118,7 @@
         }
         size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.left(loop_.now())));
         std::vector<Job*> batch =
-            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTxnBytes, record_format);
+            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTransactionBytes, record_format);
         if (alone > 0 && !batch.empty()) {
             --alone;
             for (size_t i = 1; i < batch.size(); ++i) jobs_.requeue(*batch[i]);
@@ -155,7 +156,7 @@
         }
         if (ids.empty()) continue;
         writes_.take(static_cast<double>(txn.writes.size()), loop_.now());
-        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
         if (r.status == StoreStatus::kOk) {
             pause = 0;
             std::set<std::string> machines;
@@ -192,8 +193,8 @@
             continue;
         }
         if (r.status == StoreStatus::kNotExecuted || r.status == StoreStatus::kRateLimited)
-            writes_.drain(loop_.now());
-        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+            writes_.mark_exhausted(loop_.now());
+        pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
         co_await loop_.sleep(pause);
     }
 }
@@ -216,24 +217,25 @@
                 .expect(kRecordFormatKey, 0)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, loop_.now());
-            co_await state_.commit(std::move(txn), constants::kStateCall_s);
+            co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
             // Whatever became of it, the key tells.
             co_await learn_record_format(state_, record_format_);
         }
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.kept < kNewestRecordFormat)
+            co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     dirty_.notify();
 }
 
 // A record has another mod revision than expected: its user withdrew the job, or an answer of ours was lost.
 Task<bool> Leader::reread(std::string id) {
-    GetResult got = co_await state_.get(live_key(id), constants::kStateCall_s);
+    GetResult got = co_await state_.get(live_key(id), constants::kStoreCallTimeout_s);
     if (got.status == StoreStatus::kOk) {
         take_change({live_key(id), false, got.entry.mod_revision, got.entry.data});
         co_return true;
     }
     if (got.status != StoreStatus::kNotFound) co_return false;
-    GetResult end = co_await state_.get(final_key(id), constants::kStateCall_s);
+    GetResult end = co_await state_.get(final_key(id), constants::kStoreCallTimeout_s);
     if (end.status == StoreStatus::kOk) finished(id, end.entry.mod_revision);
     if (end.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", id}});
     co_return end.status == StoreStatus::kOk;
@@ -243,7 +245,7 @@
     jobs_.erase(id);
     finished_[id] = revision;
     finished_order_.push_back(id);
-    if (finished_order_.size() > constants::kFinalCache) {
+    if (finished_order_.size() > constants::kFinalStateCacheSize) {
         finished_.erase(finished_order_.front());
         finished_order_.pop_front();
     }
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -11,7 +11,8 @@
 // and no task may outlive cancel_s after its user was told of the cancellation. So an answer is allowed
 // while no cancellation older than the difference can be missing here.
 bool Leader::may_renew() {
-    Seconds span = (config_.cancel_s - config_.lease_s) * (1 - constants::kDrift) - constants::kRenewMargin_s;
+    Seconds span = (config_.cancel_s - config_.lease_s) * (1 - constants::kClockDriftRate) -
+                   constants::kRenewalRightMargin_s;
     Seconds now = loop_.now();
     // What was known once stays known, also when a peer begins anew and can no longer speak for it.
     cancellations_known_until_ = std::max(cancellations_known_until_, watched_until_);
@@ -46,9 +47,9 @@
     cluster_.machine(machine)->holding = true;
     uint64_t round = passes_;
     request_pass();
-    Seconds until = std::min(answer_by, loop_.now() + constants::kPassWait_s);
+    Seconds until = std::min(answer_by, loop_.now() + constants::kHeartbeatSchedulingWait_s);
     while (passes_ == round && !stopped_)
-        if (co_await loop_.wait(pass_done_, until) == Wake::kTimeout) break;
+        if (co_await loop_.wait(pass_done_, until) == WakeReason::kTimeout) break;
 }
 
 Task<Response> Leader::handle_heartbeat(WorkerHeartbeat r, Seconds hold, bool direct) {
@@ -59,7 +60,7 @@
     }
     Seconds began = loop_.now();
     while (!loaded_ && !stopped_)
-        if (co_await loop_.wait(ready_, began + hold) == Wake::kTimeout) co_return no;
+        if (co_await loop_.wait(ready_, began + hold) == WakeReason::kTimeout) co_return no;
     if (stopped_ || deleted_machines_.contains(r.machine)) co_return no;
 
     std::string name = r.machine;
@@ -100,15 +101,15 @@
         bool commits = jobs_.awaits_commit(*h);
         if (commits) {
             if (commit_until < 0)
-                commit_until =
-                    std::min(loop_.now() + constants::kCommitWait_s, began + hold + constants::kCommitLast_s);
+                commit_until = std::min(loop_.now() + constants::kHeartbeatCommitWait_s,
+                                        began + hold + constants::kHeartbeatCommitWaitPastHold_s);
             until = commit_until;
         } else if (h->schedulable && h->idle()) {
             until = began + hold;
         } else if (h->schedulable && replica_ && h->free.holds(*replica_) && jobs_.settled_on(*h)) {
             // A replica that comes or is lost does not wait for the next report. Not for long: changes on the
             // machine are told in its next report, which does not go out before this is answered.
-            until = began + std::min(hold, constants::kHoldBusy_s);
+            until = began + std::min(hold, constants::kBusyHeartbeatHold_s);
         }
         if (loop_.now() >= until) break;
         Holding holding{*this, name};
@@ -153,9 +154,9 @@
 Task<void> Leader::run_passes() {
     while (true) {
         // What is held for a better machine may go to another soon, without any report.
-        Seconds until = held_back_ ? loop_.now() + constants::kHeldPass_s : -1;
+        Seconds until = held_back_ ? loop_.now() + constants::kDelayedTaskSchedulingInterval_s : -1;
         while (!wanted_)
-            if (co_await loop_.wait(ask_, until) == Wake::kTimeout) break;
+            if (co_await loop_.wait(ask_, until) == WakeReason::kTimeout) break;
         if (loop_.now() < next_pass_) co_await loop_.sleep(next_pass_ - loop_.now());
         wanted_ = false;
         Seconds began = loop_.now();
@@ -163,7 +164,8 @@
         // With a fleet or a queue that is large for this machine's share of a core, scheduling passes come
         // less often: workers lose their tasks if they are not answered, and nothing if they wait for work.
         Seconds took = loop_.now() - began;
-        next_pass_ = began + std::max(constants::kPassInterval_s, took * (1 + constants::kPassRestFactor));
+        next_pass_ = began + std::max(constants::kSchedulingInterval_s,
+                                      took * (1 + constants::kSchedulingPauseFactor));
         longest_pass_ = std::max(longest_pass_, took);
         ++passes_;
         pass_done_.notify();
@@ -218,7 +220,7 @@
 }
 
 Seconds Leader::silent_after() const {
-    return constants::kFreshHeartbeats * config_.heartbeat_interval_s;
+    return constants::kFreshHeartbeatIntervals * config_.heartbeat_interval_s;
 }
 
 // Stops go at once; a gang must hear of its stop within gang_peer_s.
@@ -226,8 +228,8 @@
     do {
         worker_connection(machine).again = false;
         Machine* h = cluster_.machine(machine);
-        Address to;
-        if (!h || !Address::parse(h->addr, to)) break;
+        std::optional<Address> to = h ? Address::parse(h->addr) : std::nullopt;
+        if (!to) break;
         std::vector<Command> stops = jobs_.commands(*h, false);
         std::erase_if(stops, [](const Command& o) { return o.verb != CommandKind::kStop; });
         // One that has not reported to this leader may be held by another that knows less. Its session is
@@ -241,7 +243,7 @@
         if (stops.empty()) break;
         h->answered_directly = false;  // the command numbers a report, whether or not its answer arrives
         auto report =
-            co_await send_commands(loop_, to, term_.fencing_token, h->incarnation, std::move(stops));
+            co_await send_commands(loop_, *to, term_.fencing_token, h->incarnation, std::move(stops));
         h = cluster_.machine(machine);
         if (report && h && report->newer_than(h->incarnation, h->sequence)) {
             jobs_.apply(cluster_, *h, *report, false, loop_.now());
--- a/src/loop/loop.cc
+++ b/src/loop/loop.cc
@@ -11,12 +11,12 @@
 
 namespace hareshore {
 
-void Routine::cancel() {
+void SpawnedTask::cancel() {
     cancelled = true;
-    if (pending) pending->wake(Wake::kCancelled);
+    if (pending) pending->wake(WakeReason::kCancelled);
 }
 
-void Waiter::wake(Wake why) {
+void Waiter::wake(WakeReason why) {
     outcome = why;
     if (slot) *slot = nullptr;
     slot = nullptr;
@@ -28,11 +28,11 @@
     loop.post(handle, routine);
 }
 
-void Signal::notify() {
-    while (!waiters_.empty()) waiters_.front()->wake(Wake::kEvent);
+void Condition::notify() {
+    while (!waiters_.empty()) waiters_.front()->wake(WakeReason::kEvent);
 }
 
-File::File(Loop& loop, int fd) : loop_(loop), fd_(fd) {
+FileDescriptor::FileDescriptor(Loop& loop, int fd) : loop_(loop), fd_(fd) {
     epoll_event ev{};
     ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
     ev.data.fd = fd;
@@ -40,9 +40,9 @@
     loop.files_[fd] = this;
 }
 
-File::~File() {
-    if (reader_) reader_->wake(Wake::kEvent);
-    if (writer_) writer_->wake(Wake::kEvent);
+FileDescriptor::~FileDescriptor() {
+    if (reader_) reader_->wake(WakeReason::kEvent);
+    if (writer_) writer_->wake(WakeReason::kEvent);
     loop_.files_.erase(fd_);
     close(fd_);
 }
@@ -52,7 +52,7 @@
 // The outermost coroutine of a routine; it frees itself.
 struct Root {
     struct promise_type {
-        Routine* routine = nullptr;
+        SpawnedTask* routine = nullptr;
         Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
         std::suspend_always initial_suspend() noexcept { return {}; }
         std::suspend_never final_suspend() noexcept { return {}; }
@@ -64,7 +64,7 @@
 
 template <class State>
 Root run_root(Task<void> task, std::string name, std::shared_ptr<State> state,
-              std::unique_ptr<Routine> routine) {
+              std::unique_ptr<SpawnedTask> routine) {
     try {
         if (!routine->cancelled) co_await task;
     } catch (const Cancelled&) {
@@ -76,10 +76,10 @@
 
 }  // namespace
 
-void Scope::spawn(Task<void> task, std::string name, Priority priority) {
+void TaskGroup::spawn(Task<void> task, std::string name, Priority priority) {
     if (state_->cancelled) return;
-    auto routine = std::make_unique<Routine>();
-    Routine* raw = routine.get();
+    auto routine = std::make_unique<SpawnedTask>();
+    SpawnedTask* raw = routine.get();
     raw->priority = priority;
     raw->place = state_->routines.insert(state_->routines.end(), raw);
     Root root = run_root(std::move(task), std::move(name), state_, std::move(routine));
@@ -87,13 +87,13 @@
     loop_.post(root.handle, raw);
 }
 
-void Scope::cancel() {
+void TaskGroup::cancel() {
     state_->cancelled = true;
-    for (Routine* r : state_->routines) r->cancel();
+    for (SpawnedTask* r : state_->routines) r->cancel();
 }
 
 Loop::Loop(Clock& clock)
-    : clock_(clock), epoll_(epoll_create1(EPOLL_CLOEXEC)), read_buffer_(constants::kReadBuffer) {
+    : clock_(clock), epoll_(epoll_create1(EPOLL_CLOEXEC)), read_buffer_(constants::kReadBufferSize) {
     if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
@@ -109,7 +109,7 @@
 
 void Loop::Await::enter() {
     if (routine && routine->cancelled) {
-        outcome = Wake::kCancelled;
+        outcome = WakeReason::kCancelled;
         loop.post(handle, routine);
         return;
     }
@@ -128,8 +128,8 @@
     if (routine) routine->pending = this;
 }
 
-Wake Loop::Await::await_resume() {
-    if (outcome == Wake::kCancelled || (routine && routine->cancelled)) throw Cancelled{};
+WakeReason Loop::Await::await_resume() {
+    if (outcome == WakeReason::kCancelled || (routine && routine->cancelled)) throw Cancelled{};
     return outcome;
 }
 
@@ -147,26 +147,27 @@
     for (int i = 0; i < n; ++i) {
         auto it = files_.find(events[i].data.fd);
         if (it == files_.end()) continue;
-        File& f = *it->second;
+        FileDescriptor& f = *it->second;
         uint32_t bits = events[i].events;
         if (bits & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
             if (bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) f.hung_up_ = true;
             if (f.reader_) {
-                f.reader_->wake(Wake::kEvent);
+                f.reader_->wake(WakeReason::kEvent);
             } else {
                 f.readable_ = true;
             }
         }
         if (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
             if (f.writer_) {
-                f.writer_->wake(Wake::kEvent);
+                f.writer_->wake(WakeReason::kEvent);
             } else {
                 f.writable_ = true;
             }
         }
     }
     Seconds t = now();
-    while (!timers_.empty() && timers_.begin()->first <= t) timers_.begin()->second->wake(Wake::kTimeout);
+    while (!timers_.empty() && timers_.begin()->first <= t)
+        timers_.begin()->second->wake(WakeReason::kTimeout);
     size_t ran = resume_ready();
     return n > 0 || ran > 0;
 }
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -16,18 +16,18 @@
 namespace hareshore {
 
 class Loop;
-class Signal;
+class Condition;
 
-enum class Wake { kEvent, kTimeout, kCancelled };
+enum class WakeReason { kEvent, kTimeout, kCancelled };
 
 // One wait of one routine: for a file, a signal or a time, whichever comes first.
 struct Waiter {
     Loop& loop;
-    Routine* routine = nullptr;
+    SpawnedTask* routine = nullptr;
     std::coroutine_handle<> handle;
-    Wake outcome = Wake::kEvent;
+    WakeReason outcome = WakeReason::kEvent;
     Waiter** slot = nullptr;  // the file's place for its waiter
-    Signal* signal = nullptr;
+    Condition* signal = nullptr;
     std::list<Waiter*>::iterator place;
     std::multimap<Seconds, Waiter*>::iterator timer;
     bool timed = false;
@@ -35,16 +35,16 @@
     explicit Waiter(Loop& l) : loop(l) {}
     Waiter(const Waiter&) = delete;
     Waiter& operator=(const Waiter&) = delete;
-    void wake(Wake why);
+    void wake(WakeReason why);
 };
 
 // Routines wait for it; notify() wakes all that wait.
-class Signal {
+class Condition {
   public:
-    explicit Signal(Loop& loop) : loop_(loop) {}
-    Signal(const Signal&) = delete;
-    Signal& operator=(const Signal&) = delete;
-    ~Signal() { notify(); }
+    explicit Condition(Loop& loop) : loop_(loop) {}
+    Condition(const Condition&) = delete;
+    Condition& operator=(const Condition&) = delete;
+    ~Condition() { notify(); }
     void notify();
 
   private:
@@ -55,12 +55,12 @@
 };
 
 // A non-blocking file descriptor of the loop, closed with the object.
-class File {
+class FileDescriptor {
   public:
-    File(Loop& loop, int fd);
-    File(const File&) = delete;
-    File& operator=(const File&) = delete;
-    ~File();
+    FileDescriptor(Loop& loop, int fd);
+    FileDescriptor(const FileDescriptor&) = delete;
+    FileDescriptor& operator=(const FileDescriptor&) = delete;
+    ~FileDescriptor();
     int fd() const { return fd_; }
     // Whether epoll has told of bytes, or of the end, that nobody has read yet.
     bool unread() const { return readable_ || hung_up_; }
@@ -79,12 +79,12 @@
 };
 
 // The routines that belong together; cancel() ends them all in order.
-class Scope {
+class TaskGroup {
   public:
-    explicit Scope(Loop& loop) : loop_(loop), state_(std::make_shared<State>()) {}
-    Scope(const Scope&) = delete;
-    Scope& operator=(const Scope&) = delete;
-    ~Scope() { cancel(); }
+    explicit TaskGroup(Loop& loop) : loop_(loop), state_(std::make_shared<State>()) {}
+    TaskGroup(const TaskGroup&) = delete;
+    TaskGroup& operator=(const TaskGroup&) = delete;
+    ~TaskGroup() { cancel(); }
     // Starts a routine at the next turn of the loop. After cancel() nothing is started.
     void spawn(Task<void> task, std::string name, Priority priority = Priority::kNormal);
     void cancel();
@@ -94,7 +94,7 @@
   private:
     friend class Loop;
     struct State {
-        std::list<Routine*> routines;
+        std::list<SpawnedTask*> routines;
         bool cancelled = false;
     };
     Loop& loop_;
@@ -129,10 +129,10 @@
 
     struct Await : Waiter {
         Seconds until;
-        File* file;
+        FileDescriptor* file;
         bool writing;
-        Signal* on;
-        Await(Loop& l, Seconds u, File* f = nullptr, bool w = false, Signal* s = nullptr)
+        Condition* on;
+        Await(Loop& l, Seconds u, FileDescriptor* f = nullptr, bool w = false, Condition* s = nullptr)
             : Waiter(l), until(u), file(f), writing(w), on(s) {}
         bool await_ready();
         template <class P>
@@ -141,7 +141,7 @@
             handle = h;
             enter();
         }
-        Wake await_resume();
+        WakeReason await_resume();
         void enter();
     };
 
@@ -149,15 +149,15 @@
     Await sleep(Seconds s) { return {*this, now() + s}; }
     // Lets all others that are ready go first.
     Await yield() { return sleep(0); }
-    Await readable(File& f, Seconds until) { return {*this, until, &f, false}; }
-    Await writable(File& f, Seconds until) { return {*this, until, &f, true}; }
-    Await wait(Signal& s, Seconds until) { return {*this, until, nullptr, false, &s}; }
+    Await readable(FileDescriptor& f, Seconds until) { return {*this, until, &f, false}; }
+    Await writable(FileDescriptor& f, Seconds until) { return {*this, until, &f, true}; }
+    Await wait(Condition& s, Seconds until) { return {*this, until, nullptr, false, &s}; }
 
   private:
     friend struct Waiter;
-    friend class File;
-    friend class Scope;
-    void post(std::coroutine_handle<> h, const Routine* of) {
+    friend class FileDescriptor;
+    friend class TaskGroup;
+    void post(std::coroutine_handle<> h, const SpawnedTask* of) {
         bool urgent = of && of->priority == Priority::kUrgent;
         (urgent ? urgent_ : ready_).push_back(h);
     }
@@ -169,7 +169,7 @@
     bool stopped_ = false;
     std::deque<std::coroutine_handle<>> urgent_, ready_;
     std::multimap<Seconds, Waiter*> timers_;
-    std::map<int, File*> files_;
+    std::map<int, FileDescriptor*> files_;
     std::vector<char> read_buffer_;
 };
 
--- a/src/loop/task.h
+++ b/src/loop/task.h
@@ -17,17 +17,17 @@
 // Urgent routines run before all others that are ready.
 enum class Priority : unsigned char { kNormal, kUrgent };
 
-struct Routine {
+struct SpawnedTask {
     Priority priority = Priority::kNormal;
     Waiter* pending = nullptr;  // the wait that the routine is in
     bool cancelled = false;
-    std::list<Routine*>::iterator place;  // among the routines of its scope
+    std::list<SpawnedTask*>::iterator place;  // among the routines of its scope
     void cancel();
 };
 
 struct PromiseBase {
     std::coroutine_handle<> next;
-    Routine* routine = nullptr;
+    SpawnedTask* routine = nullptr;
     std::exception_ptr error;
 
     std::suspend_always initial_suspend() noexcept { return {}; }
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -28,7 +28,7 @@
     Head h{};
     std::memcpy(&h, buffer_.data(), sizeof h);
     bool known = h.kind >= 1 && h.kind <= static_cast<uint16_t>(Kind::kCancellationNotice);
-    if (h.magic != kMagic || h.version != kVersion || !known || h.length > constants::kFrameLimit) {
+    if (h.magic != kMagic || h.version != kVersion || !known || h.length > constants::kPeerFrameLimit) {
         bad_ = true;
         return std::nullopt;
     }
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -25,7 +25,7 @@
     std::string outbox;
     uint32_t cancellations_sent =
         0;  // of the cancellations told here, how many this link was sent or need not be sent
-    Signal more;
+    Condition more;
     bool open = true;
     void close() {
         open = false;
@@ -35,7 +35,7 @@
 
 struct Peers::Call {
     explicit Call(Loop& loop) : done(loop) {}
-    Signal done;
+    Condition done;
     std::optional<Response> answer;
 };
 
@@ -47,8 +47,9 @@
       on_cancellation_(std::move(cancelled)),
       links_(config.peers.size()),
       incarnation_(draw_incarnation()),
-      most_routines_(std::max(constants::kPeerRoutines, config.sockets)),
-      most_outbox_(std::max(constants::kOutbox, config.sockets * constants::kOutboxPerSocket)),
+      most_routines_(std::max(constants::kMinConcurrentPeerRequests, config.sockets)),
+      most_outbox_(std::max(constants::kMinPeerSendQueueBytes,
+                            config.sockets * constants::kPeerSendQueueBytesPerSocket)),
       news_(loop),
       listener_(loop, listen_on(config.peer_listen)),
       scope_(loop) {
@@ -84,7 +85,7 @@
             p.answer_at = now;
             // Taken from the very answer: with the silence of a later heartbeat, which nobody asked for, an
             // earlier answer would seem to reach further back than its sender's word.
-            p.no_cancellation_since = now - heartbeat.quiet_ms / 1000.0 * (1 - constants::kDrift);
+            p.no_cancellation_since = now - heartbeat.quiet_ms / 1000.0 * (1 - constants::kClockDriftRate);
             bool says = peer::extended(heartbeat) && heartbeat.record_format >= peer::kPeerFormat;
             if (!says) {
                 p.complete_since = 1e18;
@@ -97,7 +98,7 @@
             }
         } else {
             bool known = heartbeat.incarnation == p.incarnation;
-            if (known ? frame.id <= p.last_heartbeat : now - p.answer_at < constants::kHeartbeatFresh_s)
+            if (known ? frame.id <= p.last_heartbeat : now - p.answer_at < constants::kPeerHeartbeatTimeout_s)
                 return;
             p.last_heartbeat = frame.id;
         }
@@ -111,7 +112,8 @@
 
 Task<void> Peers::dial(size_t peer) {
     while (true) {
-        auto stream = co_await connect_to(loop_, peers_[peer].who.addr, loop_.now() + constants::kConnect_s);
+        auto stream =
+            co_await connect_to(loop_, peers_[peer].who.addr, loop_.now() + constants::kConnectTimeout_s);
         if (stream) {
             auto link = std::make_shared<Link>(loop_, std::move(stream));
             links_[peer] = link;
@@ -121,11 +123,11 @@
                 peer::Heartbeat b = heartbeat_now();
                 b.asked_us = static_cast<uint64_t>(loop_.now() * 1e6);
                 send(*link, peer::pack(peer::Kind::kHeartbeat, next_heartbeat_++, incarnation_, b));
-                co_await loop_.sleep(constants::kHeartbeat_s);
+                co_await loop_.sleep(constants::kPeerHeartbeatInterval_s);
             }
             links_[peer] = nullptr;
         }
-        co_await loop_.sleep(constants::kHeartbeat_s);
+        co_await loop_.sleep(constants::kPeerHeartbeatInterval_s);
     }
 }
 
@@ -144,7 +146,7 @@
     if (!announced_ids_.insert(id).second) return;
     announced_.push_back(id);
     ++announced_count_;
-    if (announced_.size() > constants::kAnnouncementsKept) {
+    if (announced_.size() > constants::kCancellationAnnouncementsKept) {
         announced_ids_.erase(announced_.front());
         announced_.pop_front();
     }
@@ -173,15 +175,15 @@
 
 Task<void> Peers::accept_all() {
     while (true) {
-        int fd = accept_from(listener_.fd());
-        if (fd == -1) {
+        tl::expected<int, AcceptError> fd = accept_connection(listener_.fd());
+        if (!fd && fd.error() == AcceptError::kNoneWaiting) {
             co_await loop_.readable(listener_, -1);
-        } else if (fd == -2) {
-            co_await loop_.sleep(constants::kAcceptPause_s);
+        } else if (!fd) {
+            co_await loop_.sleep(constants::kAcceptRetryPause_s);
         } else if (scope_.size() > most_routines_) {
-            close(fd);
+            close(*fd);
         } else {
-            scope_.spawn(serve(fd), "peer connection", Priority::kUrgent);
+            scope_.spawn(serve(*fd), "peer connection", Priority::kUrgent);
         }
     }
 }
@@ -199,14 +201,15 @@
             continue;
         }
         std::string out = std::exchange(link->outbox, {});
-        if (!co_await link->stream->write(out, loop_.now() + constants::kHeartbeatFresh_s)) link->close();
+        if (!co_await link->stream->write(out, loop_.now() + constants::kPeerHeartbeatTimeout_s))
+            link->close();
     }
 }
 
 Task<void> Peers::read_all(std::shared_ptr<Link> link) {
     peer::Reader reader;
     while (link->open) {
-        Stream::Read got = co_await link->stream->read(loop_.now() + constants::kHeartbeatFresh_s);
+        Stream::Read got = co_await link->stream->read(loop_.now() + constants::kPeerHeartbeatTimeout_s);
         if (!got.ok()) break;
         reader.feed(got.bytes);
         while (auto f = reader.next()) {
@@ -275,9 +278,9 @@
             ~Forget() { calls.erase(id); }
         } forget{calls_, id};
         send(*links_[i], peer::pack(peer::Kind::kRelay, id, incarnation_, body));
-        Seconds until = loop_.now() + constants::kRelay_s;
+        Seconds until = loop_.now() + constants::kRelayTimeout_s;
         while (!call->answer)
-            if (co_await loop_.wait(call->done, until) == Wake::kTimeout) break;
+            if (co_await loop_.wait(call->done, until) == WakeReason::kTimeout) break;
         co_return call->answer;
     }
     co_return std::nullopt;
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -51,7 +51,7 @@
     Task<std::optional<Response>> relay(std::string label, std::string body);
     // Before a user is told that the job is cancelled: the peers will be told, too.
     void announce_cancellation(const std::string& id);
-    Signal& news() { return news_; }  // a heartbeat came
+    Condition& news() { return news_; }  // a heartbeat came
     void stop() { scope_.cancel(); }
 
   private:
@@ -83,9 +83,9 @@
     const uint64_t incarnation_;
     const size_t most_routines_;
     const size_t most_outbox_;  // bytes waiting on a link
-    Signal news_;
-    File listener_;
-    Scope scope_;
+    Condition news_;
+    FileDescriptor listener_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -216,7 +216,7 @@
         if (!job.spec.service()) return holders(job, asker, 1) > 0;
         const MachineType* f = cluster_.machine_type(asker.machine_type);
         Seconds fetch = f && f->fetch_gb_per_s > 0 ? job.spec.image_gb / f->fetch_gb_per_s : 0;
-        if (waited >= constants::kImageHoldShare * fetch) return false;
+        if (waited >= constants::kReplicaImageWaitShare * fetch) return false;
         return static_cast<double>(holders(job, asker, UINT32_MAX)) * fetch > in_.config.heartbeat_interval_s;
     }
 
@@ -234,7 +234,8 @@
         size_t spot = 0;
         for (const auto& [task, p] : job.live)
             if (const Machine* h = cluster_.machine(p.machine); h && h->spot) ++spot;
-        auto put_up_with = static_cast<size_t>((in_.now - job.waiting_since) / constants::kSpreadWait_s);
+        auto put_up_with =
+            static_cast<size_t>((in_.now - job.waiting_since) / constants::kReplicaSpreadWait_s);
         size_t mine = crowding(job, asker, spot);
         if (mine <= put_up_with) return false;
         ZoneRule rule(job);
@@ -270,7 +271,7 @@
         count(schedulable_.size());
         most = 0;
         for (Machine* h : schedulable_)
-            if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kHeartbeatTasks);
+            if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kMaxTasksPerHeartbeat);
         if (n > most) return {};
         for (Machine* h : schedulable_)
             if ((zone.empty() || h->zone == zone) && fits(job, *h)) machines.push_back(h);
@@ -375,7 +376,7 @@
         const JobSpec& s = q.job->spec;
         const Team* team = in_.config.team(s.team);
         if (!team) return;
-        if (!q.starved || ++sought_ > constants::kRoomJobs) return;
+        if (!q.starved || ++sought_ > constants::kPreemptionSearchJobs) return;
         std::vector<Victim> victims;
         TeamUsage freed;
         for (const auto& [id, v] : jobs_.all()) {
@@ -418,7 +419,7 @@
         for (const Offer& o : offers_of(q)) {
             const MachineType* f = cluster_.machine_type(o.machine->machine_type);
             if (!o.machine->cache.has(job.spec.image) ||
-                job.spec.image_gb < constants::kImagePreemptionFetch_s * f->fetch_gb_per_s)
+                job.spec.image_gb < constants::kImagePreemptionMinFetch_s * f->fetch_gb_per_s)
                 continue;
             offers.push_back(o);
             Offer& mine = offers.back();
@@ -502,7 +503,7 @@
     Seconds expected_end(const Job& job, const Placement& p) const {
         Seconds since = p.running_since.value_or(in_.now);
         Seconds spent = in_.now - since;
-        return in_.now + std::max(job.spec.estimate_s - spent, constants::kOverdueShare * spent);
+        return in_.now + std::max(job.spec.estimate_s - spent, constants::kOverdueRemainingShare * spent);
     }
 
     bool yields(const Job& victim, const QueuedJob& q) const {
@@ -524,13 +525,13 @@
         const Placement& p = *v.placement;
         Seconds spent = in_.now - (p.running_since.value_or(p.bound_at));
         // A start counts for the aims only if the task is not stopped soon after it.
-        if (!p.running_since || spent < constants::kStartCounts_s)
-            spent += constants::kStartCounts_s;
+        if (!p.running_since || spent < constants::kMinRunToCountAsStarted_s)
+            spent += constants::kMinRunToCountAsStarted_s;
         else if (v.job->spec.checkpoint_s > 0)
             spent = std::fmod(spent, v.job->spec.checkpoint_s);
         // A gang is stopped whole.
         uint32_t tasks = v.job->spec.gang() ? v.job->spec.tasks : 1;
-        return tasks * v.job->spec.gpus * (spent + constants::kStartLatency_s);
+        return tasks * v.job->spec.gpus * (spent + constants::kExpectedStartLatency_s);
     }
 
     // Those that lose least go first: arrays before gangs, what can save before what cannot, the lowest
@@ -566,7 +567,7 @@
             bool whole = !v->spec.gang() || v->spec.tasks == 1 || q.job->spec.service();
             if (yields(*v, q) && whole) victims.push_back({v, task, p, &h});
         }
-        const uint32_t most = constants::kHeartbeatTasks;  // no machine reports more tasks
+        const uint32_t most = constants::kMaxTasksPerHeartbeat;  // no machine reports more tasks
         o.places = room.fits(q.job->spec, most);
         if (victims.size() > 1) sort_by_loss(victims);
         std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -597,7 +598,7 @@
         Job& job = *q.job;
         if (job.pending.empty() || !may_start(job)) return std::nullopt;
         // The queue's head decides; looking at all of a long queue would cost its length times the machines.
-        if (++sought_ > constants::kRoomJobs) return std::nullopt;
+        if (++sought_ > constants::kPreemptionSearchJobs) return std::nullopt;
         if (job.spec.service()) {
             make_room_for_replicas(q);
             return std::nullopt;
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -18,7 +18,7 @@
 }
 
 std::string Transaction::pack() const {
-    Packer p;
+    MsgpackWriter p;
     p.map(writes.empty() ? 1 : 2).key("when").list(when.size());
     for (const auto& [k, mod_revision] : when) p.map(2).key("k").text(k).key("stamp").count(mod_revision);
     if (!writes.empty()) {
@@ -38,7 +38,7 @@
 namespace {
 
 // Re-packs one value of a message, so that it outlives it.
-std::string repack(const Node& n) {
+std::string repack(const MsgpackValue& n) {
     msgpack::sbuffer b;
     if (n.raw()) {
         msgpack::pack(b, *n.raw());
@@ -46,11 +46,11 @@
     return {b.data(), b.size()};
 }
 
-StoreStatus verdict(const Answer& a) {
+StoreStatus verdict(const CallResult& a) {
     if (a.status == 200) return StoreStatus::kOk;
     if (a.status == 404) return StoreStatus::kNotFound;
     if (a.status == 409) return StoreStatus::kConflict;
-    if (a.status == 0 && a.sent) return StoreStatus::kUnknown;
+    if (a.status == 0 && a.maybe_executed) return StoreStatus::kUnknown;
     if (a.status == 429) return StoreStatus::kRateLimited;
     if (a.status == 400) return StoreStatus::kInvalid;
     if (a.status == 0 || a.status == 503) return StoreStatus::kNotExecuted;
@@ -65,24 +65,24 @@
 
 }  // namespace
 
-Task<Answer> StoreClient::call(HttpClient& on, std::string method, std::string path, std::string body,
-                               Seconds timeout) {
-    Answer a = co_await on.call(std::move(method), std::move(path), std::move(body), timeout);
+Task<CallResult> StoreClient::call(HttpClient& on, std::string method, std::string path, std::string body,
+                                   Seconds timeout) {
+    CallResult a = co_await on.call(std::move(method), std::move(path), std::move(body), timeout);
     if (a.status == 200 || a.status == 404 || a.status == 409) last_contact_ = loop_.now();
     co_return a;
 }
 
 Task<GetResult> StoreClient::get(std::string key, Seconds timeout) {
-    Answer a = co_await call(http_, "GET", "/keys/" + key, "", timeout);
+    CallResult a = co_await call(http_, "GET", "/keys/" + key, "", timeout);
     GetResult r;
     r.status = verdict(a);
     if (r.status != StoreStatus::kOk && r.status != StoreStatus::kNotFound) co_return r;
-    auto m = Message::parse(a.body);
+    auto m = MsgpackDocument::parse(a.body);
     if (!m || !m->root().is_map()) {
         r.status = StoreStatus::kUnknown;
         co_return r;
     }
-    Node root = m->root();
+    MsgpackValue root = m->root();
     if (r.status == StoreStatus::kNotFound) {
         r.revision = root["tide"].count_or(0);
         co_return r;
@@ -98,15 +98,15 @@
 Task<ListResult> StoreClient::list(std::string prefix, std::string from, size_t page, Seconds timeout) {
     std::string path = "/keys?prefix=" + prefix + "&page=" + std::to_string(page);
     if (!from.empty()) path += "&from=" + from;
-    Answer a = co_await call(http_, "GET", std::move(path), "", timeout);
+    CallResult a = co_await call(http_, "GET", std::move(path), "", timeout);
     ListResult r;
     r.status = verdict(a);
     if (r.status != StoreStatus::kOk) {
         r.status = garbled(r.status);
         co_return r;
     }
-    auto m = Message::parse(a.body);
-    Node root = m ? m->root() : Node();
+    auto m = MsgpackDocument::parse(a.body);
+    MsgpackValue root = m ? m->root() : MsgpackValue();
     auto more = root["has_next"].flag();
     auto revision = root["tide"].count();
     if (!more || !revision || !root["rows"].is_list()) {
@@ -116,7 +116,7 @@
     r.more = *more;
     r.revision = *revision;
     for (size_t i = 0; i < root["rows"].size(); ++i) {
-        Node row = root["rows"].at(i);
+        MsgpackValue row = root["rows"].at(i);
         Entry e;
         e.key = row["k"].text_or("");
         e.mod_revision = row["stamp"].count_or(0);
@@ -128,30 +128,30 @@
 
 Task<TransactionResult> StoreClient::commit(Transaction txn, Seconds timeout) {
     std::string body = txn.pack();
-    Answer a = co_await call(http_, "POST", "/txn", std::move(body), timeout);
+    CallResult a = co_await call(http_, "POST", "/txn", std::move(body), timeout);
     TransactionResult r;
     r.status = verdict(a);
     if (r.status != StoreStatus::kOk && r.status != StoreStatus::kConflict) co_return r;
-    auto m = Message::parse(a.body);
+    auto m = MsgpackDocument::parse(a.body);
     auto revision = m ? m->root()["tide"].count() : std::nullopt;
     if (!revision) {
         r.status = StoreStatus::kUnknown;
         co_return r;
     }
     r.revision = *revision;
-    Node failed = m->root()["failed"];
+    MsgpackValue failed = m->root()["failed"];
     for (size_t i = 0; i < failed.size(); ++i) r.failed.push_back(failed.at(i).text_or(""));
     co_return r;
 }
 
 Task<LeaseResult> StoreClient::grant(Seconds ttl, Seconds timeout) {
-    Packer p;
+    MsgpackWriter p;
     p.map(1).key("ttl_ms").count(static_cast<uint64_t>(ttl * 1000));
-    Answer a = co_await call(leases_, "POST", "/leases", p.take(), timeout);
+    CallResult a = co_await call(leases_, "POST", "/leases", p.take(), timeout);
     LeaseResult r;
     r.status = verdict(a);
     if (r.status == StoreStatus::kOk) {
-        auto m = Message::parse(a.body);
+        auto m = MsgpackDocument::parse(a.body);
         r.lease = m ? m->root()["mooring"].count_or(0) : 0;
         if (r.lease == 0) r.status = StoreStatus::kUnknown;
     }
@@ -159,23 +159,23 @@
 }
 
 Task<StoreStatus> StoreClient::renew(uint64_t lease, Seconds timeout) {
-    Answer a = co_await call(leases_, "POST", "/leases/" + std::to_string(lease) + "/renew", "", timeout);
+    CallResult a = co_await call(leases_, "POST", "/leases/" + std::to_string(lease) + "/renew", "", timeout);
     co_return verdict(a);
 }
 
 Task<StoreStatus> StoreClient::revoke(uint64_t lease, Seconds timeout) {
-    Answer a = co_await call(leases_, "DELETE", "/leases/" + std::to_string(lease), "", timeout);
+    CallResult a = co_await call(leases_, "DELETE", "/leases/" + std::to_string(lease), "", timeout);
     co_return verdict(a);
 }
 
 Task<ChangesResult> StoreClient::changes(std::string prefix, uint64_t from, Seconds wait) {
     std::string path = "/changes?prefix=" + prefix + "&from=" + std::to_string(from) +
                        "&wait_ms=" + std::to_string(static_cast<int>(wait * 1000));
-    Answer a = co_await watches_.call("GET", std::move(path), "", wait + constants::kStateCall_s);
+    CallResult a = co_await watches_.call("GET", std::move(path), "", wait + constants::kStoreCallTimeout_s);
     ChangesResult r;
     // An answer has no size limit: one that we do not take would come again and again, so that the keys are
     // read anew, in pages.
-    bool again = a.status == 410 || a.too_large;
+    bool again = a.status == 410 || a.response_too_large;
     r.status = again ? StoreStatus::kNotFound : verdict(a);
     if (!again && r.status != StoreStatus::kOk) {
         r.status = garbled(r.status);
@@ -183,8 +183,8 @@
     }
     last_contact_ = loop_.now();
     if (r.status == StoreStatus::kNotFound) co_return r;
-    auto m = Message::parse(a.body);
-    Node root = m ? m->root() : Node();
+    auto m = MsgpackDocument::parse(a.body);
+    MsgpackValue root = m ? m->root() : MsgpackValue();
     auto revision = root["tide"].count();
     if (!revision) {
         r.status = StoreStatus::kUnknown;
@@ -192,7 +192,7 @@
     }
     r.revision = *revision;
     for (size_t i = 0; i < root["news"].size(); ++i) {
-        Node n = root["news"].at(i);
+        MsgpackValue n = root["news"].at(i);
         Change c;
         c.mod_revision = n["stamp"].count_or(0);
         if (auto k = n["drop"].text()) {
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -78,10 +78,10 @@
 
 class StoreClient {
   public:
-    StoreClient(Loop& loop, Address at, size_t answer_limit = constants::kAnswerLimit)
+    StoreClient(Loop& loop, Address at, size_t answer_limit = constants::kResponseLimit)
         : loop_(loop),
-          http_(loop, at, constants::kPoolPerPeer, answer_limit),
-          leases_(loop, at, constants::kPoolLeases),
+          http_(loop, at, constants::kConnectionPoolSize, answer_limit),
+          leases_(loop, at, constants::kLeaseConnectionPoolSize),
           watches_(loop, at, 4, answer_limit) {}
     Task<GetResult> get(std::string key, Seconds timeout);
     Task<ListResult> list(std::string prefix, std::string from, size_t page, Seconds timeout);
@@ -94,8 +94,8 @@
     Seconds last_contact() const { return last_contact_; }
 
   private:
-    Task<Answer> call(HttpClient& on, std::string method, std::string path, std::string body,
-                      Seconds timeout);
+    Task<CallResult> call(HttpClient& on, std::string method, std::string path, std::string body,
+                          Seconds timeout);
 
     Loop& loop_;
     HttpClient http_;
--- a/src/users/record_reader.cc
+++ b/src/users/record_reader.cc
@@ -8,7 +8,7 @@
 namespace hareshore {
 
 bool RecordReader::rate_exceeded_lately() const {
-    return rate_exceeded_at_ >= 0 && loop_.now() - rate_exceeded_at_ < constants::kRateRefusal_s;
+    return rate_exceeded_at_ >= 0 && loop_.now() - rate_exceeded_at_ < constants::kBatchReadsAfterRateLimit_s;
 }
 
 Task<GetResult> RecordReader::read(std::string job_id, Seconds until) {
@@ -31,7 +31,7 @@
     }
     GetResult result;
     while (!listing->is_done)
-        if (co_await loop_.wait(listing->done, until) == Wake::kTimeout) co_return result;
+        if (co_await loop_.wait(listing->done, until) == WakeReason::kTimeout) co_return result;
     result.status = listing->status;
     if (result.status != StoreStatus::kOk) co_return result;
     auto found = listing->found.find(key);
@@ -44,7 +44,7 @@
 
 Task<void> RecordReader::run_listings() {
     while (next_) {
-        Seconds earliest = last_listing_at_ + constants::kListingInterval_s;
+        Seconds earliest = last_listing_at_ + constants::kJobListingInterval_s;
         if (last_listing_at_ >= 0 && earliest > loop_.now()) co_await loop_.sleep(earliest - loop_.now());
         last_listing_at_ = loop_.now();
         std::shared_ptr<Listing> listing = std::exchange(next_, nullptr);
@@ -58,8 +58,8 @@
 Task<void> RecordReader::run(Listing& listing) {
     std::string from;
     while (true) {
-        ListResult page =
-            co_await state_.list(kLivePrefix, from, constants::kListingPage, constants::kStateCall_s);
+        ListResult page = co_await state_.list(kLivePrefix, from, constants::kJobListingPageSize,
+                                               constants::kStoreCallTimeout_s);
         listing.status = page.status;
         if (page.status != StoreStatus::kOk) co_return;
         for (Entry& entry : page.entries) {
--- a/src/users/record_reader.h
+++ b/src/users/record_reader.h
@@ -28,7 +28,7 @@
         std::map<std::string, Entry> found;
         StoreStatus status = StoreStatus::kNotExecuted;
         bool is_done = false;
-        Signal done;
+        Condition done;
     };
 
     bool rate_exceeded_lately() const;
@@ -42,7 +42,7 @@
     Seconds last_listing_at_ = -1;
     std::shared_ptr<Listing> next_;  // has not begun; null if no read waits for it
     bool running_ = false;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/users/service.cc
+++ b/src/users/user_service.cc
@@ -1,7 +1,8 @@
-#include "users/service.h"
+#include "users/user_service.h"
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "http/json_size.h"
 
 namespace hareshore {
 
@@ -26,9 +27,9 @@
       machine_types_(machine_types),
       record_format_(record_format),
       on_cancellation_(std::move(telling)),
-      most_busy_(
-          std::max(constants::kUserCalls, static_cast<size_t>(config.state_rps * constants::kUserRead_s /
-                                                              static_cast<double>(config.peers.size() + 1)))),
+      most_busy_(std::max(constants::kMinConcurrentUserRequests,
+                          static_cast<size_t>(config.state_rps * constants::kUserReadTimeout_s /
+                                              static_cast<double>(config.peers.size() + 1)))),
       records_(loop, state),
       last_cancellation_(loop.now()) {}
 
@@ -69,7 +70,7 @@
 void UserService::keep_final(const std::string& id, const FinalRecord& f) {
     if (!finals_.emplace(id, f).second) return;
     finals_order_.push_back(id);
-    if (finals_order_.size() > constants::kFinalCache) {
+    if (finals_order_.size() > constants::kFinalStateCacheSize) {
         finals_.erase(finals_order_.front());
         finals_order_.pop_front();
     }
@@ -80,7 +81,7 @@
     it->second.cancelled |= phase == JobPhase::kCancelled;
     if (!added) return;
     answered_order_.push_back(id);
-    if (answered_order_.size() > constants::kFinalCache) {
+    if (answered_order_.size() > constants::kFinalStateCacheSize) {
         answered_.erase(answered_order_.front());
         answered_order_.pop_front();
     }
@@ -130,7 +131,7 @@
             auto record = JobRecord::unpack(live.entry.data);
             if (!record) {
                 // Nothing is said of a job whose record means something unknown.
-                if (unreadable_.size() < constants::kFinalCache && unreadable_.insert(id).second)
+                if (unreadable_.size() < constants::kFinalStateCacheSize && unreadable_.insert(id).second)
                     log::error(
                         "record_unreadable",
                         {{"key", live.entry.key},
@@ -176,7 +177,7 @@
         co_return plain(400, *why);
     }
     JobSpec spec = std::get<JobSpec>(std::move(parsed));
-    Seconds until = loop_.now() + constants::kUserWrite_s;
+    Seconds until = loop_.now() + constants::kUserWriteTimeout_s;
     if (record_format_.newer()) co_return unavailable();  // records are no longer ours to write
     JobRecord record;
     record.spec = spec;
@@ -199,7 +200,7 @@
     Transaction txn;
     txn.expect(live_key(spec.id), 0).expect(final_key(spec.id), 0);
     txn.put(live_key(spec.id), record.pack(record_format_.in_force()));
-    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
     if (r.status == StoreStatus::kOk) {
         log::debug("job_accepted", {{"job", spec.id},
                                     {"class", spec.job_class},
@@ -226,8 +227,8 @@
 std::string UserService::never_recorded(const JobRecord& record) const {
     // All tasks of a gang are in its record at once. An array's or a service's start as its room allows, one
     // at a time if need be.
-    size_t least = constants::kRecordReserve;
-    if (record.spec.gang()) least += (record.spec.tasks - 1) * constants::kPlacementLeast;
+    size_t least = constants::kRecordReserveBytes;
+    if (record.spec.gang()) least += (record.spec.tasks - 1) * constants::kMinPlacementBytes;
     for (uint64_t record_format = record_format_.in_force(); record_format <= kNewestRecordFormat;
          ++record_format)
         if (json_size(record.pack(record_format)) + least > config_.value_limit(record_format))
@@ -236,14 +237,14 @@
 }
 
 Task<Response> UserService::query(std::string id) {
-    Known k = co_await read(id, loop_.now() + constants::kUserRead_s);
+    Known k = co_await read(id, loop_.now() + constants::kUserReadTimeout_s);
     if (k.status == StoreStatus::kOk) co_return answer_known(id, k, true);
     if (k.status == StoreStatus::kNotFound) co_return plain(404, "unknown job");
     co_return unavailable();
 }
 
 Task<Response> UserService::cancel(std::string id) {
-    Seconds until = loop_.now() + constants::kUserWrite_s;
+    Seconds until = loop_.now() + constants::kUserWriteTimeout_s;
     while (loop_.now() < until) {
         Known k = co_await read(id, until);
         if (k.status == StoreStatus::kNotFound) co_return plain(404, "unknown job");
@@ -264,7 +265,7 @@
         }
         Transaction txn;
         txn.expect(live_key(id), k.mod_revision).put(live_key(id), std::move(data));
-        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
         if (r.status == StoreStatus::kOk) {
             k.phase = JobPhase::kCancelled;
             log::info("job_cancelled", {{"job", id}, {"by", "user"}});
--- a/src/users/service.h
+++ b/src/users/user_service.h
@@ -8,7 +8,7 @@
 #include "jobs/record.h"
 #include "jobs/record_format.h"
 #include "users/record_reader.h"
-#include "users/wire.h"
+#include "users/user_wire.h"
 
 namespace hareshore {
 
--- a/src/users/wire.cc
+++ b/src/users/user_wire.cc
@@ -1,4 +1,4 @@
-#include "users/wire.h"
+#include "users/user_wire.h"
 
 #include "base/constants.h"
 
@@ -23,7 +23,7 @@
 // Reads fields one by one and remembers the first that is missing or invalid.
 class Fields {
   public:
-    explicit Fields(Node n) : n_(n) {}
+    explicit Fields(MsgpackValue n) : n_(n) {}
     const std::string& error() const { return error_; }
 
     std::string text(const char* f, size_t most) {
@@ -49,7 +49,7 @@
     std::string optional_text(const char* f, size_t most) { return n_[f].null() ? "" : text(f, most); }
     std::vector<std::string> optional_list(const char* f) {
         std::vector<std::string> out;
-        Node l = n_[f];
+        MsgpackValue l = n_[f];
         if (l.null()) return out;
         if (!l.is_list() || l.size() == 0 || l.size() > 64) bad(f);
         for (size_t i = 0; i < l.size(); ++i) {
@@ -72,7 +72,7 @@
 
   private:
     static constexpr double kLargest = 1e12;  // far above any machine or duration, far below overflow
-    Node n_;
+    MsgpackValue n_;
     std::string error_;
 };
 
@@ -86,7 +86,7 @@
 }
 
 std::variant<JobSpec, std::string> parse_submission(std::string_view body) {
-    auto m = Message::parse(body);
+    auto m = MsgpackDocument::parse(body);
     if (!m) return "not MessagePack";
     if (!m->root().is_map()) return "not a map";
     Fields f(m->root());
@@ -117,7 +117,7 @@
     } else {
         f.bad("rank");
     }
-    s.tasks = static_cast<uint32_t>(f.count("pieces", 1, constants::kMaxTasks));
+    s.tasks = static_cast<uint32_t>(f.count("pieces", 1, constants::kMaxTasksPerJob));
     s.cpus = f.amount("vcpus");
     s.gpus = f.amount("cards");
     s.memory_gb = f.amount("memory_gb");
@@ -158,20 +158,20 @@
 }
 
 std::string pack_phase(const std::string& id, JobPhase phase) {
-    Packer p;
+    MsgpackWriter p;
     p.map(2).key("ref").text(id).key("phase").text(phase_name(phase));
     return p.take();
 }
 
 std::string pack_job(const std::string& id, JobPhase phase, uint32_t done, uint32_t running) {
-    Packer p;
+    MsgpackWriter p;
     p.map(4).key("ref").text(id).key("phase").text(phase_name(phase)).key("done").count(done);
     p.key("running").count(running);
     return p.take();
 }
 
 std::string pack_error(const std::string& what) {
-    Packer p;
+    MsgpackWriter p;
     p.map(1).key("error").text(what);
     return p.take();
 }
--- a/src/workers/workers.cc
+++ b/src/workers/workers.cc
@@ -26,7 +26,7 @@
     return ExitCause::kError;
 }
 
-void pack_commands(Packer& p, const std::vector<Command>& commands) {
+void pack_commands(MsgpackWriter& p, const std::vector<Command>& commands) {
     p.key("orders").list(commands.size());
     for (const auto& o : commands) {
         p.map(o.verb == CommandKind::kStop ? 4 : 3).key("verb");
@@ -91,9 +91,9 @@
 }
 
 std::optional<WorkerHeartbeat> WorkerHeartbeat::parse(std::string_view body) {
-    auto m = Message::parse(body);
+    auto m = MsgpackDocument::parse(body);
     if (!m || !m->root().is_map()) return std::nullopt;
-    Node n = m->root();
+    MsgpackValue n = m->root();
     WorkerHeartbeat r;
     auto machine = n["host"].text();
     auto incarnation = n["tenure"].count();
@@ -111,11 +111,11 @@
     r.zone = n["cove"].text_or("");
     r.spot = n["driftwood"].flag_or(false);
     r.notice_s = n["warning_s"].number();
-    Node tasks = n["pieces"];
+    MsgpackValue tasks = n["pieces"];
     if (!tasks.null() && !tasks.is_list()) return std::nullopt;
-    if (tasks.size() > constants::kHeartbeatTasks) return std::nullopt;
+    if (tasks.size() > constants::kMaxTasksPerHeartbeat) return std::nullopt;
     for (size_t i = 0; i < tasks.size(); ++i) {
-        Node t = tasks.at(i);
+        MsgpackValue t = tasks.at(i);
         auto name = TaskName::parse(t["piece"].text_or(""));
         auto attempt = t["try"].count();
         auto phase = parse_phase(t["phase"].text_or(""));
@@ -132,14 +132,14 @@
 }
 
 std::string pack_report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
-    Packer p;
+    MsgpackWriter p;
     p.map(2).key("epoch").count(fencing_token);
     pack_commands(p, commands);
     return p.take();
 }
 
 std::string pack_redirect(const std::string& node) {
-    Packer p;
+    MsgpackWriter p;
     if (node.empty()) {
         p.map(0);
     } else {
@@ -150,11 +150,11 @@
 
 Task<std::optional<WorkerHeartbeat>> send_commands(Loop& loop, Address to, uint64_t fencing_token,
                                                    uint64_t incarnation, std::vector<Command> commands) {
-    Packer p;
+    MsgpackWriter p;
     p.map(3).key("epoch").count(fencing_token).key("tenure").count(incarnation);
     pack_commands(p, commands);
     HttpClient http(loop, to, 1);
-    Answer a = co_await http.call("POST", "/orders", p.take(), constants::kCommandCall_s);
+    CallResult a = co_await http.call("POST", "/orders", p.take(), constants::kWorkerCommandTimeout_s);
     if (a.status != 200 && a.status != 409) co_return std::nullopt;
     co_return WorkerHeartbeat::parse(a.body);
 }
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -94,7 +94,7 @@
 const char* const kOptional[] = {"flavors", "cove", "due_s"};
 
 void shape(std::map<std::string, std::string>& f, const char* name) {
-    f["shape"] = Packer().text(name).take();
+    f["shape"] = MsgpackWriter().text(name).take();
 }
 
 }  // namespace
@@ -125,21 +125,21 @@
                              }),
                       400)
                 << name << ' ' << field;
-            EXPECT_EQ(with(Packer().null().take()), 400) << name << ' ' << field;
-            EXPECT_EQ(with(Packer().list(0).take()), 400) << name << ' ' << field;
+            EXPECT_EQ(with(MsgpackWriter().null().take()), 400) << name << ' ' << field;
+            EXPECT_EQ(with(MsgpackWriter().list(0).take()), 400) << name << ' ' << field;
         }
         for (const char* field : kOptional) {
             EXPECT_EQ(submit("job-1",
                              [&](auto& f) {
                                  shape(f, name);
-                                 f[field] = Packer().flag(true).take();
+                                 f[field] = MsgpackWriter().flag(true).take();
                              }),
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
                              [&](auto& f) {
                                  shape(f, name);
-                                 f[field] = Packer().null().take();
+                                 f[field] = MsgpackWriter().null().take();
                              }),
                       201)
                 << name << ' ' << field;
@@ -165,8 +165,8 @@
             .call(0, "POST", "/v2/runs",
                   job_body(id,
                            [&](auto& f) {
-                               f[field] = Packer().number(amount).take();
-                               if (machine_type) f["flavors"] = Packer().list(1).text(machine_type).take();
+                               f[field] = MsgpackWriter().number(amount).take();
+                               if (machine_type) f["flavors"] = MsgpackWriter().list(1).text(machine_type).take();
                            }))
             .status;
     };
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -7,10 +7,10 @@
 #include "base/token_bucket.h"
 #include "cloud/cloud.h"
 #include "config/config.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "jobs/record.h"
 #include "peer/frames.h"
-#include "users/wire.h"
+#include "users/user_wire.h"
 #include "workers/workers.h"
 
 using namespace hareshore;
@@ -226,7 +226,7 @@
     r.live[1] = {1, "vm-1", "a"};
     peer::Heartbeat heartbeat{};
     peer::set_label(heartbeat, "node-0");
-    Packer p;
+    MsgpackWriter p;
     p.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
     std::vector<std::string> seeds{
         r.pack(1),
@@ -281,7 +281,7 @@
 
 TEST(Decoders, RefuseDeepNesting) {
     std::string deep(60000, '\x91');  // lists in lists
-    EXPECT_FALSE(Message::parse(deep + '\xc0'));
+    EXPECT_FALSE(MsgpackDocument::parse(deep + '\xc0'));
     std::string wide = "\xdd\xff\xff\xff\xff";  // a list that claims four thousand million entries
-    EXPECT_FALSE(Message::parse(wide));
+    EXPECT_FALSE(MsgpackDocument::parse(wide));
 }
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+std::string phase_of(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     return m ? m->root()["phase"].text_or("") : "";
 }
 
@@ -26,8 +26,8 @@
     bool answers = true;         // heartbeats
     int unknown = 0;             // frames that the version in production does not know
     uint32_t next_heartbeat = 1;
-    File listener;
-    Scope scope;
+    FileDescriptor listener;
+    TaskGroup scope;
 
     explicit ScriptedPeer(Site& s)
         : site(s),
@@ -53,7 +53,7 @@
     }
     Task<void> accept() {
         while (true) {
-            int fd = accept_from(listener.fd());
+            int fd = accept_connection(listener.fd()).value_or(-1);
             if (fd < 0) {
                 co_await site.loop.readable(listener, -1);
             } else {
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -217,7 +217,7 @@
 }
 
 std::string term_of(const std::string& node, uint64_t fencing_token) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(2).key("node").text(node).key("epoch").count(fencing_token);
     return packer.take();
 }
@@ -327,12 +327,12 @@
 TEST(ProductionBytes, RecordsOfFormat2AreRefusedByTheRuleOfTheVersionBefore) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        auto message = Message::parse(from_hex(stored.form2));
+        auto message = MsgpackDocument::parse(from_hex(stored.form2));
         ASSERT_TRUE(message);
         auto done = message->root()["done"].text();
         ASSERT_TRUE(done);
         EXPECT_FALSE(Ranges::parse(*done, stored.record.spec.tasks));
-        auto form1 = Message::parse(from_hex(stored.form1));
+        auto form1 = MsgpackDocument::parse(from_hex(stored.form1));
         ASSERT_TRUE(form1);
         EXPECT_TRUE(Ranges::parse(*form1->root()["done"].text(), stored.record.spec.tasks));
     }
@@ -387,7 +387,7 @@
     ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
     site.run(1);
     ASSERT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto record = Message::parse(site.state.rows.at("j/job-1").data);
+    auto record = MsgpackDocument::parse(site.state.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
     EXPECT_EQ(record->root()["v"].count_or(0), 2u);
     EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
@@ -403,7 +403,7 @@
     ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
     site.run(1);
     auto phase = [&](const std::string& id) {
-        auto answer = Message::parse(site.call(0, "GET", "/v2/runs/" + id).body);
+        auto answer = MsgpackDocument::parse(site.call(0, "GET", "/v2/runs/" + id).body);
         return answer ? answer->root()["phase"].text_or("") : "";
     };
     EXPECT_EQ(phase("job-000731"), "running");
@@ -456,7 +456,7 @@
     Site site;
     lead_after(site, kStoredFencingToken - 1);
     std::string answer;
-    Scope scope(site.loop);
+    TaskGroup scope(site.loop);
     scope.spawn(exchange_frame(site.loop, site.configs[0].peer_listen, from_hex(kRelayFrame), answer),
                 "relay");
     site.run(4);
@@ -469,7 +469,7 @@
     peer::RelayAnswerHead head;
     std::memcpy(&head, frame.payload.data(), sizeof head);
     EXPECT_EQ(head.status, 200);
-    auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
+    auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof head));
     ASSERT_TRUE(body);
     EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredFencingToken);
 }
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+std::string phase_of(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     return m ? m->root()["phase"].text_or("") : "";
 }
 
@@ -62,7 +62,7 @@
         return s.call(0, "POST", "/v2/runs", job_body("job-1", change)).status;
     };
     auto packed = [](auto f) {
-        Packer p;
+        MsgpackWriter p;
         f(p);
         return p.take();
     };
@@ -71,18 +71,18 @@
     for (const char* field :
          {"ref", "owner", "pieces", "vcpus", "bundle", "one_zone", "snapshot_s", "rank"}) {
         EXPECT_EQ(submit([&](auto& f) { f.erase(field); }), 400) << field;
-        EXPECT_EQ(submit([&](auto& f) { f[field] = packed([](Packer& p) { p.list(0); }); }), 400) << field;
+        EXPECT_EQ(submit([&](auto& f) { f[field] = packed([](MsgpackWriter& p) { p.list(0); }); }), 400) << field;
     }
     for (double bad : {-1.0, static_cast<double>(INFINITY), static_cast<double>(NAN)})
         for (const char* field : {"pieces", "vcpus", "memory_gb", "size_gb", "expect_s", "due_s"})
-            EXPECT_EQ(submit([&](auto& f) { f[field] = packed([&](Packer& p) { p.number(bad); }); }), 400)
+            EXPECT_EQ(submit([&](auto& f) { f[field] = packed([&](MsgpackWriter& p) { p.number(bad); }); }), 400)
                 << field << bad;
-    EXPECT_EQ(submit([&](auto& f) { f["pieces"] = packed([](Packer& p) { p.count(100'001); }); }), 400);
-    EXPECT_EQ(submit([&](auto& f) { f["owner"] = packed([](Packer& p) { p.text("nobody"); }); }), 422);
-    EXPECT_EQ(submit([&](auto& f) { f["cards"] = packed([](Packer& p) { p.number(3); }); }), 422);
+    EXPECT_EQ(submit([&](auto& f) { f["pieces"] = packed([](MsgpackWriter& p) { p.count(100'001); }); }), 400);
+    EXPECT_EQ(submit([&](auto& f) { f["owner"] = packed([](MsgpackWriter& p) { p.text("nobody"); }); }), 422);
+    EXPECT_EQ(submit([&](auto& f) { f["cards"] = packed([](MsgpackWriter& p) { p.number(3); }); }), 422);
     EXPECT_EQ(submit([&](auto& f) {
-                  f["shape"] = packed([](Packer& p) { p.text("ensemble"); });
-                  f["pieces"] = packed([](Packer& p) { p.count(9); });
+                  f["shape"] = packed([](MsgpackWriter& p) { p.text("ensemble"); });
+                  f["pieces"] = packed([](MsgpackWriter& p) { p.count(9); });
               }),
               422);
     EXPECT_EQ(s.call(0, "GET", "/v2/runs").status, 405);
@@ -172,7 +172,7 @@
     s.run(3);
     FakeWorker w;
     s.settle(w);
-    auto gang = [](auto& f) { f["shape"] = Packer().text("ensemble").take(); };
+    auto gang = [](auto& f) { f["shape"] = MsgpackWriter().text("ensemble").take(); };
     ASSERT_EQ(s.call(first, "POST", "/v2/runs", job_body("job-1", gang)).status, 201);
     FakeWorker before = w;
     s.send_report(w, first);
@@ -330,7 +330,7 @@
     ASSERT_EQ(s.call(first, "POST", "/v2/runs",
                      job_body("job-1",
                               [](auto& f) {
-                                  Packer p;
+                                  MsgpackWriter p;
                                   f["pieces"] = p.count(8).take();
                               }))
                   .status,
@@ -554,14 +554,14 @@
     ASSERT_EQ(s.call(0, "POST", "/v2/runs",
                      job_body("job-1",
                               [](auto& f) {
-                                  Packer p;
+                                  MsgpackWriter p;
                                   f["pieces"] = p.count(8).take();
                               }))
                   .status,
               201);
     std::vector<FakeWorker> workers(1000);
     int answered = 0;
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     auto go = [](Loop& l, Address at, FakeWorker& w, int& n) -> Task<void> {
         n += co_await w.send_report(l, at) == 200;
     };
@@ -573,7 +573,7 @@
     Seconds began = s.loop.now();
     ASSERT_TRUE(s.until([&] { return answered == 1000; }, 10));
     uint64_t run_passes = s.nodes[0]->leader()->passes_done() - before;
-    EXPECT_LE(static_cast<double>(run_passes), 2 + (s.loop.now() - began) / constants::kPassInterval_s);
+    EXPECT_LE(static_cast<double>(run_passes), 2 + (s.loop.now() - began) / constants::kSchedulingInterval_s);
     EXPECT_LT(run_passes, 50u) << "far fewer than reports";
     EXPECT_EQ(s.nodes[0]->leader()->machines_seen(), 1000u);
 }
@@ -728,7 +728,7 @@
         for (int steps : {0, 1, 2, 5}) {
             for (int i = 0; i < steps; ++i) s.loop.turn(0);
             if (followed) {
-                Packer p;
+                MsgpackWriter p;
                 p.map(2).key("node").text("node-1").key("epoch").count(9);
                 s.state.rows["leader"] = {p.take(), ++s.state.revision, 0};
             }
@@ -771,7 +771,7 @@
     std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
                          peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
                          peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
         for (int i = 0; stream && i < 100; ++i) {
--- a/tests/election_test.cc
+++ b/tests/election_test.cc
@@ -17,7 +17,7 @@
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
         s.state.let_through = [&](const std::string& txn) {
-            auto m = Message::parse(txn);
+            auto m = MsgpackDocument::parse(txn);
             if (m->root()["writes"].at(0)["put"].text_or("") == kLeaderKey && ++elections == 1)
                 put_record_format(record_format_before ? s.state.rows.at(kRecordFormatKey).mod_revision : 0,
                                   kNewestRecordFormat + 1);
--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -97,8 +97,8 @@
 enum class TransactionKind { kOther, kAccept, kBind, kEnd, kCancellation };
 
 TransactionKind kind_of(const std::string& body) {
-    auto message = Message::parse(body);
-    Node when = message->root()["when"], writes = message->root()["writes"];
+    auto message = MsgpackDocument::parse(body);
+    MsgpackValue when = message->root()["when"], writes = message->root()["writes"];
     std::string first = writes.size() > 0 ? writes.at(0)["put"].text_or("") : "";
     bool job = first.rfind("j/", 0) == 0, final = first.rfind("f/", 0) == 0;
     if (!job && !final) return TransactionKind::kOther;
--- a/tests/fault_scenario.cc
+++ b/tests/fault_scenario.cc
@@ -11,12 +11,12 @@
 }  // namespace
 
 std::string packed_flag(bool b) {
-    Packer p;
+    MsgpackWriter p;
     return p.flag(b).take();
 }
 
 std::string packed_text(const std::string& s) {
-    Packer p;
+    MsgpackWriter p;
     return p.text(s).take();
 }
 
@@ -40,7 +40,7 @@
 
 Task<void> Wire::accept_all() {
     while (true) {
-        int fd = accept_from(listener.fd());
+        int fd = accept_connection(listener.fd()).value_or(-1);
         if (fd < 0) {
             co_await loop.readable(listener, -1);
             continue;
@@ -167,9 +167,9 @@
             site.run(0.1);
             continue;
         }
-        Answer a = site.call(static_cast<int>(n), method, path, body);
+        CallResult a = site.call(static_cast<int>(n), method, path, body);
         if (a.status == 200 || a.status == 201) {
-            auto m = Message::parse(a.body);
+            auto m = MsgpackDocument::parse(a.body);
             return m ? m->root()["phase"].text_or("") : "";
         }
         EXPECT_NE(a.status, 400) << path;
@@ -194,7 +194,7 @@
                     const std::function<void(std::map<std::string, std::string>&)>& change) {
     run_times[id] = run_s;
     bodies[id] = job_body(id, [&](auto& f) {
-        Packer p;
+        MsgpackWriter p;
         f["pieces"] = p.count(tasks).take();
         if (change) change(f);
         if (f["one_zone"] == packed_flag(true)) single_zone.insert(id);
@@ -204,7 +204,7 @@
 
 void World::submit_service(const std::string& id, uint32_t replicas) {
     constexpr Seconds kNever_s = 1e9;
-    Packer none;
+    MsgpackWriter none;
     none.number(0);
     prepare(id, replicas, kNever_s, [&](auto& f) {
         f["shape"] = packed_text("standing");
@@ -339,11 +339,11 @@
         std::string body = m.w.report();
         m.reports.push_back(body);
         HttpClient http(loop, site.configs[static_cast<size_t>(to)].listen, 1);
-        Answer a = co_await http.call("POST", "/hello", std::move(body), 4.0);
+        CallResult a = co_await http.call("POST", "/hello", std::move(body), 4.0);
         while (m.hung) co_await loop.sleep(0.1);
         bool heard = !m.deaf && !m.cut && loop.now() - sent <= 4;
         if (heard && a.status == 421) {
-            auto hint = Message::parse(a.body);
+            auto hint = MsgpackDocument::parse(a.body);
             std::string name = hint ? hint->root()["harbor"].text_or("") : "";
             int k = name.empty() ? to : name.back() - '0';
             if (k != to) m.node = k;
@@ -355,7 +355,7 @@
             continue;
         }
         m.node = to;
-        auto parsed = Message::parse(a.body);
+        auto parsed = MsgpackDocument::parse(a.body);
         if (m.w.incarnation == incarnation && parsed &&
             parsed->root()["epoch"].count_or(0) >= m.w.fencing_token) {
             carry_out(m, a.body);
@@ -367,7 +367,7 @@
 
 Task<Response> World::ordered(LiveMachine& m, Request r) {
     while (m.hung || m.deaf || m.cut || m.gone) co_await site.loop.sleep(0.1);
-    auto q = Message::parse(r.body);
+    auto q = MsgpackDocument::parse(r.body);
     if (!q) co_return Response{400, "", 0, ""};
     if (Seconds delay = command_delay ? command_delay(m) : 0; delay > 0) {
         scope.spawn(carry_out_late(m, r.body, delay), "late command");
@@ -379,7 +379,7 @@
 }
 
 bool World::takes(const LiveMachine& m, const std::string& command) {
-    auto message = Message::parse(command);
+    auto message = MsgpackDocument::parse(command);
     return message->root()["epoch"].count_or(0) >= m.w.fencing_token &&
            message->root()["tenure"].count_or(0) == m.w.incarnation;
 }
@@ -465,7 +465,7 @@
                     m->changed = true;
                     ended[t.name.job].insert(t.name.task);
                     if (gangs.count(t.name.job)) done.insert(t.name.job);  // they complete together
-                    auto spec = Message::parse(bodies[t.name.job]);
+                    auto spec = MsgpackDocument::parse(bodies[t.name.job]);
                     if (ended[t.name.job].size() == spec->root()["pieces"].count_or(0))
                         done.insert(t.name.job);
                     continue;
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -36,8 +36,8 @@
     bool old_peer = false;
     Loop& loop;
     Address to;
-    File listener;
-    Scope scope;
+    FileDescriptor listener;
+    TaskGroup scope;
 
     Wire(Loop& l, Address from, Address target);
     Task<void> accept_all();
@@ -118,7 +118,7 @@
     std::function<Seconds(const LiveMachine&)> command_delay;
     int late_commands_carried_out = 0, late_commands_refused = 0;
     size_t next_node = 0;
-    Scope scope;
+    TaskGroup scope;
 
   private:
     void start_machine(const std::string& name, const std::string& zone);
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -41,7 +41,7 @@
     std::pair<std::string, bool> send(std::string bytes, Seconds wait = 5) {
         std::string out;
         bool closed = false;
-        Scope scope(loop);
+        TaskGroup scope(loop);
         scope.spawn(raw(loop, address(5, 8080), std::move(bytes), wait, out, closed), "raw");
         loop.run_until([&] { return scope.size() == 0; }, wait + 2);
         return {out, closed};
@@ -88,20 +88,20 @@
 }
 
 TEST_F(Http, ClientReportsWhetherARequestMayHaveBeenCarriedOut) {
-    Answer none, lost;
-    Scope scope(loop);
-    auto go = [](Loop& l, Address at, Seconds timeout, Answer& out) -> Task<void> {
+    CallResult none, lost;
+    TaskGroup scope(loop);
+    auto go = [](Loop& l, Address at, Seconds timeout, CallResult& out) -> Task<void> {
         HttpClient c(l, at, 1);
         out = co_await c.call("POST", "/x", "b", timeout);
     };
-    File silent(loop, listen_on(address(6, 80)));  // accepts, never answers
+    FileDescriptor silent(loop, listen_on(address(6, 80)));  // accepts, never answers
     scope.spawn(go(loop, address(7, 80), 2, none), "refused");
     scope.spawn(go(loop, address(6, 80), 2, lost), "silent");
     ASSERT_TRUE(loop.run_until([&] { return scope.size() == 0; }, 10));
     EXPECT_EQ(none.status, 0);
-    EXPECT_FALSE(none.sent);
+    EXPECT_FALSE(none.maybe_executed);
     EXPECT_EQ(lost.status, 0);
-    EXPECT_TRUE(lost.sent);
+    EXPECT_TRUE(lost.maybe_executed);
 }
 
 // Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
@@ -129,14 +129,14 @@
 struct RawPeer {
     Loop& loop;
     std::string bytes;
-    File listener;
-    Scope scope;
+    FileDescriptor listener;
+    TaskGroup scope;
     RawPeer(Loop& l, Address at) : loop(l), listener(l, listen_on(at)), scope(l) {
         scope.spawn(accept_all(), "raw peer");
     }
     Task<void> accept_all() {
         while (true) {
-            int fd = accept_from(listener.fd());
+            int fd = accept_connection(listener.fd()).value_or(-1);
             if (fd < 0) {
                 co_await loop.readable(listener, -1);
                 continue;
@@ -175,10 +175,10 @@
     for (int i = 0; i <= 300; ++i) {
         peer.bytes = answers[i < 300 ? rng() % answers.size() : 0];
         if (i < 300) mutate(peer.bytes, rng);
-        Answer a;
+        CallResult a;
         bool over = false;
-        Scope scope(loop);
-        auto ask = [](Loop& l, Answer& out, bool& done) -> Task<void> {
+        TaskGroup scope(loop);
+        auto ask = [](Loop& l, CallResult& out, bool& done) -> Task<void> {
             HttpClient http(l, address(6, 8080), 1);
             out = co_await http.call("GET", "/x", "", 0.3);
             done = true;
@@ -215,7 +215,7 @@
             ADD_FAILURE() << "went on after cancel";
         }
     };
-    Scope scope(loop);
+    TaskGroup scope(loop);
     scope.spawn(Run::outer(loop, unwound), "outer");
     loop.run_until([] { return false; }, 1);
     EXPECT_EQ(unwound, 0);
@@ -260,9 +260,9 @@
 TEST(Stream, FindsTheEndThatCameWithTheLastBytes) {
     FakeClock clock;
     Loop loop(clock);
-    for (size_t size : {size_t{1}, constants::kReadBuffer, constants::kReadBuffer + 1}) {
+    for (size_t size : {size_t{1}, constants::kReadBufferSize, constants::kReadBufferSize + 1}) {
         StreamPair pair(loop);
-        Scope scope(loop);
+        TaskGroup scope(loop);
         std::string out;
         Seconds waited = -1;
         scope.spawn(write_and_close(loop, pair, std::string(size, 'x')), "writer");
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -51,7 +51,7 @@
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
         auto report = WorkerHeartbeat::parse(worker.report());
         Response answer =
-            co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
+            co_await to->handle_heartbeat(std::move(*report), constants::kIdleHeartbeatHold_s, true);
         if (answer.status != 200) co_return;
         worker.carry_out(answer.body);
         ++answered;
@@ -60,7 +60,7 @@
     // All machines report at once; how many were answered 200.
     size_t all_report() {
         size_t answered = 0;
-        Scope scope(site.loop);
+        TaskGroup scope(site.loop);
         for (FakeWorker& worker : workers) scope.spawn(report_once(leader(), worker, answered), "report");
         site.until([&] { return scope.size() == 0; }, 5);
         return answered;
@@ -75,7 +75,7 @@
     void submit_jobs() {
         for (size_t i = 0; i < kJobs; ++i) {
             auto body = job_body(fmt::format("job-{:06}", i), [](std::map<std::string, std::string>& fields) {
-                Packer tasks;
+                MsgpackWriter tasks;
                 fields["pieces"] = tasks.count(kTasksPerJob).take();
             });
             ASSERT_EQ(site.call(0, "POST", "/v2/runs", body).status, 201);
@@ -101,7 +101,7 @@
     Seconds began = site.loop.now();
     uint64_t passes = leader()->passes_done();
     EXPECT_EQ(all_report(), kMachines);
-    EXPECT_LE(leader()->passes_done() - passes, 2 + (site.loop.now() - began) / constants::kFleetTick_s);
+    EXPECT_LE(leader()->passes_done() - passes, 2 + (site.loop.now() - began) / constants::kScalingInterval_s);
 
     // All reports that come to a new leader at once share a few passes, and nothing is started again.
     site.kill(0);
@@ -136,7 +136,7 @@
     ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.nodes[0]->leader(); }));
     site.run(1);
     FakeWorker worker;
-    Scope scope(site.loop);
+    TaskGroup scope(site.loop);
     bool sent = false;
     // The server's routine for the connection is started after both ends have done their part.
     scope.spawn(send_and_leave(site.loop, site.configs[0].listen, worker.report(), sent), "worker");
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -182,7 +182,7 @@
     jobs.cancel(j, now);
     now += 10;
     EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
-    now += config.lease_s - 8 + constants::kLeaseMargin_s;
+    now += config.lease_s - 8 + constants::kLeaseExpiryMargin_s;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
     EXPECT_LT(now, j.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
     EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
@@ -466,7 +466,7 @@
     std::vector<Machine*> machines;
     for (int i = 0; i < 40; ++i) machines.push_back(&machine("vm-" + std::to_string(100 + i)));
     EXPECT_EQ(pull(machines).size(), 80u);
-    EXPECT_LE(j.pending.pieces(), 1u);
+    EXPECT_LE(j.pending.range_count(), 1u);
     EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
     ScalingInput in{config, settings, now, now, {}, {}, true, false};
@@ -667,7 +667,7 @@
     other.cordoned = true;
     ASSERT_EQ(pull({&deaf}).size(), 1u);
     committed(j);
-    for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
+    for (int i = 0; i < constants::kUnansweredLaunchLimit; ++i) {
         ASSERT_EQ(j.live.count(0), 1u);
         EXPECT_EQ(launches(jobs.commands(deaf, true)), 1u);
         jobs.apply(cluster, deaf, report(deaf, {}), true, now += 3);
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -19,8 +19,8 @@
 constexpr size_t kLaterTxnOps = 4;
 constexpr double kLaterWriteRate = 15;
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+std::string phase_of(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     return m ? m->root()["phase"].text_or("") : "";
 }
 
@@ -74,7 +74,7 @@
 }
 
 uint64_t format_of(Site& s, const std::string& id) {
-    return Message::parse(s.state.rows.at(live_key(id)).data)->root()["v"].count_or(0);
+    return MsgpackDocument::parse(s.state.rows.at(live_key(id)).data)->root()["v"].count_or(0);
 }
 
 size_t stored_bytes(Site& s, const std::string& id) {
@@ -102,7 +102,7 @@
 
 // All workers report at the same time.
 void report_all(Site& s, std::vector<FakeWorker>& workers, int node) {
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     size_t answered = 0;
     for (auto& w : workers) scope.spawn(report(s, w, node, answered), "report");
     EXPECT_TRUE(s.until([&] { return answered == workers.size(); }, 20));
@@ -132,8 +132,8 @@
 }
 
 bool puts(const std::string& txn, const std::string& key) {
-    auto m = Message::parse(txn);
-    Node writes = m->root()["writes"];
+    auto m = MsgpackDocument::parse(txn);
+    MsgpackValue writes = m->root()["writes"];
     for (size_t i = 0; i < writes.size(); ++i)
         if (writes.at(i)["put"].text_or("") == key) return true;
     return false;
@@ -297,7 +297,7 @@
         EXPECT_EQ(stored(s, "job-1").live.size(), 100U);
         for (int i = 0; i < 2; ++i) report_all(s, workers, 0);
         EXPECT_EQ(exits_kept(workers), 0U);
-        s.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
+        s.run(constants::kRecordFormatPollInterval_s);  // until the second node has read the format, too
         EXPECT_EQ(phase_of(s.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(s.call(1, "POST", "/v2/runs", job_body("job-3")).status, 200)
             << "carried out, soon or late";
@@ -378,7 +378,7 @@
 Task<void> submit(Site& s, Submission& x, size_t& answered) {
     Seconds began = s.loop.now(), until = began + 5;
     std::string body = job_body(
-        x.id, [](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = Packer().number(0.01).take(); });
+        x.id, [](auto& f) { f["vcpus"] = f["cards"] = f["memory_gb"] = MsgpackWriter().number(0.01).take(); });
     x.answer.clear();
     auto stream = co_await connect_to(s.loop, s.configs[static_cast<size_t>(x.node)].listen, until);
     if (stream) {
@@ -397,7 +397,7 @@
 }
 
 void submit_all(Site& s, std::vector<Submission*> list) {
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     size_t answered = 0;
     for (auto* x : list) scope.spawn(submit(s, *x, answered), "submission");
     ASSERT_TRUE(s.until([&] { return answered == list.size(); }, 10));
@@ -430,7 +430,7 @@
     // From here on the service keeps to the rate.
     TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
     s.state.let_through = [&](const std::string& txn) {
-        auto m = Message::parse(txn);
+        auto m = MsgpackDocument::parse(txn);
         s.state.limited = rate.take(static_cast<double>(m->root()["writes"].size()), s.loop.now()) ? 0 : 1;
         return true;
     };
@@ -492,7 +492,7 @@
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto hangs = [&](const std::string& txn) { return puts(txn, "j/job-1"); };
     s.state.let_through = [&](const std::string& txn) { return !hangs(txn); };
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     size_t answered = 0;
     scope.spawn(report(s, w, 0, answered), "report");
     ASSERT_TRUE(s.until([&] { return !s.state.late.empty(); }));
--- a/tests/load/load_site.cc
+++ b/tests/load/load_site.cc
@@ -83,13 +83,13 @@
   private:
     Task<bool> report() {
         if (!client_) client_ = std::make_unique<HttpClient>(loop_, controller_address(controller_), 1);
-        Answer answer = co_await client_->call("POST", "/hello", worker_.report(), 4.0);
+        CallResult answer = co_await client_->call("POST", "/hello", worker_.report(), 4.0);
         if (answer.status == 200) {
             worker_.carry_out(answer.body);
             for (const auto& task : worker_.tasks) started_.try_emplace(task.name.text(), loop_.now());
             co_return true;
         }
-        auto redirect = Message::parse(answer.body);
+        auto redirect = MsgpackDocument::parse(answer.body);
         std::string to = redirect ? redirect->root()["harbor"].text_or("") : "";
         auto dash = to.rfind('-');
         controller_ = dash == std::string::npos ? (controller_ + 1) % options_.controllers
@@ -125,10 +125,10 @@
         co_await loop.sleep(1 / options.jobs_per_s);
         auto id = fmt::format("job-{:06}", ++counts.submissions);
         auto body = job_body(id, [&](std::map<std::string, std::string>& fields) {
-            Packer tasks;
+            MsgpackWriter tasks;
             fields["pieces"] = tasks.count(static_cast<uint64_t>(options.tasks_per_job)).take();
         });
-        Answer answer = co_await client.call("POST", "/v2/runs", body, 5.0);
+        CallResult answer = co_await client.call("POST", "/v2/runs", body, 5.0);
         if (answer.status == 201) ++counts.accepted;
     }
 }
@@ -138,7 +138,7 @@
     co_await loop.sleep(options.poll_s * number / std::max(1, options.pollers));
     while (true) {
         int job = 1 + number % std::max(1, counts.submissions);
-        Answer answer = co_await client.call("GET", fmt::format("/v2/runs/job-{:06}", job), "", 2.0);
+        CallResult answer = co_await client.call("GET", fmt::format("/v2/runs/job-{:06}", job), "", 2.0);
         ++counts.polls;
         if (answer.status == 200) ++counts.answered;
         co_await loop.sleep(options.poll_s);
@@ -156,7 +156,7 @@
         write_settings(options, controller);
     std::vector<std::unique_ptr<LoadWorker>> workers;
     UserCounts counts;
-    Scope scope(loop);
+    TaskGroup scope(loop);
     for (int number = 0; number < options.workers; ++number) {
         workers.push_back(std::make_unique<LoadWorker>(loop, options, number));
         scope.spawn(workers.back()->run(), "worker");
--- a/tests/loop_test.cc
+++ b/tests/loop_test.cc
@@ -13,7 +13,7 @@
     co_return;
 }
 
-Task<void> note_when(Loop& loop, Signal& signal, const size_t& others, size_t& seen) {
+Task<void> note_when(Loop& loop, Condition& signal, const size_t& others, size_t& seen) {
     co_await loop.wait(signal, -1);
     seen = others;
 }
@@ -27,8 +27,8 @@
     for (Priority priority : {Priority::kUrgent, Priority::kNormal}) {
         FakeClock clock;
         Loop loop(clock);
-        Signal signal(loop);
-        Scope scope(loop);
+        Condition signal(loop);
+        TaskGroup scope(loop);
         size_t done = 0;
         size_t seen = SIZE_MAX;
         scope.spawn(note_when(loop, signal, done, seen), "renewal", priority);
@@ -49,7 +49,7 @@
 TEST(Loop, LooksForEventsWhileACrowdIsWorkedOff) {
     FakeClock clock;
     Loop loop(clock);
-    Scope scope(loop);
+    TaskGroup scope(loop);
     size_t done = 0;
     for (size_t i = 0; i < kCrowd; ++i) scope.spawn(work_off(done), "report");
     loop.turn(0);
--- a/tests/poll_rate_test.cc
+++ b/tests/poll_rate_test.cc
@@ -55,7 +55,7 @@
     Task<void> poll_job() {
         HttpClient http(site.loop, site.configs[0].listen, 1);
         while (true) {
-            Answer answer = co_await http.call("GET", "/v2/runs/job-1", "", 2.0);
+            CallResult answer = co_await http.call("GET", "/v2/runs/job-1", "", 2.0);
             EXPECT_NE(answer.status, 404);
             ++(answer.status == 200 ? answered : refused);
             co_await site.loop.sleep(kPollPause_s);
@@ -75,7 +75,7 @@
         return without;
     }
     int answered = 0, refused = 0;
-    Scope users{site.loop};
+    TaskGroup users{site.loop};
 };
 
 TEST_F(PollRate, TheLeaderKeepsItsLease) {
@@ -95,7 +95,7 @@
         accepted += site.call(0, "POST", "/v2/runs", job_body(id)).status == 201;
         EXPECT_EQ(site.call(0, "GET", "/v2/runs/" + id).status, 200) << "older than the acceptance";
         cancelled += site.call(0, "POST", "/v2/runs/" + id + "/withdraw").status == 200;
-        Answer poll = site.call(0, "GET", "/v2/runs/" + id);
+        CallResult poll = site.call(0, "GET", "/v2/runs/" + id);
         EXPECT_NE(poll.body.find("withdrawn"), std::string::npos) << "older than the cancellation";
         site.run(1);
     }
--- a/tests/record_room_test.cc
+++ b/tests/record_room_test.cc
@@ -69,7 +69,7 @@
     const Machine near = machine("m-1"), far = machine(std::string(110, 'x') + "-000001", "another-zone");
     JobRecord r = record(600);
     Job& j = jobs.load(r, 5, 0, {0});
-    config.next_value_bytes = j.record_bytes(kNewestRecordFormat) + constants::kRecordReserve;
+    config.next_value_bytes = j.record_bytes(kNewestRecordFormat) + constants::kRecordReserveBytes;
     for (int round = 0; round < 4; ++round) {
         ASSERT_TRUE(room(j, far)) << "round " << round << ", record of "
                                   << j.record_bytes(kNewestRecordFormat);
@@ -117,7 +117,7 @@
     s.run(1);
     auto with_types = [](int n) {
         return job_body("job-1", [n](auto& f) {
-            Packer p;
+            MsgpackWriter p;
             p.list(static_cast<size_t>(n)).text("g2");
             for (int i = 1; i < n; ++i) p.text(std::string(98, 'x') + std::to_string(10 + i));
             f["flavors"] = p.take();
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -208,12 +208,12 @@
 
 std::string service_body(const std::string& id, uint32_t replicas, double cpus = 1, double gpus = 0) {
     return job_body(id, [&](auto& f) {
-        f["shape"] = Packer().text("standing").take();
-        f["pieces"] = Packer().count(replicas).take();
-        f["vcpus"] = Packer().number(cpus).take();
-        f["cards"] = Packer().number(gpus).take();
-        for (const char* field : {"expect_s", "snapshot_s", "flush_s"}) f[field] = Packer().number(0).take();
-        f["rank"] = Packer().text("production").take();
+        f["shape"] = MsgpackWriter().text("standing").take();
+        f["pieces"] = MsgpackWriter().count(replicas).take();
+        f["vcpus"] = MsgpackWriter().number(cpus).take();
+        f["cards"] = MsgpackWriter().number(gpus).take();
+        for (const char* field : {"expect_s", "snapshot_s", "flush_s"}) f[field] = MsgpackWriter().number(0).take();
+        f["rank"] = MsgpackWriter().text("production").take();
     });
 }
 
@@ -223,8 +223,8 @@
     bool operator==(const State&) const = default;
 };
 
-State state_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+State state_of(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     if (!m) return {};
     return {m->root()["phase"].text_or(""), m->root()["done"].count_or(0), m->root()["running"].count_or(0)};
 }
@@ -252,7 +252,7 @@
     EXPECT_EQ(submit(service_body("job-1", 8, 1, 1)), 201);
     EXPECT_EQ(submit(service_body("job-2", 20)), 201) << "each by itself; together they wait for each other";
     EXPECT_EQ(submit(service_body("job-1", 21)), 200) << "known for ever, whatever the repeat says";
-    EXPECT_EQ(submit(job_body("job-3", [](auto& f) { f["pieces"] = Packer().count(9).take(); })), 201);
+    EXPECT_EQ(submit(job_body("job-3", [](auto& f) { f["pieces"] = MsgpackWriter().count(9).take(); })), 201);
 }
 
 // A poll counts replicas that are on machines and none that is done; a repeated submission gets the state at
@@ -268,7 +268,7 @@
     ASSERT_EQ(s.call(other, "POST", "/v2/runs", body).status, 201);
     auto poll = [&] { return state_of(s.call(other, "GET", "/v2/runs/job-1")); };
     auto repeated = [&] {
-        Answer a = s.call(other, "POST", "/v2/runs", body);
+        CallResult a = s.call(other, "POST", "/v2/runs", body);
         EXPECT_EQ(a.status, 200);
         return state_of(a).phase;
     };
@@ -291,7 +291,7 @@
     report(workers[1]);
     EXPECT_EQ(poll(), (State{"running", 0, 3}));
     // All exit as if they were done.
-    Seconds steady = s.loop.now() + constants::kReplicaSteady_s;
+    Seconds steady = s.loop.now() + constants::kReplicaStableRun_s;
     while (s.loop.now() < steady)
         for (auto& w : workers) report(w);
     for (auto& w : workers) {
@@ -349,11 +349,11 @@
     ASSERT_EQ(s.call(lead, "POST", "/v2/runs",
                      job_body("job-1",
                               [](auto& f) {
-                                  f["shape"] = Packer().text("standing").take();
-                                  f["pieces"] = Packer().count(kReplicas).take();
-                                  f["vcpus"] = Packer().number(1).take();
-                                  f["cards"] = f["snapshot_s"] = f["flush_s"] = Packer().number(0).take();
-                                  f["driftwood"] = Packer().flag(true).take();
+                                  f["shape"] = MsgpackWriter().text("standing").take();
+                                  f["pieces"] = MsgpackWriter().count(kReplicas).take();
+                                  f["vcpus"] = MsgpackWriter().number(1).take();
+                                  f["cards"] = f["snapshot_s"] = f["flush_s"] = MsgpackWriter().number(0).take();
+                                  f["driftwood"] = MsgpackWriter().flag(true).take();
                               }))
                   .status,
               201);
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -8,7 +8,7 @@
 #include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
 #include "standins.h"
-#include "users/wire.h"
+#include "users/user_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -337,9 +337,9 @@
     // Not for long: a machine that asks is better than one that may ask.
     Job& k = add(service("job-2", 3));
     EXPECT_EQ(started({all[2]}), 1u);
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     EXPECT_EQ(started({all[2]}), 1u);
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     EXPECT_EQ(started({all[2]}), 1u);
     EXPECT_EQ(k.live.size(), 3u);
     // Three on spot machines would be too many of four.
@@ -419,7 +419,7 @@
     // One that runs for a while has recovered: lost, it is replaced at once.
     now += 200;
     ASSERT_EQ(started(all), 1u);
-    now += constants::kReplicaSteady_s;
+    now += constants::kReplicaStableRun_s;
     Machine* h = cluster.machine(j.live.at(0).machine);
     reported(*h);
     EXPECT_FALSE(j.failing);
@@ -446,7 +446,7 @@
 TEST_F(Service, MovesReplicasOneAtATime) {
     Machine& x = machine("vm-1");
     Job& j = add(service("job-1", 3));
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     ASSERT_EQ(started({&x}), 3u);
     Machine& y = machine("vm-2");
     x.draining = true;
@@ -481,24 +481,24 @@
 std::string service_body(const std::string& id, uint32_t replicas) {
     return job_body(id, [&](auto& f) {
         auto packed = [](auto g) {
-            Packer p;
+            MsgpackWriter p;
             g(p);
             return p.take();
         };
-        f["shape"] = packed([](Packer& p) { p.text("standing"); });
-        f["rank"] = packed([](Packer& p) { p.text("production"); });
-        f["pieces"] = packed([&](Packer& p) { p.count(replicas); });
-        f["vcpus"] = packed([](Packer& p) { p.number(1); });
-        f["cards"] = packed([](Packer& p) { p.number(0); });
-        f["expect_s"] = packed([](Packer& p) { p.number(0); });
-        f["snapshot_s"] = packed([](Packer& p) { p.number(0); });
-        f["flush_s"] = packed([](Packer& p) { p.number(0); });
-        f["due_s"] = packed([](Packer& p) { p.null(); });
+        f["shape"] = packed([](MsgpackWriter& p) { p.text("standing"); });
+        f["rank"] = packed([](MsgpackWriter& p) { p.text("production"); });
+        f["pieces"] = packed([&](MsgpackWriter& p) { p.count(replicas); });
+        f["vcpus"] = packed([](MsgpackWriter& p) { p.number(1); });
+        f["cards"] = packed([](MsgpackWriter& p) { p.number(0); });
+        f["expect_s"] = packed([](MsgpackWriter& p) { p.number(0); });
+        f["snapshot_s"] = packed([](MsgpackWriter& p) { p.number(0); });
+        f["flush_s"] = packed([](MsgpackWriter& p) { p.number(0); });
+        f["due_s"] = packed([](MsgpackWriter& p) { p.null(); });
     });
 }
 
-std::string phase(const Answer& a) {
-    auto m = Message::parse(a.body);
+std::string phase(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     return m ? m->root()["phase"].text_or("") : "";
 }
 
@@ -600,18 +600,18 @@
     EXPECT_LT(took(), 0.3) << "there is something to launch";
     EXPECT_TRUE(w.find("job-2/0"));
     Seconds held = took();
-    EXPECT_GT(held, 0.8 * constants::kHoldBusy_s);
-    EXPECT_LT(held, constants::kHoldBusy_s + 0.3);
+    EXPECT_GT(held, 0.8 * constants::kBusyHeartbeatHold_s);
+    EXPECT_LT(held, constants::kBusyHeartbeatHold_s + 0.3);
     // One that comes meanwhile goes into the answer.
-    Scope scope(s.loop);
+    TaskGroup scope(s.loop);
     bool done = false;
-    auto later = [](Site& site, Answer& out, bool& d) -> Task<void> {
+    auto later = [](Site& site, CallResult& out, bool& d) -> Task<void> {
         co_await site.loop.sleep(0.3);
         HttpClient http(site.loop, site.configs[0].listen, 1);
         out = co_await http.call("POST", "/v2/runs", service_body("job-3", 1), 4.0);
         d = true;
     };
-    Answer out;
+    CallResult out;
     scope.spawn(later(s, out, done), "submission");
     EXPECT_LT(took(), 0.6);
     EXPECT_TRUE(w.find("job-3/0"));
--- a/tests/standins.cc
+++ b/tests/standins.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string repack(const Node& n) {
+std::string repack(const MsgpackValue& n) {
     msgpack::sbuffer b;
     msgpack::pack(b, *n.raw());
     return {b.data(), b.size()};
@@ -22,14 +22,14 @@
     return rest.substr(0, rest.find('&'));
 }
 
-Response packed(int status, Packer& p) {
+Response packed(int status, MsgpackWriter& p) {
     return {status, p.take(), 0, "application/msgpack"};
 }
 
 }  // namespace
 
 std::string json_text(const std::string& packed) {
-    auto m = Message::parse(packed);
+    auto m = MsgpackDocument::parse(packed);
     std::function<std::string(const msgpack::object&)> text = [&](const msgpack::object& o) -> std::string {
         switch (o.type) {
             case msgpack::type::NIL:
@@ -103,9 +103,9 @@
 }
 
 Response FakeState::apply(const std::string& body) {
-    auto m = Message::parse(body);
-    Node when = m->root()["when"], writes = m->root()["writes"];
-    Packer p;
+    auto m = MsgpackDocument::parse(body);
+    MsgpackValue when = m->root()["when"], writes = m->root()["writes"];
+    MsgpackWriter p;
     std::vector<std::string> failed;
     for (size_t i = 0; i < when.size(); ++i) {
         std::string k = *when.at(i)["k"].text();
@@ -136,7 +136,7 @@
     }
     if (writes.size() > 0) ++revision;
     for (size_t i = 0; i < writes.size(); ++i) {
-        Node w = writes.at(i);
+        MsgpackValue w = writes.at(i);
         ++puts;
         if (auto k = w["put"].text()) {
             rows[*k] = {repack(w["data"]), revision, w["mooring"].count_or(0)};
@@ -156,7 +156,7 @@
     auto away = [&] { return down || refused.count(node) > 0; };
     if (away() && r.path != "/changes") co_return Response{503, "", 0, ""};
     expire();
-    Packer p;
+    MsgpackWriter p;
     if (r.path == "/txn") {
         if (let_through && !let_through(r.body)) {
             late.push_back(r.body);
@@ -165,7 +165,7 @@
         co_return apply(r.body);
     }
     if (r.path == "/leases") {
-        Seconds ttl = static_cast<double>(*Message::parse(r.body)->root()["ttl_ms"].count()) / 1000;
+        Seconds ttl = static_cast<double>(*MsgpackDocument::parse(r.body)->root()["ttl_ms"].count()) / 1000;
         leases_[next_lease_] = {ttl, loop_.now() + ttl};
         p.map(1).key("mooring").count(next_lease_++);
         co_return packed(200, p);
@@ -236,14 +236,14 @@
 }
 
 Task<Response> FakeCloud::handle(Request r) {
-    Packer p;
+    MsgpackWriter p;
     if (down) {
         p.map(1).key("error").text("trouble");
         co_return packed(503, p);
     }
     if (r.path == "/flavors") co_return Response{200, Cloud::pack_machine_types(machine_types), 0, ""};
     if (r.path == "/hosts/delete") {
-        auto m = Message::parse(r.body);
+        auto m = MsgpackDocument::parse(r.body);
         for (size_t i = 0; i < m->root()["hosts"].size(); ++i) {
             std::string name = *m->root()["hosts"].at(i).text();
             deleted.push_back(name);
@@ -253,7 +253,7 @@
     }
     if (r.method == "POST") {
         ++rentals;
-        auto request = Message::parse(r.body);
+        auto request = MsgpackDocument::parse(r.body);
         std::vector<std::string> rented;
         if (rent) rented = rent(request->root()["cove"].text_or(""), request->root()["number"].count_or(1));
         if (!rented.empty()) {
@@ -291,7 +291,7 @@
     static const char* phases[] = {"pulling", "gathering", "running", "saving", "exited"};
     static const char* causes[] = {"",      "done",    "stopped", "mates_gone", "incomplete",
                                    "error", "no_room", "busy",    "unknown"};
-    Packer p;
+    MsgpackWriter p;
     p.map(10)
         .key("host")
         .text(name)
@@ -327,12 +327,12 @@
 }
 
 void FakeWorker::carry_out(const std::string& body) {
-    auto m = Message::parse(body);
+    auto m = MsgpackDocument::parse(body);
     ASSERT_TRUE(m);
     uint64_t e = m->root()["epoch"].count_or(0);
     if (e < fencing_token) return;  // dropped
     fencing_token = e;
-    Node commands = m->root()["orders"];
+    MsgpackValue commands = m->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
         auto task = *TaskName::parse(*commands.at(i)["piece"].text());
@@ -352,7 +352,7 @@
 Task<int> FakeWorker::send_report(Loop& loop, Address node) {
     HttpClient http(loop, node, 1);
     std::string body = report();
-    Answer a = co_await http.call("POST", "/hello", body, 4.0);
+    CallResult a = co_await http.call("POST", "/hello", body, 4.0);
     if (a.status == 200 && !deaf) carry_out(a.body);
     co_return a.status;
 }
@@ -366,15 +366,15 @@
 std::string job_body(const std::string& id,
                      const std::function<void(std::map<std::string, std::string>&)>& change) {
     auto text = [](const std::string& s) {
-        Packer p;
+        MsgpackWriter p;
         return p.text(s).take();
     };
     auto number = [](double d) {
-        Packer p;
+        MsgpackWriter p;
         return p.number(d).take();
     };
     auto flag = [](bool b) {
-        Packer p;
+        MsgpackWriter p;
         return p.flag(b).take();
     };
     std::map<std::string, std::string> f{
@@ -386,7 +386,7 @@
         {"snapshot_s", number(10)}, {"flush_s", number(2)},
     };
     if (change) change(f);
-    Packer p;
+    MsgpackWriter p;
     p.map(f.size());
     for (const auto& [k, v] : f) p.key(k).raw(v);
     return p.take();
@@ -472,11 +472,11 @@
     return -1;
 }
 
-Answer Site::call(int node, std::string method, std::string path, std::string body) {
-    Answer out;
+CallResult Site::call(int node, std::string method, std::string path, std::string body) {
+    CallResult out;
     bool done = false;
-    Scope scope(loop);
-    auto go = [](Loop& l, Address at, std::string m, std::string p, std::string b, Answer& o,
+    TaskGroup scope(loop);
+    auto go = [](Loop& l, Address at, std::string m, std::string p, std::string b, CallResult& o,
                  bool& d) -> Task<void> {
         HttpClient http(l, at, 1);
         o = co_await http.call(std::move(m), std::move(p), std::move(b), 5.0);
@@ -492,7 +492,7 @@
 int Site::send_report(FakeWorker& w, int node) {
     int status = -1;
     bool done = false;
-    Scope scope(loop);
+    TaskGroup scope(loop);
     auto go = [](Loop& l, Address at, FakeWorker& x, int& s, bool& d) -> Task<void> {
         s = co_await x.send_report(l, at);
         d = true;
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -21,7 +21,7 @@
     Address a;
     std::string text = "127." + std::to_string(1 + (pid >> 8) % 254) + "." + std::to_string(pid & 255) + "." +
                        std::to_string(machine) + ":" + std::to_string(port);
-    EXPECT_TRUE(Address::parse(text, a));
+    a = Address::parse(text).value();
     return a;
 }
 
@@ -85,7 +85,7 @@
     void expire();
 
     Loop& loop_;
-    Signal news_;
+    Condition news_;
     std::map<uint64_t, std::pair<Seconds, Seconds>> leases_;  // ttl, end
     uint64_t next_lease_ = 1;
     std::vector<Event> events_;
@@ -147,7 +147,7 @@
         return loop.run_until(done, most);
     }
     int leader() const;  // -1: none
-    Answer call(int node, std::string method, std::string path, std::string body = "");
+    CallResult call(int node, std::string method, std::string path, std::string body = "");
     int send_report(FakeWorker& w, int node);
     // Reports to whoever leads until it is answered 200 with this epoch known.
     void settle(FakeWorker& w);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -7,6 +7,7 @@
 #include <set>
 
 #include "base/constants.h"
+#include "http/json_size.h"
 #include "jobs/compact.h"
 #include "standins.h"
 
@@ -114,11 +115,11 @@
 }
 
 uint64_t form_of(Site& s, const std::string& key) {
-    return Message::parse(s.state.rows.at(key).data)->root()["v"].count_or(0);
+    return MsgpackDocument::parse(s.state.rows.at(key).data)->root()["v"].count_or(0);
 }
 
-std::string phase_of(const Answer& a) {
-    auto m = Message::parse(a.body);
+std::string phase_of(const CallResult& a) {
+    auto m = MsgpackDocument::parse(a.body);
     return m ? m->root()["phase"].text_or("") : "";
 }
 
@@ -177,7 +178,7 @@
         EXPECT_GE(json_size(packed), json_text(packed).size()) << "counted at most, never at least";
         EXPECT_GE(json_size(r.pack(1)), json_text(r.pack(1)).size());
         // A reader of format 1 must not take its tasks for free: it cannot read the done ranges.
-        auto text = Message::parse(packed)->root()["done"].text();
+        auto text = MsgpackDocument::parse(packed)->root()["done"].text();
         EXPECT_FALSE(Ranges::parse(*text, r.spec.tasks));
     }
 }
@@ -307,7 +308,7 @@
     s.send_report(w, 0);
     ASSERT_TRUE(w.find("job-1/0"));
     EXPECT_EQ(form_of(s, "j/job-1"), 1u);
-    EXPECT_TRUE(Message::parse(s.state.rows.at("j/job-1").data)->root()["live"].is_list());
+    EXPECT_TRUE(MsgpackDocument::parse(s.state.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
     s.start(1);
     ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
@@ -435,7 +436,7 @@
     s.run(1);
     std::string team(100, 't');
     ASSERT_EQ(s.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto text = [](const std::string& x) { return Packer().text(x).take(); };
+    auto text = [](const std::string& x) { return MsgpackWriter().text(x).take(); };
     ASSERT_EQ(
         s.call(0, "POST", "/v2/runs", job_body("job-2", [&](auto& f) { f["jobclass"] = text(team); })).status,
         201);
@@ -465,7 +466,7 @@
         s.start(0);
         ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
         s.run(1);
-        auto number = [](double d) { return Packer().number(d).take(); };
+        auto number = [](double d) { return MsgpackWriter().number(d).take(); };
         FakeWorker w;
         s.settle(w);
         for (int i = 0; i < 10; ++i)
@@ -502,12 +503,12 @@
     ASSERT_TRUE(s.until([&] { return s.state.rows.count("form") == 1; }));
     s.run(1);
     auto long_list = [](auto& f) {
-        Packer p;
+        MsgpackWriter p;
         p.list(64).text("g2");
         for (int i = 1; i < 64; ++i) p.text(std::string(126, 'x') + std::to_string(10 + i));
         f["flavors"] = p.take();
     };
-    Answer a = s.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
+    CallResult a = s.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
     EXPECT_EQ(a.status, 400);
     EXPECT_NE(a.body.find("description"), std::string::npos);
     EXPECT_EQ(s.call(0, "GET", "/v2/runs/job-1").status, 404);
@@ -525,7 +526,7 @@
     auto refused = [&](const std::string& path, const std::string& body) {
         s.state.limited = 1;
         Seconds began = s.loop.now();
-        Answer a = s.call(0, "POST", path, body);
+        CallResult a = s.call(0, "POST", path, body);
         EXPECT_EQ(a.status, 429) << path;
         EXPECT_LT(s.loop.now() - began, 0.3) << path;
         EXPECT_EQ(s.state.limited, 0) << "sent once";
@@ -571,7 +572,7 @@
 }
 
 TEST(Upgrade, DoesNotLeadOverANewerRecordFormat) {
-    for (const std::string& kept : {pack_record_format(3), Packer().text("not a form").take()}) {
+    for (const std::string& kept : {pack_record_format(3), MsgpackWriter().text("not a form").take()}) {
         Site s;
         keep(s, "form", kept);
         s.start(0);
--- a/tests/user_answers_test.cc
+++ b/tests/user_answers_test.cc
@@ -48,19 +48,19 @@
 
     Loop& loop_;
     FakeState& state_;
-    Signal released_;
+    Condition released_;
     bool holding_ = false;
     std::string awaited_path_, awaited_part_;
     HttpServer server_;
 };
 
 struct PendingAnswer {
-    Answer answer;
+    CallResult answer;
     bool arrived = false;
 };
 
-std::string phase_in(const Answer& answer) {
-    auto message = Message::parse(answer.body);
+std::string phase_in(const CallResult& answer) {
+    auto message = MsgpackDocument::parse(answer.body);
     return message ? message->root()["phase"].text_or("") : "";
 }
 
@@ -68,7 +68,7 @@
     Site site{1};
     std::unique_ptr<HeldState> held_state;
     PendingAnswer slow;
-    Scope users{site.loop};
+    TaskGroup users{site.loop};
 
     UserAnswers() {
         site.configs[0].state = address(20, 2379);
@@ -104,7 +104,7 @@
     ASSERT_EQ(submit(), 201);
     held_state->hold_next("/keys/" + live_key(kJob));
     ASSERT_TRUE(ask_slowly("GET", kQuery));
-    Answer cancelled = site.call(0, "POST", kQuery + "/withdraw");
+    CallResult cancelled = site.call(0, "POST", kQuery + "/withdraw");
     EXPECT_EQ(cancelled.status, 200);
     EXPECT_EQ(phase_in(cancelled), "withdrawn");
     ASSERT_TRUE(slow_answer_arrives());
--- a/tests/user_crowd.cc
+++ b/tests/user_crowd.cc
@@ -13,7 +13,7 @@
 
 const std::string kRuns = "/v2/runs";
 
-bool taken(const Answer& a) {
+bool taken(const CallResult& a) {
     return a.status == 200 || a.status == 201;
 }
 
@@ -54,17 +54,17 @@
     Question question{job, node, known.anywhere, known.at_node[node]};
     HttpClient http(world_.site.loop, world_.site.configs[node].listen, 1);
     Seconds timeout = method == "GET" ? kPollTimeout_s : kWriteTimeout_s;
-    Answer answer = co_await http.call(std::move(method), std::move(path), std::move(body), timeout);
+    CallResult answer = co_await http.call(std::move(method), std::move(path), std::move(body), timeout);
     take(question, answer);
     co_return taken(answer);
 }
 
-void UserCrowd::take(const Question& q, const Answer& answer) {
+void UserCrowd::take(const Question& q, const CallResult& answer) {
     EXPECT_NE(answer.status, 400) << q.job;
     EXPECT_NE(answer.status, 422) << q.job;
     if (!taken(answer) && answer.status != 404) return;
     ++answers_;
-    auto message = Message::parse(answer.body);
+    auto message = MsgpackDocument::parse(answer.body);
     std::string phase = taken(answer) && message ? message->root()["phase"].text_or("") : "";
     AnswerAge age = taken(answer) ? age_of(phase) : AnswerAge::kUnknownJob;
     Known& known = cancellations_known_until_[q.job];
--- a/tests/user_crowd.h
+++ b/tests/user_crowd.h
@@ -44,13 +44,13 @@
     Task<void> look_closely(std::string job);
     void look(const std::string& job);
     void repeat_submission(const std::string& job);
-    void take(const Question& question, const Answer& answer);
+    void take(const Question& question, const CallResult& answer);
 
     World& world_;
     std::map<std::string, Known> cancellations_known_until_;
     std::set<std::string> cancelled_;
     size_t answers_ = 0;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore::test
