--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -7,6 +7,7 @@
 #include <fstream>
 
 #include "standins/deployment.h"
+#include "standins/settings_text.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -21,30 +22,7 @@
 // What `hareshore --check` says of settings with these later limits in [facts.state].
 Checked check(const std::string& next) {
     std::string path = testing::TempDir() + "/settings-" + std::to_string(getpid()) + ".toml";
-    std::ofstream(path) << R"(label = "n0"
-site = "a"
-client_listen = "10.0.0.1:8080"
-back = "10.0.0.1:8081"
-[endpoints]
-cloud = "10.2.0.2:8443"
-state = "10.2.0.1:2379"
-[facts]
-zones = ["a", "b"]
-skew_ms = 250.0
-[[facts.teams]]
-name = "t"
-[facts.workers]
-report_s = 3.0
-lease_s = 24.0
-gang_wait_s = 40.0
-gang_peer_s = 4.0
-cancel_s = 49.0
-[facts.state]
-rps = 80.0
-write_rps = 15.0
-value_kb = 8.0
-txn_ops = 12
-)" << next << "\n[facts.cloud]\nrps = 6.0\nlist_lag_s = 6.0\n";
+    std::ofstream(path) << settings_with_store_limits(next);
     Checked out;
     std::string command = std::string(HARESHORE_PROGRAM) + " --check --config '" + path + "' 2>&1";
     FILE* pipe = popen(command.c_str(), "r");
@@ -94,8 +72,8 @@
                                "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
 const char* const kOptional[] = {"flavors", "cove", "due_s"};
 
-void shape(JobFields& f, const char* name) {
-    f["shape"] = packed_text(name);
+void shape(JobFields& fields, const char* name) {
+    fields["shape"] = packed_text(name);
 }
 
 }  // namespace
@@ -113,15 +91,15 @@
     for (const char* name : {"sweep", "ensemble", "standing"}) {
         for (const char* field : kNeeded) {
             auto with = [&](std::string value) {
-                return submit("job-1", [&](auto& f) {
-                    shape(f, name);
-                    f[field] = std::move(value);
+                return submit("job-1", [&](auto& fields) {
+                    shape(fields, name);
+                    fields[field] = std::move(value);
                 });
             };
             EXPECT_EQ(submit("job-1",
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f.erase(field);
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields.erase(field);
                              }),
                       400)
                 << name << ' ' << field;
@@ -130,16 +108,16 @@
         }
         for (const char* field : kOptional) {
             EXPECT_EQ(submit("job-1",
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f[field] = packed_flag(true);
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields[field] = packed_flag(true);
                              }),
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
-                             [&](auto& f) {
-                                 shape(f, name);
-                                 f[field] = packed_null();
+                             [&](auto& fields) {
+                                 shape(fields, name);
+                                 fields[field] = packed_null();
                              }),
                       201)
                 << name << ' ' << field;
@@ -164,10 +142,10 @@
         return deployment
             .call(0, "POST", "/v2/runs",
                   job_body(id,
-                           [&](auto& f) {
-                               f[field] = packed_number(amount);
+                           [&](auto& fields) {
+                               fields[field] = packed_number(amount);
                                if (machine_type)
-                                   f["flavors"] = MsgpackWriter().list(1).text(machine_type).take();
+                                   fields["flavors"] = MsgpackWriter().list(1).text(machine_type).take();
                            }))
             .status;
     };
