--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -22,22 +22,22 @@
 // for each, the burst an equal one.
 CloudClient::CloudClient(Loop& loop, Address cloud, double rate_limit, size_t controllers)
     : loop_(loop),
-      http_(loop, cloud, kConnections, constants::kAnswerLimit),
-      rate_limit_(rate_limit * constants::kCloudShare,
+      http_(loop, cloud, kConnections, constants::kResponseLimit),
+      rate_limit_(rate_limit * constants::kCloudRateShare,
                   std::max(1.0, 2 * rate_limit / static_cast<double>(controllers))) {}
 
-Task<Answer> CloudClient::call(std::string method, std::string path, std::string body) {
+Task<CallResult> CloudClient::call(std::string method, std::string path, std::string body) {
     while (!rate_limit_.take(1, loop_.now()))
         co_await loop_.sleep(rate_limit_.until(1, loop_.now()) + kRateWaitMargin_s);
-    Answer answer =
-        co_await http_.call(std::move(method), std::move(path), std::move(body), constants::kCloudCall_s);
+    CallResult answer = co_await http_.call(std::move(method), std::move(path), std::move(body),
+                                            constants::kCloudCallTimeout_s);
     // Other controllers have used up the limit.
-    if (answer.status == kHttpTooManyRequests) rate_limit_.drain(loop_.now());
+    if (answer.status == kHttpTooManyRequests) rate_limit_.mark_exhausted(loop_.now());
     co_return answer;
 }
 
 Task<std::optional<std::vector<MachineType>>> CloudClient::machine_types() {
-    Answer answer = co_await call("GET", machine_types_path(), "");
+    CallResult answer = co_await call("GET", machine_types_path(), "");
     if (!answer.ok()) co_return std::nullopt;
     co_return decode_machine_types(answer.body);
 }
@@ -46,7 +46,7 @@
     std::vector<ListedMachine> machines;
     std::string last;
     while (true) {
-        Answer answer = co_await call("GET", machine_page_path(last), "");
+        CallResult answer = co_await call("GET", machine_page_path(last), "");
         auto page = decode_machine_page(answer);
         if (!page) co_return std::nullopt;
         std::string previous = last;
@@ -59,12 +59,12 @@
 }
 
 Task<CreateMachinesResult> CloudClient::create_machines(CreateMachinesRequest request) {
-    Answer answer = co_await call("POST", creation_path(), encode_create_request(request));
+    CallResult answer = co_await call("POST", creation_path(), encode_create_request(request));
     co_return decode_create_answer(answer);
 }
 
 Task<DeleteOutcome> CloudClient::delete_machines(std::vector<std::string> names) {
-    Answer answer = co_await call("POST", deletion_path(), encode_delete_request(names));
+    CallResult answer = co_await call("POST", deletion_path(), encode_delete_request(names));
     co_return decode_delete_answer(answer);
 }
 
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -16,52 +16,54 @@
 
 StoreClient::StoreClient(Loop& loop, Address store, size_t answer_limit)
     : loop_(loop),
-      http_(loop, store, constants::kPoolPerPeer, answer_limit),
-      leases_(loop, store, constants::kPoolLeases, constants::kAnswerLimit),
+      http_(loop, store, constants::kConnectionPoolSize, answer_limit),
+      leases_(loop, store, constants::kLeaseConnectionPoolSize, constants::kResponseLimit),
       watches_(loop, store, kWatchConnections, answer_limit) {}
 
-Task<Answer> StoreClient::call(HttpClient& connections, std::string method, std::string path,
-                               std::string body, Seconds timeout) {
-    Answer answer = co_await connections.call(std::move(method), std::move(path), std::move(body), timeout);
+Task<CallResult> StoreClient::call(HttpClient& connections, std::string method, std::string path,
+                                   std::string body, Seconds timeout) {
+    CallResult answer =
+        co_await connections.call(std::move(method), std::move(path), std::move(body), timeout);
     if (shows_store_available(answer)) last_contact_ = loop_.now();
     co_return answer;
 }
 
 Task<GetResult> StoreClient::get(std::string key, Seconds timeout) {
-    Answer answer = co_await call(http_, "GET", get_path(key), "", timeout);
+    CallResult answer = co_await call(http_, "GET", get_path(key), "", timeout);
     co_return decode_get(answer, std::move(key));
 }
 
 Task<ListResult> StoreClient::list(std::string prefix, std::string after, size_t page_size, Seconds timeout) {
     std::string path = list_path(prefix, after, page_size);
-    Answer answer = co_await call(http_, "GET", std::move(path), "", timeout);
+    CallResult answer = co_await call(http_, "GET", std::move(path), "", timeout);
     co_return decode_list(answer);
 }
 
 Task<TransactionResult> StoreClient::commit(Transaction transaction, Seconds timeout) {
     std::string body = encode_transaction(transaction);
-    Answer answer = co_await call(http_, "POST", transactions_path(), std::move(body), timeout);
+    CallResult answer = co_await call(http_, "POST", transactions_path(), std::move(body), timeout);
     co_return decode_transaction(answer);
 }
 
 Task<LeaseResult> StoreClient::grant_lease(Seconds ttl, Seconds timeout) {
-    Answer answer = co_await call(leases_, "POST", leases_path(), encode_lease_request(ttl), timeout);
+    CallResult answer = co_await call(leases_, "POST", leases_path(), encode_lease_request(ttl), timeout);
     co_return decode_lease(answer);
 }
 
 Task<StoreStatus> StoreClient::renew_lease(LeaseId lease, Seconds timeout) {
-    Answer answer = co_await call(leases_, "POST", lease_renewal_path(lease), "", timeout);
+    CallResult answer = co_await call(leases_, "POST", lease_renewal_path(lease), "", timeout);
     co_return decode_status(answer);
 }
 
 Task<StoreStatus> StoreClient::revoke_lease(LeaseId lease, Seconds timeout) {
-    Answer answer = co_await call(leases_, "DELETE", lease_path(lease), "", timeout);
+    CallResult answer = co_await call(leases_, "DELETE", lease_path(lease), "", timeout);
     co_return decode_status(answer);
 }
 
 Task<WatchResult> StoreClient::watch(std::string prefix, Revision after, Seconds wait) {
     std::string path = watch_path(prefix, after, wait);
-    Answer answer = co_await watches_.call("GET", std::move(path), "", wait + constants::kStateCall_s);
+    CallResult answer =
+        co_await watches_.call("GET", std::move(path), "", wait + constants::kStoreCallTimeout_s);
     if (watch_shows_store_available(answer)) last_contact_ = loop_.now();
     co_return decode_watch(answer);
 }
--- a/src/workers/worker_client.h
+++ b/src/workers/worker_client.h
@@ -6,6 +6,7 @@
 
 #include "http/client.h"
 #include "workers/command.h"
+#include "workers/worker_client.h"
 #include "workers/worker_heartbeat.h"
 
 namespace hareshore {
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -44,7 +44,7 @@
         return deployment.call(0, "POST", "/v2/runs", job_body("job-1", change)).status;
     };
     auto packed = [](auto fields) {
-        Packer packer;
+        MsgpackWriter packer;
         fields(packer);
         return packer.take();
     };
@@ -53,32 +53,34 @@
     for (const char* field :
          {"ref", "owner", "pieces", "vcpus", "bundle", "one_zone", "snapshot_s", "rank"}) {
         EXPECT_EQ(submit([&](auto& fields) { fields.erase(field); }), 400) << field;
-        EXPECT_EQ(
-            submit([&](auto& fields) { fields[field] = packed([](Packer& packer) { packer.list(0); }); }),
-            400)
+        EXPECT_EQ(submit([&](auto& fields) {
+                      fields[field] = packed([](MsgpackWriter& packer) { packer.list(0); });
+                  }),
+                  400)
             << field;
     }
     for (double bad : {-1.0, static_cast<double>(INFINITY), static_cast<double>(NAN)})
         for (const char* field : {"pieces", "vcpus", "memory_gb", "size_gb", "expect_s", "due_s"})
             EXPECT_EQ(submit([&](auto& fields) {
-                          fields[field] = packed([&](Packer& packer) { packer.number(bad); });
+                          fields[field] = packed([&](MsgpackWriter& packer) { packer.number(bad); });
                       }),
                       400)
                 << field << bad;
     EXPECT_EQ(submit([&](auto& fields) {
-                  fields["pieces"] = packed([](Packer& packer) { packer.count(100'001); });
+                  fields["pieces"] = packed([](MsgpackWriter& packer) { packer.count(100'001); });
               }),
               400);
     EXPECT_EQ(submit([&](auto& fields) {
-                  fields["owner"] = packed([](Packer& packer) { packer.text("nobody"); });
+                  fields["owner"] = packed([](MsgpackWriter& packer) { packer.text("nobody"); });
+              }),
+              422);
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["cards"] = packed([](MsgpackWriter& packer) { packer.number(3); });
               }),
               422);
-    EXPECT_EQ(
-        submit([&](auto& fields) { fields["cards"] = packed([](Packer& packer) { packer.number(3); }); }),
-        422);
     EXPECT_EQ(submit([&](auto& fields) {
-                  fields["shape"] = packed([](Packer& packer) { packer.text("ensemble"); });
-                  fields["pieces"] = packed([](Packer& packer) { packer.count(9); });
+                  fields["shape"] = packed([](MsgpackWriter& packer) { packer.text("ensemble"); });
+                  fields["pieces"] = packed([](MsgpackWriter& packer) { packer.count(9); });
               }),
               422);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs").status, 405);
@@ -531,7 +533,7 @@
         201);
     std::vector<FakeWorker> workers(1000);
     int answered = 0;
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     auto go = [](Loop& l, Address at, FakeWorker& worker, int& n) -> Task<void> {
         n += co_await worker.send_report(l, at) == 200;
     };
@@ -544,7 +546,7 @@
     ASSERT_TRUE(deployment.until([&] { return answered == 1000; }, 10));
     uint64_t run_passes = deployment.node(0).leader()->passes_done() - before;
     EXPECT_LE(static_cast<double>(run_passes),
-              2 + (deployment.loop.now() - began) / constants::kPassInterval_s);
+              2 + (deployment.loop.now() - began) / constants::kSchedulingInterval_s);
     EXPECT_LT(run_passes, 50u) << "far fewer than reports";
     EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000u);
 }
@@ -694,7 +696,7 @@
         for (int steps : {0, 1, 2, 5}) {
             for (int i = 0; i < steps; ++i) deployment.loop.turn(0);
             if (followed) {
-                Packer packer;
+                MsgpackWriter packer;
                 packer.map(2).key("node").text("node-1").key("epoch").count(9);
                 deployment.store.rows["leader"] = {packer.take(), ++deployment.store.revision, 0};
             }
@@ -735,7 +737,7 @@
     std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
                          peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
                          peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
         for (int i = 0; stream && i < 100; ++i) {
--- a/tests/scenario/fault_scenario.h
+++ b/tests/scenario/fault_scenario.h
@@ -64,7 +64,7 @@
     std::map<std::pair<int, int>, std::unique_ptr<PeerLink>>
         links;  // by the controllers that dial and listen
     SimulatedFleet fleet{deployment, jobs};
-    Scope scope;
+    TaskGroup scope;
 
   private:
     void set_peer_links(int node, bool cut);
--- a/tests/scenario/peer_link.cc
+++ b/tests/scenario/peer_link.cc
@@ -18,7 +18,7 @@
 
 Task<void> PeerLink::accept_all() {
     while (true) {
-        int fd = accept_from(listener.fd());
+        int fd = accept_connection(listener.fd()).value_or(-1);
         if (fd < 0) {
             co_await loop.readable(listener, -1);
             continue;
--- a/tests/scenario/user_crowd.cc
+++ b/tests/scenario/user_crowd.cc
@@ -17,7 +17,7 @@
 
 const std::string kRuns = "/v2/runs";
 
-bool successful(const Answer& answer) {
+bool successful(const CallResult& answer) {
     return answer.status == 200 || answer.status == 201;
 }
 
@@ -59,12 +59,12 @@
     Question question{job, node, newest.anywhere, newest.at_node[node]};
     HttpClient http(deployment.loop, deployment.configs[node].listen, 1);
     Seconds timeout = method == "GET" ? kPollTimeout_s : kWriteTimeout_s;
-    Answer answer = co_await http.call(std::move(method), std::move(path), std::move(body), timeout);
+    CallResult answer = co_await http.call(std::move(method), std::move(path), std::move(body), timeout);
     take(question, answer);
     co_return successful(answer);
 }
 
-void UserCrowd::take(const Question& question, const Answer& answer) {
+void UserCrowd::take(const Question& question, const CallResult& answer) {
     EXPECT_NE(answer.status, 400) << question.job;
     EXPECT_NE(answer.status, 422) << question.job;
     if (!successful(answer) && answer.status != 404) return;
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -164,8 +164,8 @@
     bool operator==(const State&) const = default;
 };
 
-State state_of(const Answer& answer) {
-    auto m = Message::parse(answer.body);
+State state_of(const CallResult& answer) {
+    auto m = MsgpackDocument::parse(answer.body);
     if (!m) return {};
     return {m->root()["phase"].text_or(""), m->root()["done"].count_or(0), m->root()["running"].count_or(0)};
 }
@@ -204,7 +204,7 @@
     ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", body).status, 201);
     auto poll = [&] { return state_of(deployment.call(other, "GET", "/v2/runs/job-1")); };
     auto repeated = [&] {
-        Answer answer = deployment.call(other, "POST", "/v2/runs", body);
+        CallResult answer = deployment.call(other, "POST", "/v2/runs", body);
         EXPECT_EQ(answer.status, 200);
         return state_of(answer).phase;
     };
@@ -225,7 +225,7 @@
     report(workers[1]);
     EXPECT_EQ(poll(), (State{"running", 0, 3}));
     // All exit as if they were done.
-    Seconds steady = deployment.loop.now() + constants::kReplicaSteady_s;
+    Seconds steady = deployment.loop.now() + constants::kReplicaStableRun_s;
     while (deployment.loop.now() < steady)
         for (auto& worker : workers) report(worker);
     for (auto& worker : workers) {
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -9,7 +9,7 @@
 #include "scheduler/scheduler.h"
 #include "standins/deployment.h"
 #include "standins/scheduling_test.h"
-#include "users/wire.h"
+#include "users/user_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -214,9 +214,9 @@
     // Not for long: a machine that asks is better than one that may ask.
     Job& other_job = add_job(service_spec("job-2", 3));
     EXPECT_EQ(start_on({all[2]}), 1u);
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     EXPECT_EQ(start_on({all[2]}), 1u);
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     EXPECT_EQ(start_on({all[2]}), 1u);
     EXPECT_EQ(other_job.live.size(), 3u);
     // Three on spot machines would be too many of four.
@@ -296,7 +296,7 @@
     // One that runs for a while has recovered: lost, it is replaced at once.
     now += 200;
     ASSERT_EQ(start_on(all), 1u);
-    now += constants::kReplicaSteady_s;
+    now += constants::kReplicaStableRun_s;
     Machine* machine = cluster.machine(job.live.at(0).machine);
     report_tasks(*machine);
     EXPECT_FALSE(job.failing);
@@ -323,7 +323,7 @@
 TEST_F(Service, MovesReplicasOneAtATime) {
     Machine& first = add_machine("vm-1");
     Job& job = add_job(service_spec("job-1", 3));
-    now += constants::kSpreadWait_s;
+    now += constants::kReplicaSpreadWait_s;
     ASSERT_EQ(start_on({&first}), 3u);
     Machine& second = add_machine("vm-2");
     first.draining = true;
@@ -345,12 +345,12 @@
 TEST_F(Service, IsRefusedIfItsReplicasCannotAllRun) {
     config.teams[0].cpus_max = 6;
     JobSpec spec = service_spec("job-1", 6);
-    EXPECT_EQ(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_EQ(never_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 7;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 1;
     spec.cpus = 17;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
 }
 
 // What its user sees, from the submission to the cancellation, also through another node.
@@ -444,18 +444,18 @@
     EXPECT_LT(took(), 0.3) << "there is something to launch";
     EXPECT_TRUE(worker.find("job-2/0"));
     Seconds held = took();
-    EXPECT_GT(held, 0.8 * constants::kHoldBusy_s);
-    EXPECT_LT(held, constants::kHoldBusy_s + 0.3);
+    EXPECT_GT(held, 0.8 * constants::kBusyHeartbeatHold_s);
+    EXPECT_LT(held, constants::kBusyHeartbeatHold_s + 0.3);
     // One that comes meanwhile goes into the answer.
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     bool done = false;
-    auto later = [](Deployment& owner, Answer& out, bool& d) -> Task<void> {
+    auto later = [](Deployment& owner, CallResult& out, bool& d) -> Task<void> {
         co_await owner.loop.sleep(0.3);
         HttpClient http(owner.loop, owner.configs[0].listen, 1);
         out = co_await http.call("POST", "/v2/runs", service_body("job-3", 1), 4.0);
         d = true;
     };
-    Answer out;
+    CallResult out;
     scope.spawn(later(deployment, out, done), "submission");
     EXPECT_LT(took(), 0.6);
     EXPECT_TRUE(worker.find("job-3/0"));
--- a/tests/standins/messages.cc
+++ b/tests/standins/messages.cc
@@ -67,34 +67,34 @@
 }  // namespace
 
 std::string json_text(const std::string& packed) {
-    auto message = Message::parse(packed);
+    auto message = MsgpackDocument::parse(packed);
     return message ? json_of(*message->root().raw()) : "";
 }
 
-std::string repack(const Node& node) {
+std::string repack(const MsgpackValue& node) {
     msgpack::sbuffer buffer;
     msgpack::pack(buffer, *node.raw());
     return {buffer.data(), buffer.size()};
 }
 
 std::string packed_text(const std::string& text) {
-    return Packer().text(text).take();
+    return MsgpackWriter().text(text).take();
 }
 
 std::string packed_number(double number) {
-    return Packer().number(number).take();
+    return MsgpackWriter().number(number).take();
 }
 
 std::string packed_count(uint64_t count) {
-    return Packer().count(count).take();
+    return MsgpackWriter().count(count).take();
 }
 
 std::string packed_flag(bool flag) {
-    return Packer().flag(flag).take();
+    return MsgpackWriter().flag(flag).take();
 }
 
 std::string packed_null() {
-    return Packer().null().take();
+    return MsgpackWriter().null().take();
 }
 
 std::string query_value(const Request& request, const std::string& name) {
@@ -104,12 +104,12 @@
     return rest.substr(0, rest.find('&'));
 }
 
-Response packed_response(int status, Packer& body) {
+Response packed_response(int status, MsgpackWriter& body) {
     return {status, body.take(), 0, "application/msgpack"};
 }
 
-std::string phase_of(const Answer& answer) {
-    auto message = Message::parse(answer.body);
+std::string phase_of(const CallResult& answer) {
+    auto message = MsgpackDocument::parse(answer.body);
     return message ? message->root()["phase"].text_or("") : "";
 }
 
--- a/tests/standins/store.cc
+++ b/tests/standins/store.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "standins/messages.h"
 
 namespace hareshore::test {
@@ -67,7 +67,7 @@
     for (auto& [id, lease] : leases_) lease.end = loop_.now() + lease.ttl;
 }
 
-std::vector<std::string> FakeStore::failed_conditions(const Node& conditions) {
+std::vector<std::string> FakeStore::failed_conditions(const MsgpackValue& conditions) {
     std::vector<std::string> failed;
     for (size_t i = 0; i < conditions.size(); ++i) {
         std::string key = *conditions.at(i)["k"].text();
@@ -78,9 +78,9 @@
     return failed;
 }
 
-bool FakeStore::invalid(const std::string& body, const Node& conditions, const Node& writes) {
+bool FakeStore::invalid(const std::string& body, const MsgpackValue& conditions, const MsgpackValue& writes) {
     for (size_t i = 0; i < writes.size(); ++i) {
-        Node write = writes.at(i);
+        MsgpackValue write = writes.at(i);
         uint64_t lease = write["mooring"].count_or(0);
         if (lease > 0 && leases_.count(lease) == 0) return true;
         bool large = write["put"].present() && json_text(repack(write["data"])).size() > value_bytes;
@@ -93,10 +93,10 @@
     return false;
 }
 
-void FakeStore::write(const Node& writes) {
+void FakeStore::write(const MsgpackValue& writes) {
     if (writes.size() > 0) ++revision;
     for (size_t i = 0; i < writes.size(); ++i) {
-        Node write = writes.at(i);
+        MsgpackValue write = writes.at(i);
         if (auto key = write["put"].text()) {
             rows[*key] = {repack(write["data"]), revision, write["mooring"].count_or(0)};
             events_.push_back({*key, false, rows[*key].data, revision});
@@ -109,16 +109,16 @@
 }
 
 Response FakeStore::apply(const std::string& body) {
-    auto message = Message::parse(body);
-    Node conditions = message->root()["when"];
-    Node writes = message->root()["writes"];
+    auto message = MsgpackDocument::parse(body);
+    MsgpackValue conditions = message->root()["when"];
+    MsgpackValue writes = message->root()["writes"];
     std::vector<std::string> failed = failed_conditions(conditions);
     if (invalid(body, conditions, writes)) return refusal(400);
     if (transactions_to_limit > 0) {
         --transactions_to_limit;
         return refusal(429);
     }
-    Packer answer;
+    MsgpackWriter answer;
     if (!failed.empty()) {
         answer.map(2).key("failed").list(failed.size());
         for (const auto& key : failed) answer.text(key);
@@ -154,9 +154,9 @@
 Response FakeStore::grant_lease(const Request& request) {
     constexpr double kMilliseconds = 1000;
     Seconds ttl =
-        static_cast<double>(*Message::parse(request.body)->root()["ttl_ms"].count()) / kMilliseconds;
+        static_cast<double>(*MsgpackDocument::parse(request.body)->root()["ttl_ms"].count()) / kMilliseconds;
     leases_[next_lease_] = {ttl, loop_.now() + ttl};
-    Packer answer;
+    MsgpackWriter answer;
     answer.map(1).key("mooring").count(next_lease_++);
     return packed_response(200, answer);
 }
@@ -190,7 +190,7 @@
         expire_leases();
         std::vector<const Event*> found = events_since(prefix, from);
         if (!refuses(node) && (!found.empty() || loop_.now() >= end)) {
-            Packer answer;
+            MsgpackWriter answer;
             answer.map(2).key("tide").count(revision).key("news").list(found.size());
             for (const Event* event : found) {
                 answer.map(event->deletion ? 2 : 3).key(event->deletion ? "drop" : "put").text(event->key);
@@ -212,7 +212,7 @@
         if (starts_with(key, prefix) && key > after) found.emplace_back(key, &row);
     bool more = found.size() > list_page_size;
     if (more) found.resize(list_page_size);
-    Packer answer;
+    MsgpackWriter answer;
     answer.map(3).key("rows").list(found.size());
     for (const auto& [key, row] : found)
         answer.map(3).key("k").text(key).key("data").raw(row->data).key("stamp").count(row->mod_revision);
@@ -221,7 +221,7 @@
 }
 
 Response FakeStore::read(const std::string& key) {
-    Packer answer;
+    MsgpackWriter answer;
     auto found = rows.find(key);
     if (found == rows.end()) {
         answer.map(1).key("tide").count(revision);
--- a/tests/standins/store.h
+++ b/tests/standins/store.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "http/server.h"
 
 namespace hareshore::test {
@@ -71,10 +71,10 @@
     [[nodiscard]] bool refuses(int node) const { return down || refused_nodes.count(node) > 0; }
     void expire_leases();
     // The keys whose modification revision is not the one that the transaction expects.
-    std::vector<std::string> failed_conditions(const Node& conditions);
+    std::vector<std::string> failed_conditions(const MsgpackValue& conditions);
     // Whether the transaction exceeds a limit or names a lease that has ended.
-    bool invalid(const std::string& body, const Node& conditions, const Node& writes);
-    void write(const Node& writes);
+    bool invalid(const std::string& body, const MsgpackValue& conditions, const MsgpackValue& writes);
+    void write(const MsgpackValue& writes);
 
     Response grant_lease(const Request& request);
     Response renew_or_revoke_lease(const Request& request);
@@ -84,7 +84,7 @@
     std::vector<const Event*> events_since(const std::string& prefix, uint64_t revision) const;
 
     Loop& loop_;
-    Signal changed_;
+    Condition changed_;
     std::map<uint64_t, Lease> leases_;
     uint64_t next_lease_ = 1;
     std::vector<Event> events_;
