--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "base/token_bucket.h"
+#include "cloud/cloud_client.h"
 #include "cloud/cloud_types.h"
 #include "cloud/machine_type.h"
 #include "http/client.h"
@@ -31,7 +32,7 @@
 
   private:
     // Sends a request as soon as the rate limit allows.
-    Task<Answer> call(std::string method, std::string path, std::string body);
+    Task<CallResult> call(std::string method, std::string path, std::string body);
 
     Loop& loop_;
     HttpClient http_;
--- a/src/cloud/cloud_wire.cc
+++ b/src/cloud/cloud_wire.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/constants.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 
@@ -21,12 +21,12 @@
 constexpr Seconds kDefaultBoot_s = 60;  // for a type without a boot time
 
 // Nothing came of the request, and nothing will.
-bool not_executed(const Answer& answer) {
+bool not_executed(const CallResult& answer) {
     return answer.status == kHttpTooManyRequests || answer.status == kHttpUnavailable ||
-           (answer.status == kNoAnswer && !answer.sent);
+           (answer.status == kNoAnswer && !answer.maybe_executed);
 }
 
-void pack_machine_type(Packer& packer, const MachineType& type) {
+void pack_machine_type(MsgpackWriter& packer, const MachineType& type) {
     packer.map(10).key("name").text(type.name);
     packer.key("vcpus").number(type.cpus).key("cards").number(type.gpus);
     packer.key("memory_gb").number(type.memory_gb).key("cache_gb").number(type.cache_gb);
@@ -37,7 +37,7 @@
     for (const auto& zone : type.zones) packer.text(zone);
 }
 
-MachineType decode_machine_type(const Node& row) {
+MachineType decode_machine_type(const MsgpackValue& row) {
     MachineType type;
     type.name = row["name"].text_or("");
     type.cpus = row["vcpus"].number_or(0);
@@ -48,7 +48,7 @@
     type.price = row["price"].number_or(0);
     type.spot_price = row["low_price"].number_or(type.price);
     type.boot_s = row["boot_s"].number_or(kDefaultBoot_s);
-    Node zones = row["coves"];
+    MsgpackValue zones = row["coves"];
     for (size_t i = 0; i < zones.size(); ++i) type.zones.push_back(zones.at(i).text_or(""));
     return type;
 }
@@ -59,7 +59,7 @@
     return MachinePhase::kBooting;
 }
 
-ListedMachine decode_machine(const Node& row) {
+ListedMachine decode_machine(const MsgpackValue& row) {
     ListedMachine machine;
     machine.name = row["ref"].text_or("");
     machine.addr = row["addr"].text_or("");
@@ -82,16 +82,16 @@
 }
 
 std::string encode_machine_types(const std::vector<MachineType>& machine_types) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("flavors").list(machine_types.size());
     for (const auto& type : machine_types) pack_machine_type(packer, type);
     return packer.take();
 }
 
 std::optional<std::vector<MachineType>> decode_machine_types(std::string_view packed) {
-    auto message = Message::parse(packed);
+    auto message = MsgpackDocument::parse(packed);
     if (!message) return std::nullopt;
-    Node rows = message->root()["flavors"];
+    MsgpackValue rows = message->root()["flavors"];
     if (rows.size() == 0) return std::nullopt;
     std::vector<MachineType> machine_types;
     for (size_t i = 0; i < rows.size(); ++i) {
@@ -103,16 +103,16 @@
 }
 
 std::string machine_page_path(const std::string& after) {
-    std::string path = "/hosts?page=" + std::to_string(constants::kListPage);
+    std::string path = "/hosts?page=" + std::to_string(constants::kMachineListPageSize);
     if (!after.empty()) path += "&from=" + after;
     return path;
 }
 
-std::optional<MachinePage> decode_machine_page(const Answer& answer) {
+std::optional<MachinePage> decode_machine_page(const CallResult& answer) {
     if (!answer.ok()) return std::nullopt;
-    auto message = Message::parse(answer.body);
+    auto message = MsgpackDocument::parse(answer.body);
     if (!message) return std::nullopt;
-    Node rows = message->root()["hosts"];
+    MsgpackValue rows = message->root()["hosts"];
     if (!rows.is_list()) return std::nullopt;
     MachinePage page;
     for (size_t i = 0; i < rows.size(); ++i) {
@@ -129,18 +129,18 @@
 }
 
 std::string encode_create_request(const CreateMachinesRequest& request) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(5).key("claim").text(request.idempotency_key);
     packer.key("flavor").text(request.machine_type).key("cove").text(request.zone);
     packer.key("driftwood").flag(request.spot).key("number").count(static_cast<uint64_t>(request.count));
     return packer.take();
 }
 
-CreateMachinesResult decode_create_answer(const Answer& answer) {
+CreateMachinesResult decode_create_answer(const CallResult& answer) {
     CreateMachinesResult result;
-    auto message = Message::parse(answer.body);
-    Node root = message ? message->root() : Node();
-    Node machines = root["hosts"];
+    auto message = MsgpackDocument::parse(answer.body);
+    MsgpackValue root = message ? message->root() : MsgpackValue();
+    MsgpackValue machines = root["hosts"];
     if (answer.ok() && machines.is_list()) {
         result.outcome = CreateOutcome::kCreated;
         for (size_t i = 0; i < machines.size(); ++i) result.machines.push_back(machines.at(i).text_or(""));
@@ -157,13 +157,13 @@
 }
 
 std::string encode_delete_request(const std::vector<std::string>& machines) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("hosts").list(machines.size());
     for (const auto& name : machines) packer.text(name);
     return packer.take();
 }
 
-DeleteOutcome decode_delete_answer(const Answer& answer) {
+DeleteOutcome decode_delete_answer(const CallResult& answer) {
     if (answer.ok()) return DeleteOutcome::kDeleted;
     return not_executed(answer) ? DeleteOutcome::kNotExecuted : DeleteOutcome::kUnknown;
 }
--- a/src/state/store_wire.cc
+++ b/src/state/store_wire.cc
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 
@@ -20,13 +20,13 @@
 constexpr int kHttpUnavailable = 503;
 
 // A value's bytes, packed anew: the decoded message that it is part of is not kept.
-std::string repack(const Node& value) {
+std::string repack(const MsgpackValue& value) {
     msgpack::sbuffer buffer;
     if (value.raw()) msgpack::pack(buffer, *value.raw());
     return {buffer.data(), buffer.size()};
 }
 
-void pack_write(Packer& packer, const Transaction::Write& write) {
+void pack_write(MsgpackWriter& packer, const Transaction::Write& write) {
     if (!write.data) {
         packer.map(1).key("drop").text(write.key);
         return;
@@ -35,7 +35,7 @@
     if (write.lease) packer.key("mooring").count(*write.lease);
 }
 
-Entry decode_row(const Node& row) {
+Entry decode_row(const MsgpackValue& row) {
     Entry entry;
     entry.key = row["k"].text_or("");
     entry.mod_revision = row["stamp"].count_or(kAbsentRevision);
@@ -43,7 +43,7 @@
     return entry;
 }
 
-KeyChange decode_change(const Node& change) {
+KeyChange decode_change(const MsgpackValue& change) {
     KeyChange decoded;
     decoded.mod_revision = change["stamp"].count_or(kAbsentRevision);
     if (auto deleted_key = change["drop"].text()) {
@@ -58,8 +58,8 @@
 
 // The changes asked for have been compacted, or the answer exceeds the size limit. One too large would come
 // again and again, whereas a listing comes in pages.
-bool must_list_anew(const Answer& answer) {
-    return answer.status == kHttpGone || answer.too_large;
+bool must_list_anew(const CallResult& answer) {
+    return answer.status == kHttpGone || answer.response_too_large;
 }
 
 }  // namespace
@@ -96,7 +96,7 @@
 }
 
 std::string encode_transaction(const Transaction& transaction) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(transaction.writes.empty() ? 1 : 2).key("when").list(transaction.conditions.size());
     for (const auto& condition : transaction.conditions)
         packer.map(2).key("k").text(condition.key).key("stamp").count(condition.mod_revision);
@@ -108,12 +108,12 @@
 }
 
 std::string encode_lease_request(Seconds ttl) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("ttl_ms").count(static_cast<uint64_t>(ttl * 1000));
     return packer.take();
 }
 
-StoreStatus decode_status(const Answer& answer) {
+StoreStatus decode_status(const CallResult& answer) {
     switch (answer.status) {
         case kHttpOk:
             return StoreStatus::kOk;
@@ -128,23 +128,23 @@
         case kHttpUnavailable:
             return StoreStatus::kNotExecuted;
         case kNoAnswer:
-            return answer.sent ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
+            return answer.maybe_executed ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
         default:
             return StoreStatus::kUnknown;
     }
 }
 
-GetResult decode_get(const Answer& answer, std::string key) {
+GetResult decode_get(const CallResult& answer, std::string key) {
     GetResult result;
     result.status = decode_status(answer);
     if (result.status != StoreStatus::kOk && result.status != StoreStatus::kNotFound) return result;
-    auto message = Message::parse(answer.body);
+    auto message = MsgpackDocument::parse(answer.body);
     if (!message || !message->root().is_map()) {
         result.status = StoreStatus::kUnknown;
         return result;
     }
     if (result.status == StoreStatus::kNotFound) return result;
-    Node root = message->root();
+    MsgpackValue root = message->root();
     result.entry.key = std::move(key);
     result.entry.mod_revision = root["stamp"].count_or(kAbsentRevision);
     // The protocol's lease 0 is none.
@@ -154,17 +154,17 @@
     return result;
 }
 
-ListResult decode_list(const Answer& answer) {
+ListResult decode_list(const CallResult& answer) {
     ListResult result;
     result.status = decode_status(answer);
     if (result.status == StoreStatus::kNotFound || result.status == StoreStatus::kConflict)
         result.status = StoreStatus::kUnknown;  // A listing has no such outcome.
     if (result.status != StoreStatus::kOk) return result;
-    auto message = Message::parse(answer.body);
-    Node root = message ? message->root() : Node();
+    auto message = MsgpackDocument::parse(answer.body);
+    MsgpackValue root = message ? message->root() : MsgpackValue();
     auto more = root["has_next"].flag();
     auto revision = root["tide"].count();
-    Node rows = root["rows"];
+    MsgpackValue rows = root["rows"];
     if (!more || !revision || !rows.is_list()) {
         result.status = StoreStatus::kUnknown;
         return result;
@@ -176,56 +176,56 @@
     return result;
 }
 
-TransactionResult decode_transaction(const Answer& answer) {
+TransactionResult decode_transaction(const CallResult& answer) {
     TransactionResult result;
     result.status = decode_status(answer);
     if (result.status != StoreStatus::kOk && result.status != StoreStatus::kConflict) return result;
-    auto message = Message::parse(answer.body);
+    auto message = MsgpackDocument::parse(answer.body);
     auto revision = message ? message->root()["tide"].count() : std::nullopt;
     if (!revision) {
         result.status = StoreStatus::kUnknown;
         return result;
     }
     result.revision = *revision;
-    Node failed = message->root()["failed"];
+    MsgpackValue failed = message->root()["failed"];
     for (size_t i = 0; i < failed.size(); ++i) result.failed_keys.push_back(failed.at(i).text_or(""));
     return result;
 }
 
-LeaseResult decode_lease(const Answer& answer) {
+LeaseResult decode_lease(const CallResult& answer) {
     LeaseResult result;
     result.status = decode_status(answer);
     if (result.status != StoreStatus::kOk) return result;
-    auto message = Message::parse(answer.body);
+    auto message = MsgpackDocument::parse(answer.body);
     result.lease = message ? message->root()["mooring"].count_or(0) : 0;
     if (result.lease == 0) result.status = StoreStatus::kUnknown;
     return result;
 }
 
-WatchResult decode_watch(const Answer& answer) {
+WatchResult decode_watch(const CallResult& answer) {
     WatchResult result;
     if (must_list_anew(answer)) {
         result.status = WatchStatus::kCompacted;
         return result;
     }
     if (answer.status != kHttpOk) return result;
-    auto message = Message::parse(answer.body);
-    Node root = message ? message->root() : Node();
+    auto message = MsgpackDocument::parse(answer.body);
+    MsgpackValue root = message ? message->root() : MsgpackValue();
     auto revision = root["tide"].count();
     if (!revision) return result;
     result.status = WatchStatus::kOk;
     result.revision = *revision;
-    Node changes = root["news"];
+    MsgpackValue changes = root["news"];
     result.changes.reserve(changes.size());
     for (size_t i = 0; i < changes.size(); ++i) result.changes.push_back(decode_change(changes.at(i)));
     return result;
 }
 
-bool shows_store_available(const Answer& answer) {
+bool shows_store_available(const CallResult& answer) {
     return answer.status == kHttpOk || answer.status == kHttpNotFound || answer.status == kHttpConflict;
 }
 
-bool watch_shows_store_available(const Answer& answer) {
+bool watch_shows_store_available(const CallResult& answer) {
     return answer.status == kHttpOk || must_list_anew(answer);
 }
 
--- a/src/workers/worker_wire.cc
+++ b/src/workers/worker_wire.cc
@@ -4,7 +4,8 @@
 #include <utility>
 
 #include "base/constants.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
+#include "workers/command.h"
 
 namespace hareshore {
 
@@ -38,7 +39,7 @@
 }
 
 // Whether the header is well-formed.
-bool decode_header(const Node& root, HeartbeatHeader& header) {
+bool decode_header(const MsgpackValue& root, HeartbeatHeader& header) {
     auto machine = root["host"].text();
     auto incarnation = root["tenure"].count();
     auto sequence = root["tick"].count();
@@ -58,7 +59,7 @@
 }
 
 // Whether the task is well-formed.
-bool decode_task(const Node& task, TaskStatus& status) {
+bool decode_task(const MsgpackValue& task, TaskStatus& status) {
     auto name = TaskName::parse(task["piece"].text_or(""));
     auto attempt = task["try"].count();
     auto phase = decode_phase(task["phase"].text_or(""));
@@ -83,7 +84,7 @@
     return "";
 }
 
-void pack_commands(Packer& packer, const std::vector<Command>& commands) {
+void pack_commands(MsgpackWriter& packer, const std::vector<Command>& commands) {
     packer.key("orders").list(commands.size());
     for (const auto& command : commands) {
         bool stop = command.kind == CommandKind::kStop;
@@ -96,14 +97,14 @@
 }  // namespace
 
 std::optional<WorkerHeartbeat> decode_heartbeat(std::string_view body) {
-    auto message = Message::parse(body);
+    auto message = MsgpackDocument::parse(body);
     if (!message || !message->root().is_map()) return std::nullopt;
-    Node root = message->root();
+    MsgpackValue root = message->root();
     std::optional<WorkerHeartbeat> heartbeat(std::in_place);  // filled in place: nothing is copied
     if (!decode_header(root, *heartbeat)) return std::nullopt;
-    Node tasks = root["pieces"];
+    MsgpackValue tasks = root["pieces"];
     if (!tasks.null() && !tasks.is_list()) return std::nullopt;
-    if (tasks.size() > constants::kHeartbeatTasks) return std::nullopt;
+    if (tasks.size() > constants::kMaxTasksPerHeartbeat) return std::nullopt;
     heartbeat->tasks.resize(tasks.size());
     for (size_t i = 0; i < tasks.size(); ++i)
         if (!decode_task(tasks.at(i), heartbeat->tasks[i])) return std::nullopt;
@@ -111,14 +112,14 @@
 }
 
 std::string encode_heartbeat_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(2).key("epoch").count(fencing_token);
     pack_commands(packer, commands);
     return packer.take();
 }
 
 std::string encode_redirect(std::optional<std::string_view> leader) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(leader ? 1 : 0);
     if (leader) packer.key("harbor").text(*leader);
     return packer.take();
@@ -130,7 +131,7 @@
 
 std::string encode_commands(uint64_t fencing_token, uint64_t incarnation,
                             const std::vector<Command>& commands) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(3).key("epoch").count(fencing_token).key("tenure").count(incarnation);
     pack_commands(packer, commands);
     return packer.take();
--- a/tests/bad_input_test.cc
+++ b/tests/bad_input_test.cc
@@ -104,7 +104,7 @@
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(with(packed_null()), 400) << name << ' ' << field;
-            EXPECT_EQ(with(Packer().list(0).take()), 400) << name << ' ' << field;
+            EXPECT_EQ(with(MsgpackWriter().list(0).take()), 400) << name << ' ' << field;
         }
         for (const char* field : kOptional) {
             EXPECT_EQ(submit("job-1",
@@ -145,7 +145,7 @@
                            [&](auto& fields) {
                                fields[field] = packed_number(amount);
                                if (machine_type)
-                                   fields["flavors"] = Packer().list(1).text(machine_type).take();
+                                   fields["flavors"] = MsgpackWriter().list(1).text(machine_type).take();
                            }))
             .status;
     };
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -8,12 +8,12 @@
 #include "cloud/cloud_wire.h"
 #include "cloud/machine_type.h"
 #include "config/config.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "jobs/record.h"
 #include "peer/frames.h"
 #include "standins/mutations.h"
 #include "standins/settings_text.h"
-#include "users/wire.h"
+#include "users/user_wire.h"
 #include "workers/worker_heartbeat.h"
 #include "workers/worker_wire.h"
 
@@ -196,7 +196,7 @@
     record.live[1] = {1, "vm-1", "a"};
     peer::Heartbeat heartbeat{};
     peer::set_label(heartbeat, "node-0");
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
     std::vector<std::string> seeds{
         record.pack(1),
@@ -214,7 +214,7 @@
         mutate(s, rng);
         taken += JobRecord::unpack(s).has_value();
         taken += decode_heartbeat(s).has_value();
-        taken += std::holds_alternative<JobSpec>(parse_submission(s));
+        taken += parse_submission(s).has_value();
         taken += FinalRecord::unpack(s).has_value();
         taken += decode_machine_types(s).has_value();
         peer::Reader reader;
@@ -240,7 +240,7 @@
 
 TEST(Decoders, RefuseDeepNesting) {
     std::string deep(60000, '\x91');  // lists in lists
-    EXPECT_FALSE(Message::parse(deep + '\xc0'));
+    EXPECT_FALSE(MsgpackDocument::parse(deep + '\xc0'));
     std::string wide = "\xdd\xff\xff\xff\xff";  // a list that claims four thousand million entries
-    EXPECT_FALSE(Message::parse(wide));
+    EXPECT_FALSE(MsgpackDocument::parse(wide));
 }
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -53,7 +53,7 @@
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
         auto report = decode_heartbeat(worker.report());
         Response answer =
-            co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
+            co_await to->handle_heartbeat(std::move(*report), constants::kIdleHeartbeatHold_s, true);
         if (answer.status != 200) co_return;
         worker.carry_out(answer.body);
         ++answered;
@@ -62,7 +62,7 @@
     // All machines report at once; how many were answered 200.
     size_t all_report() {
         size_t answered = 0;
-        Scope scope(deployment.loop);
+        TaskGroup scope(deployment.loop);
         for (FakeWorker& worker : workers) scope.spawn(report_once(leader(), worker, answered), "report");
         deployment.until([&] { return scope.size() == 0; }, 5);
         return answered;
@@ -77,7 +77,7 @@
     void submit_jobs() {
         for (size_t i = 0; i < kJobs; ++i) {
             auto body = job_body(fmt::format("job-{:06}", i), [](JobFields& fields) {
-                Packer tasks;
+                MsgpackWriter tasks;
                 fields["pieces"] = tasks.count(kTasksPerJob).take();
             });
             ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", body).status, 201);
@@ -104,7 +104,7 @@
     uint64_t passes = leader()->passes_done();
     EXPECT_EQ(all_report(), kMachines);
     EXPECT_LE(leader()->passes_done() - passes,
-              2 + (deployment.loop.now() - began) / constants::kFleetTick_s);
+              2 + (deployment.loop.now() - began) / constants::kScalingInterval_s);
 
     // All reports that come to a new leader at once share a few passes, and nothing is started again.
     deployment.kill(0);
@@ -140,7 +140,7 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0 && deployment.node(0).leader(); }));
     deployment.run(1);
     FakeWorker worker;
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     bool sent = false;
     // The server's routine for the connection is started after both ends have done their part.
     scope.spawn(send_and_leave(deployment.loop, deployment.configs[0].listen, worker.report(), sent),
--- a/tests/scenario/simulated_fleet.h
+++ b/tests/scenario/simulated_fleet.h
@@ -75,7 +75,7 @@
     // One report; how long to wait before the next is considered.
     Task<Seconds> report(SimulatedMachine& machine);
     // Points the machine to the leader that the answer names; how long to wait.
-    static Seconds follow_redirect(SimulatedMachine& machine, int asked, const Answer& answer);
+    static Seconds follow_redirect(SimulatedMachine& machine, int asked, const CallResult& answer);
     Task<Response> handle_command(SimulatedMachine& machine, Request request);
     Task<void> carry_out_late(SimulatedMachine& machine, std::string command, Seconds delay);
     void carry_out(SimulatedMachine& machine, const std::string& body);
@@ -96,7 +96,7 @@
     bool repeat_old_reports_ = false;
     CommandDelay command_delay_;
     int late_commands_carried_out_ = 0;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore::test
--- a/tests/scenario/user_crowd.h
+++ b/tests/scenario/user_crowd.h
@@ -52,7 +52,7 @@
     Task<void> poll_closely(std::string job);
     void poll_everywhere(const std::string& job);
     void repeat_submission(const std::string& job);
-    void take(const Question& question, const Answer& answer);
+    void take(const Question& question, const CallResult& answer);
     // Checks that the answer is not older than others; `phase` as the answer has it.
     void check_age(const Question& question, AnswerAge age, int status, const std::string& phase);
     void record(const std::string& job, AnswerAge age, const std::string& phase);
@@ -61,7 +61,7 @@
     std::map<std::string, NewestAnswers> newest_;
     std::set<std::string> cancelled_;
     size_t answers_ = 0;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore::test
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "cloud/cloud_wire.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "standins/messages.h"
 
 namespace hareshore::test {
@@ -14,7 +14,7 @@
 constexpr double kListedAge_s = 100;
 
 Response error(const std::string& text) {
-    Packer answer;
+    MsgpackWriter answer;
     answer.map(1).key("error").text(text);
     return packed_response(503, answer);
 }
@@ -48,8 +48,8 @@
 }
 
 Response FakeCloud::delete_machines(const Request& request) {
-    auto message = Message::parse(request.body);
-    Node names = message->root()["hosts"];
+    auto message = MsgpackDocument::parse(request.body);
+    MsgpackValue names = message->root()["hosts"];
     for (size_t i = 0; i < names.size(); ++i) {
         std::string name = *names.at(i).text();
         deleted.push_back(name);
@@ -59,11 +59,11 @@
 }
 
 Response FakeCloud::rent_machines(const Request& request) {
-    auto message = Message::parse(request.body);
+    auto message = MsgpackDocument::parse(request.body);
     std::vector<std::string> rented;
     if (rent) rented = rent(message->root()["cove"].text_or(""), message->root()["number"].count_or(1));
     if (rented.empty()) return error("no capacity");
-    Packer answer;
+    MsgpackWriter answer;
     answer.map(1).key("hosts").list(rented.size());
     for (const auto& name : rented) answer.text(name);
     return packed_response(200, answer);
@@ -75,7 +75,7 @@
     size_t most = page.empty() ? machines.size() : std::stoul(page);
     auto first = machines.upper_bound(after);
     auto left = static_cast<size_t>(std::distance(first, machines.end()));
-    Packer answer;
+    MsgpackWriter answer;
     answer.map(2).key("hosts").list(std::min(most, left));
     for (auto entry = first; entry != machines.end() && most > 0; ++entry, --most) {
         const auto& [name, machine] = *entry;
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -60,7 +60,7 @@
 
 struct PendingCall {
     std::string method, path, body;
-    Answer answer;
+    CallResult answer;
     bool answered = false;
 };
 
@@ -126,9 +126,9 @@
     return kNoLeader;
 }
 
-Answer Deployment::call(int node, std::string method, std::string path, std::string body) {
+CallResult Deployment::call(int node, std::string method, std::string path, std::string body) {
     PendingCall call{std::move(method), std::move(path), std::move(body), {}};
-    Scope scope(loop);
+    TaskGroup scope(loop);
     scope.spawn(carry_out_call(loop, config(node).listen, call), "call");
     until([&] { return call.answered; }, kMostCall_s);
     return call.answer;
@@ -137,7 +137,7 @@
 int Deployment::send_report(FakeWorker& worker, int node) {
     int status = -1;
     bool answered = false;
-    Scope scope(loop);
+    TaskGroup scope(loop);
     scope.spawn(carry_out_report(loop, config(node).listen, worker, status, answered), "report");
     until([&] { return answered; }, kMostCall_s);
     return status;
--- a/tests/standins/deployment.h
+++ b/tests/standins/deployment.h
@@ -44,7 +44,7 @@
     [[nodiscard]] Config& config(int node) { return configs[static_cast<size_t>(node)]; }
 
     // A user's request and the answer to it.
-    Answer call(int node, std::string method, std::string path, std::string body = "");
+    CallResult call(int node, std::string method, std::string path, std::string body = "");
     // Sends a worker's report; the status of the answer.
     int send_report(FakeWorker& worker, int node);
     // Reports to whoever leads until it is answered 200 with this epoch known.
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -8,6 +8,7 @@
 #include <set>
 
 #include "base/constants.h"
+#include "http/json_size.h"
 #include "jobs/compact.h"
 #include "standins/records.h"
 
@@ -139,7 +140,7 @@
         EXPECT_GE(json_size(packed), json_text(packed).size()) << "counted at most, never at least";
         EXPECT_GE(json_size(record.pack(1)), json_text(record.pack(1)).size());
         // A reader of format 1 must not take its tasks for free: it cannot read the done ranges.
-        auto text = Message::parse(packed)->root()["done"].text();
+        auto text = MsgpackDocument::parse(packed)->root()["done"].text();
         EXPECT_FALSE(Ranges::parse(*text, record.spec.tasks));
     }
 }
@@ -270,7 +271,7 @@
     deployment.send_report(worker, 0);
     ASSERT_TRUE(worker.find("job-1/0"));
     EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
-    EXPECT_TRUE(Message::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
+    EXPECT_TRUE(MsgpackDocument::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
@@ -470,12 +471,12 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
     auto long_list = [](auto& fields) {
-        Packer packer;
+        MsgpackWriter packer;
         packer.list(64).text("g2");
         for (int i = 1; i < 64; ++i) packer.text(std::string(126, 'x') + std::to_string(10 + i));
         fields["flavors"] = packer.take();
     };
-    Answer answer = deployment.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
+    CallResult answer = deployment.call(0, "POST", "/v2/runs", job_body("job-1", long_list));
     EXPECT_EQ(answer.status, 400);
     EXPECT_NE(answer.body.find("description"), std::string::npos);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
@@ -493,7 +494,7 @@
     auto refused = [&](const std::string& path, const std::string& body) {
         deployment.store.transactions_to_limit = 1;
         Seconds began = deployment.loop.now();
-        Answer answer = deployment.call(0, "POST", path, body);
+        CallResult answer = deployment.call(0, "POST", path, body);
         EXPECT_EQ(answer.status, 429) << path;
         EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
         EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
