--- /dev/null
+++ b/tests/config/config_test.cc
@@ -0,0 +1,87 @@
+// The platform's settings file.
+#include "config/config.h"
+
+#include <gtest/gtest.h>
+
+#include "standins/settings_text.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+TEST(Config, ReadsTheFileAndIgnoresWhatItDoesNotKnow) {
+    Config config = Config::parse(kSettingsText);
+    EXPECT_EQ(config.label, "n0");
+    EXPECT_EQ(config.zones.size(), 2u);
+    EXPECT_EQ(config.value_bytes, 8192u);
+    EXPECT_EQ(config.team("t")->gpus_max, 8.0);
+    EXPECT_EQ(config.team("u"), nullptr);
+    EXPECT_EQ(config.ram_bytes, 0u) << "not said";
+    // A larger deployment than any so far, with fields that are new.
+    std::string text = std::string(kSettingsText) +
+                       "[facts.machine_limits]\ncores = 0.2\nram_mb = 300.0\nsockets = 4000\ngpus = 1\n";
+    for (int i = 0; i < 40; ++i)
+        text += "[[siblings]]\nlabel = \"m" + std::to_string(i) + "\"\nsite = \"z" + std::to_string(i % 9) +
+                "\"\naddr = \"10.0.1." + std::to_string(i) + ":8081\"\nrack = 3\n";
+    config = Config::parse(text);
+    EXPECT_GE(config.peers.size(), 40u);
+    EXPECT_EQ(config.sockets, 4000u);
+    EXPECT_EQ(config.ram_bytes, 300u * 1024 * 1024);
+}
+
+TEST(Config, TakesTheSmallerOfTodaysAndLaterLimits) {
+    auto with = [](const std::string& next) { return Config::parse(settings_with_store_limits(next)); };
+    Config config = with("");
+    EXPECT_EQ(config.value_limit(1), 8192u);
+    EXPECT_EQ(config.value_limit(2), 8192u);
+    config = with("next = {value_kb = 2.0, txn_ops = 4, write_rps = 9.5}");
+    EXPECT_EQ(config.value_limit(1), 8192u) << "until form 2 is in force the old limits hold";
+    EXPECT_EQ(config.value_limit(2), 2048u);
+    EXPECT_EQ(config.txn_ops, 4u);
+    EXPECT_EQ(config.write_rps, 9.5);
+    config = with("next = {txn_ops = 100, later = 1}");
+    EXPECT_EQ(config.txn_ops, 12u);
+    EXPECT_EQ(config.write_rps, 15.0);
+    config = with("next = {value_kb = 99, write_rps = 99}");
+    EXPECT_EQ(config.value_limit(2), 8192u);
+    EXPECT_EQ(config.write_rps, 15.0);
+    for (const char* bad :
+         {"value_kb = 0", "value_kb = -2", "value_kb = \"2\"", "value_kb = 0.5", "txn_ops = 0", "txn_ops = 1",
+          "txn_ops = nan", "write_rps = 0.0", "write_rps = -1"}) {
+        std::string field = std::string(bad).substr(0, std::string(bad).find(' '));
+        try {
+            with(std::string("next = {") + bad + "}");
+            ADD_FAILURE() << bad;
+        } catch (const ConfigError& e) {
+            EXPECT_NE(std::string(e.what()).find("facts.state.next." + field), std::string::npos) << e.what();
+            EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
+        }
+    }
+    EXPECT_THROW(with("next = 3"), ConfigError);
+}
+
+TEST(Config, NamesTheFieldThatIsMissingOrInvalid) {
+    auto error = [](std::string from, std::string to) {
+        std::string text = kSettingsText;
+        auto at = text.find(from);
+        EXPECT_NE(at, std::string::npos);
+        text.replace(at, from.size(), to);
+        try {
+            Config::parse(text);
+        } catch (const ConfigError& e) {
+            return std::string(e.what());
+        }
+        return std::string();
+    };
+    EXPECT_NE(error("lease_s = 24.0", "").find("facts.workers.lease_s"), std::string::npos);
+    EXPECT_NE(error("lease_s = 24.0", "lease_s = nan").find("facts.workers.lease_s"), std::string::npos);
+    EXPECT_NE(error("lease_s = 24.0", "lease_s = \"24\"").find("facts.workers.lease_s"), std::string::npos);
+    EXPECT_NE(error("cancel_s = 49.0", "cancel_s = 20.0").find("cancel_s"), std::string::npos);
+    EXPECT_NE(error("list_lag_s = 6.0", "list_lag_s = 6.0\n[facts.machine_limits]\nram_mb = -1")
+                  .find("facts.machine_limits.ram_mb"),
+              std::string::npos);
+    EXPECT_NE(error("back = \"10.0.0.1:8081\"", "back = \"host\"").find("back"), std::string::npos);
+    EXPECT_NE(error("site = \"a\"", "site = ").find("line"), std::string::npos);
+    for (const char* bad : {"\n[=]\n", "\n[[\x01]]\n", "\n[ {}]", "\n[", "\né = 1"})
+        EXPECT_NE(error("site = \"a\"", "site = \"a\"" + std::string(bad)).find("line 4"), std::string::npos)
+            << bad;
+}
--- a/tests/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -1,7 +1,6 @@
 // What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
 // frames between controllers. A name in the code that changes must not move a byte of it, since processes of
 // both versions serve side by side on the same data.
-#include <fmt/format.h>
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,6 +29,7 @@
     "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65ad302d322c352c392d31302c3430a46e"
     "6578744da46c69766593af33203820766d2d3030303030332061b03420323020766d2d3030303233312061b0313120373620"
     "7261636b2d342d782061a17601";
+
 constexpr const char* kArrayFormat2 =
     "de001ca26964aa6a6f622d303030373331a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472"
     "616e6b02a57461736b7340a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -38,6 +38,7 @@
     "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65a93d4143434144426441a46e6578744d"
     "a57a6f6e657391a161a5686f73747392a9307261636b2d342d78a436766d2da46c697665ae424157694543445033446b4843"
     "57a17602";
+
 constexpr const char* kGangFormat1 =
     "de001aa26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
     "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -46,6 +47,7 @@
     "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a0a46e65787403a46c69766594af3020322076"
     "6d2d3030303031302061af31203220766d2d3030303031312061af32203220766d2d3030303331302062af33203220766d2d"
     "3030303331322062a17601";
+
 constexpr const char* kGangFormat2 =
     "de001ca26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
     "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -53,6 +55,7 @@
     "70617274c3a473706f74c2aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a5647565"
     "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a13da46e65787403a57a6f6e657392a161a162"
     "a5686f73747391a436766d2da46c697665ae4555414543434233534342464342a17602";
+
 constexpr const char* kServiceFormat1 =
     "de001aa26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
     "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -61,6 +64,7 @@
     "41dac3e366100000a977697468647261776ec2a4646f6e65a0a46e65787429a46c69766594af30203120766d2d3030303130"
     "302061b03120343020766d2d3030303230312062af32203320766d2d3030303130302061b03520333920766d2d3030303230"
     "322062a17601";
+
 constexpr const char* kServiceFormat2 =
     "de001ca26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
     "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -68,25 +72,35 @@
     "73706f74c3aa657374696d6174655f7300ac636865636b706f696e745f7300a6736176655f7300a56475655f73ffa26174cb"
     "41dac3e366100000a977697468647261776ec2a4646f6e65a13da46e65787429a57a6f6e657392a161a162a5686f73747391"
     "a436766d2da46c697665b0456f474143414541724742734344494aa17602";
+
 constexpr const char* kDoneFinal =
     "84a26964aa6a6f622d303030373334a977697468647261776ec2a57461736b73ce00011170a4646f6e65ce00011170";
+
 constexpr const char* kCancelledFinal =
     "84a26964aa6a6f622d303030373335a977697468647261776ec3a57461736b7310a4646f6e6506";
+
 constexpr const char* kRecordFormatValue = "81a17602";
+
 constexpr const char* kLeaderValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+
 constexpr const char* kTermValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+
 constexpr const char* kHeartbeatFrame =
     "4852485202000100747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+
 constexpr const char* kHeartbeatAnswerFrame =
     "4852485202000200747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+
 constexpr const char* kRelayFrame =
     "4852485202000300747372716700000088878685848382818aa4686f7374a9766d2d303030303031a461646472ad31302e31"
     "2e302e393a39303030a6666c61766f72a26732a4636f7665a161a96472696674776f6f64c2a674656e75726501a47469636b"
     "01a565706f636829a97761726e696e675f73c0a670696563657390";
+
 constexpr const char* kRelayAnswerFrame =
     "485248520200040074737271120000008887868584838281c80082a565706f636829a66f726465727390";
+
 constexpr const char* kCancellationsFrame =
     "4852485202000500000000001f000000181716151413121118171615141312110201000002000a6a6f622d30303037333205"
     "6a6f622d39";
@@ -206,7 +220,9 @@
 }
 
 constexpr uint32_t kFrameId = 0x71727374;
+
 constexpr uint64_t kAskerIncarnation = 0x8182838485868788;
+
 constexpr uint64_t kStoredFencingToken = 41;
 
 // A frame's bytes come whole; the report in it is of a worker without tasks.
@@ -470,31 +486,3 @@
         to_hex(peer::pack(peer::Kind::kCancellationNotice, 0, expected.incarnation, peer::pack(expected))),
         kCancellationsFrame);
 }
-
-// The names that README.md documents, each with what it sets.
-TEST(OperatorSettings, HaveTheDocumentedNames) {
-    Settings settings = Settings::parse(
-        "(hold-s 1)(similar-age-s 2)(age-bound-s 3)(begin-bound-s 4)(min-machines 5)(max-machines 6)"
-        "(min-idle-machines 7)(idle-return-s 8)(calm-s 9)(preempt-after-s 11)");
-    EXPECT_EQ(settings.hold_s, 1);
-    EXPECT_EQ(settings.similar_age_s, 2);
-    EXPECT_EQ(settings.age_bound_s, 3);
-    EXPECT_EQ(settings.begin_bound_s, 4);
-    EXPECT_EQ(settings.min_machines, 5);
-    EXPECT_EQ(settings.max_machines, 6);
-    EXPECT_EQ(settings.min_idle_machines, 7);
-    EXPECT_EQ(settings.idle_return_s, 8);
-    EXPECT_EQ(settings.calm_s, 9);
-    EXPECT_EQ(settings.preempt_after_s, 11);
-}
-
-TEST(OperatorSettings, RefuseUnknownNames) {
-    for (const char* unknown : {"hold", "hold_s", "Hold-s", "hold-seconds", "max-machine", "preempt-after"}) {
-        try {
-            Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)");
-            FAIL() << unknown << " was accepted";
-        } catch (const ConfigError& error) {
-            EXPECT_EQ(std::string(error.what()), "line 2: unknown setting " + std::string(unknown));
-        }
-    }
-}
--- /dev/null
+++ b/tests/controller/decoders_test.cc
@@ -0,0 +1,74 @@
+// Every decoder of what peers send, with arbitrary input: it is taken or left.
+#include <gtest/gtest.h>
+
+#include <random>
+
+#include "cloud/cloud.h"
+#include "config/config.h"
+#include "http/pack.h"
+#include "jobs/record.h"
+#include "peer/frames.h"
+#include "standins/mutations.h"
+#include "standins/settings_text.h"
+#include "users/wire.h"
+#include "workers/workers.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+// What a peer sends may be anything: every decoder takes it or leaves it.
+TEST(Decoders, SurviveMutatedMessages) {
+    JobRecord record;
+    record.spec.id = "job-1";
+    record.spec.tasks = 4;
+    record.live[1] = {1, "vm-1", "a"};
+    peer::Heartbeat heartbeat{};
+    peer::set_label(heartbeat, "node-0");
+    Packer packer;
+    packer.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
+    std::vector<std::string> seeds{
+        record.pack(1),
+        record.pack(2),
+        packer.take(),
+        peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
+        peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
+        "(hold-s 4)(min-machines 1)",
+        Cloud::pack_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
+        kSettingsText};
+    std::mt19937 rng(11);
+    size_t taken = 0;
+    for (int i = 0; i < 40000; ++i) {
+        std::string s = seeds[rng() % seeds.size()];
+        mutate(s, rng);
+        taken += JobRecord::unpack(s).has_value();
+        taken += WorkerHeartbeat::parse(s).has_value();
+        taken += std::holds_alternative<JobSpec>(parse_submission(s));
+        taken += FinalRecord::unpack(s).has_value();
+        taken += Cloud::unpack_machine_types(s).has_value();
+        peer::Reader reader;
+        reader.feed(s);
+        while (auto fields = reader.next()) {
+            taken += peer::unpack_heartbeat(fields->payload).has_value();
+            taken += peer::unpack_cancellation_notice(fields->payload).has_value();
+        }
+        try {
+            Settings::parse(s);
+            ++taken;
+        } catch (const ConfigError&) {
+        }
+        if (i % 8) continue;  // slower than all others together
+        try {
+            Config::parse(s);
+            ++taken;
+        } catch (const ConfigError&) {
+        }
+    }
+    EXPECT_GT(taken, 1000u);  // the mutations are mild enough to reach the insides
+}
+
+TEST(Decoders, RefuseDeepNesting) {
+    std::string deep(60000, '\x91');  // lists in lists
+    EXPECT_FALSE(Message::parse(deep + '\xc0'));
+    std::string wide = "\xdd\xff\xff\xff\xff";  // a list that claims four thousand million entries
+    EXPECT_FALSE(Message::parse(wide));
+}
--- /dev/null
+++ b/tests/controller/idempotence_test.cc
@@ -0,0 +1,128 @@
+// Messages that arrive again, late: they change nothing.
+#include <gtest/gtest.h>
+
+#include "peer/frames.h"
+#include "standins/deployment.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+// A copy of a report that comes late shows neither that its machine came back nor that it is alive, and
+// takes the place of no report.
+TEST(Idempotence, LateCopiesOfHeartbeatsAreIgnored) {
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int leader = deployment.leader(), other = 1 - leader;
+    deployment.run(3);
+    FakeWorker worker;
+    std::string pointed = worker.report();
+    EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421);
+    deployment.run(5);
+    EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421) << "not passed on to the leader";
+    deployment.settle(worker);
+    std::string idle = worker.report();
+    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 200);
+    ASSERT_EQ(deployment.call(leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    deployment.send_report(worker, leader);
+    ASSERT_TRUE(worker.find("job-1/0"));
+    deployment.send_report(worker, leader);
+    const auto& jobs = deployment.node(leader).leader()->jobs();
+    ASSERT_EQ(jobs.find("job-1")->live.size(), 1u);
+    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
+    EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
+    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(worker.name)->last_heartbeat;
+    for (int i = 0; i < 3; ++i) {
+        deployment.run(deployment.configs[0].lease_s);
+        EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503);
+    }
+    auto l = deployment.node(leader).leader();
+    auto it = l->cluster().machines.find(worker.name);
+    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_heartbeat == heard)
+        << "it was not taken for alive";
+    EXPECT_FALSE(deployment.cloud.deleted.empty()) << "but replaced";
+}
+
+// Late copies of what controllers said to each other: a heartbeat of a process that is gone, and answers that
+// belong to no request of this process, change nothing.
+TEST(Idempotence, LateCopiesOfPeerFramesAreIgnored) {
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int leader = deployment.leader();
+    int other = 1 - leader;
+    deployment.run(4);
+    uint64_t fencing_token = deployment.node(leader).election().fencing_token();
+    peer::Heartbeat b{};
+    peer::set_label(b, deployment.config(other).label);
+    b.incarnation = 7;
+    b.fencing_token = 50;
+    b.leads = 1;
+    b.asked_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
+    std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
+                         peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
+                         peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+    Scope scope(deployment.loop);
+    auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
+        auto stream = co_await connect_to(l, to, l.now() + 1);
+        for (int i = 0; stream && i < 100; ++i) {
+            co_await stream->write(bytes, l.now() + 1);
+            co_await l.sleep(0.037);
+        }
+    };
+    scope.spawn(send(deployment.loop, deployment.config(leader).peer_listen, frames), "copies");
+    deployment.run(4);
+    EXPECT_EQ(deployment.leader(), leader);
+    EXPECT_EQ(deployment.node(leader).election().fencing_token(), fencing_token);
+}
+
+// Requests that were carried out come again, late: every transaction of the controllers and all that users
+// asked. None changes a job, a leadership or an answer.
+TEST(Idempotence, RepeatsOfWhatWasCarriedOutChangeNothing) {
+    Deployment deployment;
+    std::vector<std::string> transactions;
+    deployment.store.let_through = [&](const std::string& body) {
+        transactions.push_back(body);
+        return true;
+    };
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    FakeWorker worker;
+    deployment.settle(worker);
+    for (const char* id : {"job-1", "job-2", "job-3"}) {
+        ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
+        deployment.send_report(worker, 0);
+        deployment.send_report(worker, 0);
+        TaskStatus* task = worker.find(std::string(id) + "/0");
+        ASSERT_TRUE(task) << id;
+        if (std::string(id) == "job-1") {
+            exit_task(*task, ExitCause::kDone);
+        } else if (std::string(id) == "job-2") {
+            ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+        }
+        deployment.send_report(worker, 0);
+        deployment.send_report(worker, 0);
+    }
+    auto kept = [&] {
+        std::map<std::string, std::string> rows;
+        for (const auto& [key, row] : deployment.store.rows) rows[key] = row.data;
+        return rows;
+    };
+    auto before = kept();
+    ASSERT_TRUE(before.count("f/job-1") && before.count("f/job-2") && before.count("j/job-3"));
+    auto repeated = transactions;
+    ASSERT_GT(repeated.size(), 8u);
+    uint64_t fencing_token = deployment.node(0).election().fencing_token();
+    for (int round = 0; round < 2; ++round) {
+        for (const auto& body : repeated) deployment.store.apply(body);
+        EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
+        EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-2"))), "withdrawn");
+        EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "done");
+        EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
+        EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-3"))), "running");
+        deployment.run(3);
+        deployment.send_report(worker, 0);
+        EXPECT_EQ(kept(), before);
+        EXPECT_EQ(worker.tasks.size(), 1u) << "nothing was started again";
+        EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
+    }
+}
--- a/tests/limits_test.cc
+++ b/tests/controller/lower_limits_test.cc
@@ -1,14 +1,13 @@
-// The state service's later limits when they fall at a bad moment: before records of format 2 may be written,
-// in a take-over, with a transaction under way, over records of the earlier format, and under a burst of
-// submissions.
-#include <fmt/format.h>
+// The store's later limits when they fall at a bad moment: before records of format 2 may be written, in a
+// failover, with a transaction under way, and over records of the earlier format.
+#include "standins/lower_limits.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <set>
 
 #include "base/constants.h"
-#include "base/token_bucket.h"
 #include "standins/records.h"
 
 using namespace hareshore;
@@ -16,24 +15,7 @@
 
 namespace {
 
-constexpr size_t kLaterValueBytes = 2048;
-constexpr size_t kLaterTxnOps = 4;
-constexpr double kLaterWriteRate = 15;
-
-// The settings announce the limits; the service keeps today's until limits_fall().
-void announce_limits(Deployment& deployment) {
-    for (auto& config : deployment.configs) {
-        config.next_value_bytes = kLaterValueBytes;
-        config.txn_ops = std::min(config.txn_ops, kLaterTxnOps);
-        config.write_rps = std::min(config.write_rps, kLaterWriteRate);
-    }
-    deployment.store.value_bytes = deployment.configs[0].value_bytes;
-}
-
-void limits_fall(Deployment& deployment) {
-    deployment.store.value_bytes = kLaterValueBytes;
-    deployment.store.txn_ops = kLaterTxnOps;
-}
+constexpr size_t kLowerValueBytes = LowerLimits{}.value_bytes;
 
 // An array whose tasks all run, on so many machines in two zones.
 JobRecord running_array(const std::string& id, uint32_t tasks, uint32_t machines, uint32_t first_machine) {
@@ -92,23 +74,15 @@
     return false;
 }
 
-bool puts(const std::string& txn, const std::string& key) {
-    auto m = Message::parse(txn);
-    Node writes = m->root()["writes"];
-    for (size_t i = 0; i < writes.size(); ++i)
-        if (writes.at(i)["put"].text_or("") == key) return true;
-    return false;
-}
-
 }  // namespace
 
 // The last controller runs this version, but the put of the format is lost, and the limits fall meanwhile.
 // What format 1 cannot hold any more waits for format 2, and nothing else does.
-TEST(LaterLimits, FallenBeforeTheRecordFormatIsPutHoldUpOnlyWhatIsTooLarge) {
+TEST(LowerStoreLimits, FallenBeforeTheRecordFormatIsPutHoldUpOnlyWhatIsTooLarge) {
     Deployment deployment(2);
     announce_limits(deployment);
     JobRecord ends = running_array("job-1", 150, 12, 100), cancelled = running_array("job-2", 150, 10, 200);
-    ASSERT_GT(json_text(ends.pack(1)).size(), kLaterValueBytes);
+    ASSERT_GT(json_text(ends.pack(1)).size(), kLowerValueBytes);
     store_record(deployment, ends);
     store_record(deployment, cancelled);
     deployment.start(0);
@@ -119,12 +93,12 @@
     report_all(deployment, workers, 0);
     bool lose_record_format = true;
     deployment.store.let_through = [&](const std::string& txn) {
-        return !(lose_record_format && puts(txn, kRecordFormatKey));
+        return !(lose_record_format && writes_key(txn, kRecordFormatKey));
     };
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }))
         << "the put of the format is on its way";
-    limits_fall(deployment);
+    enforce_limits(deployment);
 
     for (auto& worker : workers)
         for (auto& task : worker.tasks)
@@ -156,7 +130,7 @@
 
 // The limits fall while a new leader has read some of the records and not the others, with format 2 in force
 // and without.
-TEST(LaterLimits, FallenWhileANewLeaderReadsRecordsLoseNothing) {
+TEST(LowerStoreLimits, FallenWhileANewLeaderReadsRecordsLoseNothing) {
     for (bool record_format_put : {true, false}) {
         Deployment deployment(2);
         announce_limits(deployment);
@@ -169,7 +143,7 @@
             for (auto& worker : workers_of(record)) workers.push_back(std::move(worker));
         }
         deployment.store.let_through = [&](const std::string& txn) {
-            return record_format_put || !puts(txn, kRecordFormatKey);
+            return record_format_put || !writes_key(txn, kRecordFormatKey);
         };
         deployment.start(0);
         deployment.start(1);
@@ -184,7 +158,7 @@
         Controller& node = deployment.node(second);
         ASSERT_TRUE(deployment.until([&] { return node.leader() && node.leader()->jobs().size() > 0; }));
         ASSERT_LT(node.leader()->jobs().size(), static_cast<size_t>(kJobs)) << "it still reads";
-        limits_fall(deployment);
+        enforce_limits(deployment);
         deployment.start(first);
         ASSERT_TRUE(deployment.until([&] { return node.leader()->loaded_for() > 0; }));
         EXPECT_EQ(node.leader()->jobs().size(), static_cast<size_t>(kJobs));
@@ -200,10 +174,10 @@
         for (int i = 0; i < kJobs; ++i) {
             std::string id = "job-" + std::to_string(i);
             EXPECT_EQ(stored_format(deployment, id), 2U);
-            EXPECT_LE(stored_bytes(deployment, id), kLaterValueBytes);
+            EXPECT_LE(stored_bytes(deployment, id), kLowerValueBytes);
             EXPECT_EQ(stored_record(deployment, id).done.size(), 35U);
             EXPECT_EQ(stored_record(deployment, id).live.size(), 105U);
-            EXPECT_GT(json_text(stored_record(deployment, id).pack(1)).size(), kLaterValueBytes)
+            EXPECT_GT(json_text(stored_record(deployment, id).pack(1)).size(), kLowerValueBytes)
                 << "format 1 cannot hold it";
         }
         report_all(deployment, workers, second);
@@ -217,7 +191,7 @@
 
 // The service carried a transaction out under the old limits and its answer is lost; repeated, it is refused
 // for its size before its conditions are looked at. Nothing is concluded from that.
-TEST(LaterLimits, RefusingTheRepeatOfACarriedOutTransactionLosesNothing) {
+TEST(LowerStoreLimits, RefusingTheRepeatOfACarriedOutTransactionLosesNothing) {
     for (bool carried_out : {true, false}) {
         Deployment deployment(2);
         announce_limits(deployment);
@@ -232,7 +206,8 @@
         bool lose = true;
         deployment.store.let_through = [&](const std::string& txn) {
             if (!lose) return true;
-            if (!puts(txn, "j/job-1") && !puts(txn, "j/job-2") && !puts(txn, "j/job-3")) return true;
+            if (!writes_key(txn, "j/job-1") && !writes_key(txn, "j/job-2") && !writes_key(txn, "j/job-3"))
+                return true;
             if (carried_out) {
                 EXPECT_EQ(deployment.store.apply(txn).status, 200);
             }
@@ -246,7 +221,7 @@
         EXPECT_NE(deployment.call(0, "POST", "/v2/runs", job_body("job-3")).status, 201);
         ASSERT_GE(deployment.store.held_transactions.size(), 3U);
         lose = false;
-        limits_fall(deployment);
+        enforce_limits(deployment);
         // One that was not carried out comes after all, and is too large.
         int too_large = 0;
         for (const auto& txn : deployment.store.held_transactions)
@@ -274,17 +249,17 @@
 
 // Each task on a machine of its own, stored in format 1: read, changed and kept in format 2, through a
 // take-over, until all are done. Tasks that were stopped start again, in attempts that nobody has had.
-TEST(LaterLimits, ASpreadArrayOfTheEarlierRecordFormatRunsToItsEndWithinThem) {
+TEST(LowerStoreLimits, ASpreadArrayOfTheEarlierRecordFormatRunsToItsEndWithinThem) {
     constexpr uint32_t kTasks = 150;
     Deployment deployment;
     announce_limits(deployment);
     deployment.configs[0].heartbeat_interval_s = 10;
     JobRecord record = running_array("job-1", kTasks, kTasks, 1);
-    ASSERT_GT(json_text(record.pack(1)).size(), kLaterValueBytes);
+    ASSERT_GT(json_text(record.pack(1)).size(), kLowerValueBytes);
     store_record(deployment, record);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-    limits_fall(deployment);
+    enforce_limits(deployment);
     auto workers = workers_of(record);
     ASSERT_EQ(workers.size(), kTasks);
     std::map<TaskName, uint64_t> newest;
@@ -299,7 +274,7 @@
             }
         if (!deployment.store.rows.contains("j/job-1")) return;
         EXPECT_LE(stored_bytes(deployment, "job-1"),
-                  stored_format(deployment, "job-1") == 2 ? kLaterValueBytes : SIZE_MAX);
+                  stored_format(deployment, "job-1") == 2 ? kLowerValueBytes : SIZE_MAX);
         EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 200);
     };
     for (int i = 0; i < 2; ++i) round();
@@ -328,148 +303,3 @@
     EXPECT_EQ(newest.size(), kTasks) << "no task was invented";
     EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
-
-namespace {
-
-struct Submission {
-    std::string id;
-    int node = 0;
-    std::string answer;  // with its headers
-    Seconds took = -1;
-    bool accepted() const {
-        return answer.rfind("HTTP/1.1 201", 0) == 0 || answer.rfind("HTTP/1.1 200", 0) == 0;
-    }
-    bool asked_to_return() const {
-        return answer.rfind("HTTP/1.1 429", 0) == 0 && answer.find("\r\nRetry-After: ") != std::string::npos;
-    }
-};
-
-Task<void> submit(Deployment& deployment, Submission& submission, size_t& answered) {
-    Seconds began = deployment.loop.now(), until = began + 5;
-    std::string body = job_body(submission.id, [](auto& fields) {
-        fields["vcpus"] = fields["cards"] = fields["memory_gb"] = packed_number(0.01);
-    });
-    submission.answer.clear();
-    auto stream = co_await connect_to(deployment.loop, deployment.config(submission.node).listen, until);
-    if (stream) {
-        std::string request =
-            "POST /v2/runs HTTP/1.1\r\nHost: n\r\nContent-Length: " + std::to_string(body.size()) +
-            "\r\n\r\n" + body;
-        bool sent = co_await stream->write(request, until);
-        while (sent && submission.answer.find("\r\n\r\n") == std::string::npos) {
-            Stream::Read got = co_await stream->read(until);
-            if (!got.ok()) break;
-            submission.answer.append(got.bytes);
-        }
-    }
-    submission.took = deployment.loop.now() - began;
-    ++answered;
-}
-
-void submit_all(Deployment& deployment, std::vector<Submission*> list) {
-    Scope scope(deployment.loop);
-    size_t answered = 0;
-    for (auto* x : list) scope.spawn(submit(deployment, *x, answered), "submission");
-    ASSERT_TRUE(deployment.until([&] { return answered == list.size(); }, 10));
-}
-
-}  // namespace
-
-// The leader has more to write than the rate allows. Users' accepts find their share of it all the same; a
-// burst beyond it is told at once when to come back, and in the end all are accepted and none is lost.
-TEST(LaterLimits, ABurstAtTheWriteRateLetsNoUserWait) {
-    constexpr Seconds kAtOnce_s = 0.3;
-    Deployment deployment(2);
-    announce_limits(deployment);
-    deployment.start(0);
-    deployment.start(1);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-    limits_fall(deployment);
-    int lead = deployment.leader();
-    deployment.run(1);
-    FakeWorker worker;
-    deployment.settle(worker);
-    std::vector<Submission> before(60);
-    for (size_t i = 0; i < before.size(); ++i) {
-        before[i].id = "job-" + std::to_string(1000 + i);
-        submit_all(deployment, {&before[i]});
-        ASSERT_TRUE(before[i].accepted());
-    }
-    for (int i = 0; i < 12; ++i) deployment.send_report(worker, lead);
-    ASSERT_EQ(worker.tasks.size(), before.size());
-    // From here on the service keeps to the rate.
-    TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
-    deployment.store.let_through = [&](const std::string& txn) {
-        auto m = Message::parse(txn);
-        deployment.store.transactions_to_limit =
-            rate.take(static_cast<double>(m->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
-        return true;
-    };
-    rate.take(kLaterWriteRate, deployment.loop.now());  // the burst is used up
-    for (auto& task : worker.tasks) exit_task(task, ExitCause::kDone);
-    deployment.send_report(worker, lead);
-    std::vector<Submission> steady(15);
-    for (size_t i = 0; i < steady.size(); ++i) {
-        deployment.run(0.35);
-        steady[i].id = "job-" + std::to_string(2000 + i);
-        steady[i].node = static_cast<int>(i % 2);
-        submit_all(deployment, {&steady[i]});
-        EXPECT_TRUE(steady[i].accepted()) << i << ' ' << steady[i].answer;
-        EXPECT_LT(steady[i].took, kAtOnce_s);
-    }
-    EXPECT_LT(std::count_if(before.begin(), before.end(),
-                            [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) > 0; }),
-              60)
-        << "the leader was writing all the while";
-
-    std::vector<Submission> burst(60);
-    std::vector<Submission*> open;
-    for (size_t i = 0; i < burst.size(); ++i) {
-        burst[i].id = "job-" + std::to_string(3000 + i);
-        burst[i].node = static_cast<int>(i % 2);
-        open.push_back(&burst[i]);
-    }
-    size_t returned = 0;
-    Seconds began = deployment.loop.now();
-    while (!open.empty() && deployment.loop.now() - began < 60) {
-        submit_all(deployment, open);
-        for (auto* x : open) {
-            EXPECT_TRUE(x->accepted() || x->asked_to_return()) << x->answer;
-            EXPECT_LT(x->took, kAtOnce_s);
-        }
-        std::erase_if(open, [](const auto* x) { return x->accepted(); });
-        returned += open.size();
-        deployment.run(1);
-    }
-    EXPECT_TRUE(open.empty()) << open.size() << " users gave up";
-    EXPECT_GT(returned, 0U) << "it was more than the rate";
-    for (const auto& x : burst) EXPECT_EQ(deployment.store.rows.count("j/" + x.id), 1U) << x.id;
-    ASSERT_TRUE(deployment.until([&] {
-        return std::all_of(before.begin(), before.end(),
-                           [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) == 1; });
-    })) << "and the leader's writes are through";
-}
-
-// A write of the leader that gets no answer is nothing that a user's accept waits for.
-TEST(LaterLimits, AnAcceptDoesNotWaitForTheLeadersTransaction) {
-    Deployment deployment;
-    announce_limits(deployment);
-    deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-    limits_fall(deployment);
-    deployment.run(1);
-    FakeWorker worker;
-    deployment.settle(worker);
-    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto hangs = [&](const std::string& txn) { return puts(txn, "j/job-1"); };
-    deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
-    Scope scope(deployment.loop);
-    size_t answered = 0;
-    scope.spawn(report(deployment, worker, 0, answered), "report");
-    ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
-    Submission submission{"job-2", 0, "", -1};
-    submit_all(deployment, {&submission});
-    EXPECT_TRUE(submission.accepted()) << submission.answer;
-    EXPECT_LT(submission.took, 0.3);
-    ASSERT_TRUE(deployment.until([&] { return answered == 1; }));
-}
--- a/tests/upgrade_test.cc
+++ b/tests/controller/upgrade_test.cc
@@ -1,261 +1,14 @@
-// Beside the production version and under the state service's later limits: what is written when, that it
-// fits, and that no task is lost on the way.
-#include <fmt/format.h>
+// Beside the production version and under the store's later limits: what is written when, that it fits, and
+// that no task is lost on the way.
 #include <gtest/gtest.h>
 
-#include <algorithm>
-#include <random>
-#include <set>
-
-#include "base/constants.h"
-#include "jobs/compact.h"
+#include "standins/lower_limits.h"
+#include "standins/production_records.h"
 #include "standins/records.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
 
-namespace {
-
-// Packed by JobRecord::pack() and FinalRecord::pack() of commit 64db79f, the version in production, built and
-// run for this purpose with the record that production_record() describes.
-const char* kRecordBytes =
-    "de001aa26964aa6a6f622d303030343132a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472616e"
-    "6b02a57461736b7310a46370757308a46770757301a36d656d40a5696d616765a6696d672d3037a8696d6167655f6762cb4018cc"
-    "cccccccccda7666c61766f727392a26738a26732a47a6f6e65a67a6f6e652061a86f6e655f7a6f6e65c3a56170617274c2a47370"
-    "6f74c3aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a56475655f73cd0384a26174cb41"
-    "dac3e33c880000a977697468647261776ec2a4646f6e65aa302d322c352c392d3130a46e65787415a46c69766592b43320382076"
-    "6d2d303030303033207a6f6e652061b53420323020766d2d303030323331207a6f6e652061a17601";
-const char* kFinalBytes = "84a26964aa6a6f622d303030343132a977697468647261776ec3a57461736b7310a4646f6e6506";
-
-JobRecord production_record() {
-    JobRecord record;
-    record.spec.id = "job-000412";
-    record.spec.job_class = "train";
-    record.spec.team = "vision";
-    record.spec.priority = PriorityClass::kHigh;
-    record.spec.tasks = 16;
-    record.spec.cpus = 8;
-    record.spec.gpus = 1;
-    record.spec.memory_gb = 64;
-    record.spec.image = "img-07";
-    record.spec.image_gb = 6.2;
-    record.spec.machine_types = {"g8", "g2"};
-    record.spec.zone = "zone a";
-    record.spec.single_zone = true;
-    record.spec.spot = true;
-    record.spec.estimate_s = 240;
-    record.spec.checkpoint_s = 30;
-    record.spec.save_s = 4;
-    record.spec.due_s = 900;
-    record.accepted_wall = {1796181234.125};
-    for (uint32_t n : {0u, 1u, 2u, 5u, 9u, 10u}) record.done.add(n);
-    record.next_attempt = 21;
-    record.live[3] = {8, "vm-000003", "zone a"};
-    record.live[4] = {20, "vm-000231", "zone a"};
-    return record;
-}
-
-bool same(const JobRecord& left, const JobRecord& right) {
-    auto bound = [](const auto& x, const auto& y) {
-        return x.first == y.first && x.second.attempt == y.second.attempt &&
-               x.second.machine == y.second.machine && x.second.zone == y.second.zone;
-    };
-    return left.spec == right.spec && left.done == right.done && left.cancelled == right.cancelled &&
-           left.next_attempt == right.next_attempt && left.accepted_wall == right.accepted_wall &&
-           std::equal(left.live.begin(), left.live.end(), right.live.begin(), right.live.end(), bound);
-}
-
-// An array whose tasks are all on machines, as the production version wrote it before the upgrade.
-JobRecord large_record(const std::string& id, uint32_t tasks, uint32_t machines) {
-    JobRecord record = production_record();
-    record.spec.id = id;
-    record.spec.team = "team";
-    record.spec.zone = "";
-    record.spec.single_zone = false;
-    record.spec.machine_types = {};
-    record.spec.cpus = record.spec.memory_gb = 0.01;
-    record.spec.gpus = 0;
-    record.spec.tasks = tasks;
-    record.done = {};
-    record.live.clear();
-    record.next_attempt = tasks + 1;
-    for (uint32_t n = 0; n < tasks; ++n)
-        record.live[n] = {n + 1, machine_name(231 + n % machines), n % machines % 2 ? "b" : "a"};
-    return record;
-}
-
-// A deployment under the limits that the state service will have: the service enforces them at once.
-void lower_limits(Deployment& deployment, size_t value_bytes, size_t txn_ops) {
-    for (auto& config : deployment.configs) {
-        config.next_value_bytes = value_bytes;
-        config.txn_ops = std::min(config.txn_ops, txn_ops);
-        config.write_rps = std::min(config.write_rps, 15.0);
-    }
-    deployment.store.value_bytes = value_bytes;
-    deployment.store.txn_ops = txn_ops;
-}
-
-}  // namespace
-
-TEST(Format1, IsWhatTheProductionVersionWritesAndReads) {
-    std::string bytes = from_hex(kRecordBytes);
-    auto read = JobRecord::unpack(bytes);
-    ASSERT_TRUE(read);
-    EXPECT_TRUE(same(*read, production_record()));
-    EXPECT_EQ(read->pack(1), bytes);
-    std::string final = from_hex(kFinalBytes);
-    auto end = FinalRecord::unpack(final);
-    ASSERT_TRUE(end);
-    EXPECT_TRUE(end->cancelled);
-    EXPECT_EQ(end->done, 6u);
-    EXPECT_EQ(end->pack(), final);
-}
-
-TEST(Format2, HoldsWhatFormat1Holds) {
-    std::mt19937 rng(5);
-    auto below = [&](uint32_t n) { return static_cast<uint32_t>(rng() % n); };
-    for (int i = 0; i < 400; ++i) {
-        JobRecord record = production_record();
-        record.spec.tasks = 1 + below(i % 3 ? 300 : 100'000);
-        record.done = {};
-        record.live.clear();
-        record.next_attempt = 1 + below(1'000'000);
-        uint32_t density = 1 + below(9);
-        for (uint32_t n = 0; n < std::min(record.spec.tasks, 200u); ++n) {
-            if (below(10) < density) record.done.add(below(record.spec.tasks));
-            uint32_t task = below(record.spec.tasks);
-            std::string machine = machine_name(below(2000));
-            if (below(20) == 0) machine = i % 2 ? "metal" : "rack-" + std::to_string(below(40)) + "-x";
-            if (below(30) == 0) machine = "vm-" + std::to_string(1u << below(31)) + "0000000";
-            if (below(3) == 0 && !record.done.has(task))
-                record.live[task] = {1 + below(static_cast<uint32_t>(record.next_attempt)), machine,
-                                     below(2) ? "a" : "é\"b"};
-        }
-        std::string packed = record.pack(2);
-        auto again = JobRecord::unpack(packed);
-        ASSERT_TRUE(again);
-        EXPECT_TRUE(same(*again, record));
-        EXPECT_FALSE(newer_record_format(packed));
-        EXPECT_GE(json_size(packed), json_text(packed).size()) << "counted at most, never at least";
-        EXPECT_GE(json_size(record.pack(1)), json_text(record.pack(1)).size());
-        // A reader of format 1 must not take its tasks for free: it cannot read the done ranges.
-        auto text = Message::parse(packed)->root()["done"].text();
-        EXPECT_FALSE(Ranges::parse(*text, record.spec.tasks));
-    }
-}
-
-TEST(Format2, HoldsAnArraySpreadOverAFleetInTwoKibibytes) {
-    std::mt19937 rng(6);
-    size_t most = 0;
-    for (int i = 0; i < 200; ++i) {
-        JobRecord record = large_record("job-738642", 150, 1);
-        record.spec.job_class = "etiqueta-scan";
-        record.spec.team = "equipo-vision";
-        record.spec.image = "img-etiqueta-scan-07";
-        record.spec.image_gb = 5.123456789012345;
-        record.next_attempt = 2000;
-        for (auto& [task, b] : record.live)
-            b = {1 + rng() % 2000, machine_name(static_cast<uint32_t>(rng() % 3000)),
-                 rng() % 2 ? "lujan-zone" : "uco-zone"};
-        most = std::max(most, json_size(record.pack(2)));
-    }
-    EXPECT_LE(most, 2048u);
-}
-
-TEST(Format2, RefusesWhatItWouldNotWrite) {
-    for (const char* bad : {"", "A", "=A", "=AAAA", "=gA", "=gAA", "=*A", "=_", "=AAAAB", "=9999999999999A"})
-        EXPECT_FALSE(parse_compact_ranges(bad, 60)) << bad;
-    EXPECT_TRUE(parse_compact_ranges("=", 60));
-    auto live = [](std::string text, std::vector<std::string> zones = {"a"},
-                   std::vector<std::string> names = {"6vm-"}) {
-        return parse_compact_live({std::move(zones), std::move(names), std::move(text)}, 8).has_value();
-    };
-    EXPECT_TRUE(live("BAAC"));
-    EXPECT_FALSE(live("BAAC", {})) << "no zone";
-    EXPECT_FALSE(live("BAAC", {"a"}, {})) << "left over";
-    EXPECT_FALSE(live("BAA")) << "cut short";
-    EXPECT_FALSE(live("CAACBAA")) << "the same task twice";
-    EXPECT_FALSE(live("BAgBC")) << "no such task";
-    EXPECT_FALSE(live("BABC")) << "a negative task";
-    EXPECT_FALSE(live("BAAB")) << "a negative attempt";
-    EXPECT_FALSE(live("BBAC", {"a"}, {"0metal"})) << "a number where the name has none";
-    EXPECT_FALSE(live("B-----BAC", {"a"}, {"2vm-"})) << "more digits than the name has";
-    EXPECT_FALSE(live("A", {"a"}, {"6vm-"})) << "an entry without placements";
-}
-
-// However large a job is and however its tasks come and go, its record fits, and it goes on until it is done.
-TEST(Format2, AJobOfAnySizeFitsItsRecordAndIsDoneInTheEnd) {
-    for (uint32_t tasks : {30u, 1000u, 1025u, 100'000u}) {
-        std::mt19937 rng(tasks);
-        Config config;
-        config.value_bytes =
-            32 * 1024;  // as long as format 1 is written, starts are bounded for format 2, too
-        config.next_value_bytes = 2048;
-        JobTable jobs;
-        Cluster cluster;
-        JobRecord record = large_record("job-1", 1, 1);
-        record.spec.tasks = tasks;
-        record.live.clear();
-        record.next_attempt = 1;
-        // Of the largest, the last part; what came before is one range.
-        for (uint32_t n = 0; n + 10'000 < tasks; ++n) record.done.add(n);
-        Job& job = jobs.load(record, 5, 0, {0});
-        size_t most_live = 0, steps = 0;
-        std::vector<Machine> machines(600);
-        for (auto& h : machines) {
-            h.name = machine_name(static_cast<uint32_t>(rng() % 100'000));
-            h.zone = rng() % 2 ? "lujan-zone" : "uco-zone";
-        }
-        machines[0].name = "a machine whose name follows no pattern at all";
-        uint64_t record_format = 1;
-        while (!job.finished() && steps < 400'000) {
-            ++steps;
-            if (steps == 3000) record_format = 2;
-            auto choice = rng() % 10;
-            const Machine* machine = &machines[rng() % machines.size()];
-            const Machine* on[] = {machine};
-            if (choice < 7 && !job.pending.empty() && job.room_in_record(config, record_format, on)) {
-                jobs.bind(job, *job.pending.first(), *machine, job.next_attempt++, 0);
-            } else if (job.live.empty()) {
-                // Nothing runs: then one task at least may start, wherever.
-                ASSERT_TRUE(job.room_in_record(config, record_format, on))
-                    << steps << ' ' << job.record_bytes(2);
-                continue;
-            } else {
-                // One ends, done more often than not, or a machine goes with all that is on it.
-                auto it = std::next(job.live.begin(), static_cast<long>(rng() % job.live.size()));
-                std::string name = it->second.machine;
-                if (choice < 9 && (tasks < 2000 || steps % 400 != 0)) {
-                    Machine& holder = cluster.ensure(name, 0);
-                    WorkerHeartbeat report;
-                    report.machine = name;
-                    report.sequence = holder.sequence + 1;
-                    report.tasks = {{{"job-1", it->first},
-                                     it->second.attempt,
-                                     TaskPhase::kExited,
-                                     rng() % 4 ? ExitCause::kDone : ExitCause::kStopped,
-                                     false}};
-                    jobs.apply(cluster, holder, report, false, 0);
-                } else {
-                    jobs.machine_deleted(name, 0);
-                }
-            }
-            most_live = std::max(most_live, job.live.size());
-            if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
-            JobRecord now = job.record();
-            ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
-            if (record_format == 1) {
-                ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
-            }
-            ASSERT_LE(json_size(now.pack(2)), job.record_bytes(2) + 16);
-        }
-        EXPECT_TRUE(job.finished()) << tasks << " tasks, " << job.done.size() << " done";
-        if (tasks > 200) {
-            EXPECT_GE(most_live, 100u) << tasks;
-        }
-    }
-}
-
 // Until every peer is known to run this version, records are written as the production version reads them.
 TEST(Upgrade, WritesTheOldRecordFormatWhileAPeerMayBeOld) {
     Deployment deployment(2);
@@ -311,7 +64,7 @@
         ASSERT_GT(json_text(ended.pack(1)).size(), 2048u);
         store_value(deployment, "j/job-1", ended.pack(1));
         store_value(deployment, "j/job-2", cancelled.pack(1));
-        lower_limits(deployment, 2048, ops);
+        lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(2);
@@ -360,7 +113,7 @@
     std::erase_if(w.live, [&](const auto& l) { return l.first % 4 != 1; });
     store_value(deployment, "j/job-1", record.pack(1));
     store_value(deployment, "j/job-2", w.pack(1));
-    lower_limits(deployment, 780, 4);
+    lower_limits(deployment, {.value_bytes = 780, .txn_ops = 4});
     ASSERT_GT(json_text(record.pack(2)).size(), 780u);
     ASSERT_GT(json_text(w.pack(2)).size(), 780u);
     deployment.start(0);
@@ -426,7 +179,7 @@
 TEST(Upgrade, SendsNoMoreChangesAtOnceThanTheLaterLimitAllows) {
     for (size_t ops : {2u, 4u}) {
         Deployment deployment;
-        lower_limits(deployment, 2048, ops);
+        lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
         deployment.run(1);
@@ -465,7 +218,7 @@
     known.spec.id = "job-9";
     known.spec.machine_types.assign(40, std::string(100, 'x'));
     store_value(deployment, "j/job-9", known.pack(1));
-    lower_limits(deployment, 2048, 4);
+    lower_limits(deployment, {.value_bytes = 2048, .txn_ops = 4});
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
@@ -483,29 +236,6 @@
     EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
-// Users' writes and the leader's share the rate. A submission that can't be taken now is answered at once,
-// never held until its user gives up.
-TEST(Upgrade, AUsersWriteBeyondTheRateIsAnsweredAtOnce) {
-    Deployment deployment;
-    deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-    deployment.run(1);
-    auto refused = [&](const std::string& path, const std::string& body) {
-        deployment.store.transactions_to_limit = 1;
-        Seconds began = deployment.loop.now();
-        Answer answer = deployment.call(0, "POST", path, body);
-        EXPECT_EQ(answer.status, 429) << path;
-        EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
-        EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
-    };
-    refused("/v2/runs", job_body("job-1"));
-    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
-    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    refused("/v2/runs/job-1/withdraw", "");
-    EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "pending");
-    EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
-}
-
 // A record of a later version: its tasks are left alone, its machine gets nothing, its user is asked to come
 // again.
 TEST(Upgrade, DecidesNothingOnARecordOfANewerRecordFormat) {
--- a/tests/http_test.cc
+++ b/tests/http/http_test.cc
@@ -1,10 +1,14 @@
+// HTTP server and client against well-formed and arbitrary bytes.
 #include <gtest/gtest.h>
-#include <sys/socket.h>
 
 #include <random>
 
-#include "standins/deployment.h"
+#include "base/clock.h"
+#include "http/client.h"
+#include "http/server.h"
+#include "standins/addresses.h"
 #include "standins/mutations.h"
+#include "standins/unwind.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -58,6 +62,29 @@
     return n;
 }
 
+// Answers every connection with the same bytes, then closes.
+struct RawPeer {
+    Loop& loop;
+    std::string bytes;
+    File listener;
+    Scope scope;
+    RawPeer(Loop& l, Address at) : loop(l), listener(l, listen_on(at)), scope(l) {
+        scope.spawn(accept_all(), "raw peer");
+    }
+    Task<void> accept_all() {
+        while (true) {
+            int fd = accept_from(listener.fd());
+            if (fd < 0) {
+                co_await loop.readable(listener, -1);
+                continue;
+            }
+            Stream s(loop, fd);
+            co_await s.read(loop.now() + 1);
+            co_await s.write(bytes, loop.now() + 1);
+        }
+    }
+};
+
 }  // namespace
 
 TEST_F(Http, KeepsTheConnectionForTheNextRequest) {
@@ -108,34 +135,6 @@
     EXPECT_TRUE(lost.sent);
 }
 
-// Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
-namespace {
-
-// Answers every connection with the same bytes, then closes.
-struct RawPeer {
-    Loop& loop;
-    std::string bytes;
-    File listener;
-    Scope scope;
-    RawPeer(Loop& l, Address at) : loop(l), listener(l, listen_on(at)), scope(l) {
-        scope.spawn(accept_all(), "raw peer");
-    }
-    Task<void> accept_all() {
-        while (true) {
-            int fd = accept_from(listener.fd());
-            if (fd < 0) {
-                co_await loop.readable(listener, -1);
-                continue;
-            }
-            Stream s(loop, fd);
-            co_await s.read(loop.now() + 1);
-            co_await s.write(bytes, loop.now() + 1);
-        }
-    }
-};
-
-}  // namespace
-
 // Whatever a peer sends for HTTP: the server answers or closes, the client reports a failure, and both serve
 // the next.
 TEST_F(Http, SurvivesArbitraryBytes) {
@@ -180,93 +179,3 @@
     peer.scope.cancel();
     unwind(loop);
 }
-
-TEST(Loop, CancelUnwindsNestedRoutines) {
-    FakeClock clock;
-    Loop loop(clock);
-    int unwound = 0;
-    struct Mark {
-        int& n;
-        ~Mark() { ++n; }
-    };
-    struct Run {
-        static Task<int> inner(Loop& l, int& n) {
-            Mark m{n};
-            co_await l.sleep(1000);
-            co_return 1;
-        }
-        static Task<void> outer(Loop& l, int& n) {
-            Mark m{n};
-            co_await inner(l, n);
-            ADD_FAILURE() << "went on after cancel";
-        }
-    };
-    Scope scope(loop);
-    scope.spawn(Run::outer(loop, unwound), "outer");
-    loop.run_until([] { return false; }, 1);
-    EXPECT_EQ(unwound, 0);
-    scope.cancel();
-    loop.run_until([&] { return scope.size() == 0; }, 1);
-    EXPECT_EQ(unwound, 2);
-}
-
-namespace {
-
-// A connected pair of streams on loopback.
-struct StreamPair {
-    explicit StreamPair(Loop& loop) {
-        int ends[2] = {-1, -1};
-        EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
-        left = std::make_unique<Stream>(loop, ends[0]);
-        right = std::make_unique<Stream>(loop, ends[1]);
-    }
-    std::unique_ptr<Stream> left, right;
-};
-
-// Reads until the stream ends; `waited` says how long that took.
-Task<void> read_to_end(Loop& loop, Stream& stream, std::string& out, Seconds& waited) {
-    Seconds began = loop.now();
-    while (true) {
-        Stream::Read got = co_await stream.read(loop.now() + 20);
-        if (!got.ok()) break;
-        out.append(got.bytes);
-    }
-    waited = loop.now() - began;
-}
-
-Task<void> write_and_close(Loop& loop, StreamPair& pair, std::string bytes) {
-    co_await pair.left->write(bytes, loop.now() + 1);
-    pair.left.reset();
-}
-
-}  // namespace
-
-// After a short read a stream waits for an event. One event may tell of the last bytes and of the end: the
-// end must then be found without another, or a closed connection would be kept until its time is over.
-TEST(Stream, FindsTheEndThatCameWithTheLastBytes) {
-    FakeClock clock;
-    Loop loop(clock);
-    for (size_t size : {size_t{1}, constants::kReadBuffer, constants::kReadBuffer + 1}) {
-        StreamPair pair(loop);
-        Scope scope(loop);
-        std::string out;
-        Seconds waited = -1;
-        scope.spawn(write_and_close(loop, pair, std::string(size, 'x')), "writer");
-        loop.turn(0);
-        scope.spawn(read_to_end(loop, *pair.right, out, waited), "reader");
-        ASSERT_TRUE(loop.run_until([&] { return waited >= 0; }, 30));
-        EXPECT_EQ(out.size(), size);
-        EXPECT_LT(waited, 1);
-    }
-}
-
-TEST(Stream, IsStaleOnceItsPeerHasClosed) {
-    FakeClock clock;
-    Loop loop(clock);
-    StreamPair pair(loop);
-    loop.turn(0);
-    EXPECT_FALSE(pair.right->stale());
-    pair.left.reset();
-    loop.turn(0);
-    EXPECT_TRUE(pair.right->stale());
-}
--- /dev/null
+++ b/tests/http/stream_test.cc
@@ -0,0 +1,72 @@
+// Connected streams: the end of the other side.
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+
+#include <memory>
+
+#include "base/clock.h"
+#include "base/constants.h"
+#include "http/message.h"
+
+using namespace hareshore;
+
+namespace {
+
+// A connected pair of streams on loopback.
+struct StreamPair {
+    explicit StreamPair(Loop& loop) {
+        int ends[2] = {-1, -1};
+        EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
+        left = std::make_unique<Stream>(loop, ends[0]);
+        right = std::make_unique<Stream>(loop, ends[1]);
+    }
+    std::unique_ptr<Stream> left, right;
+};
+
+// Reads until the stream ends; `waited` says how long that took.
+Task<void> read_to_end(Loop& loop, Stream& stream, std::string& out, Seconds& waited) {
+    Seconds began = loop.now();
+    while (true) {
+        Stream::Read got = co_await stream.read(loop.now() + 20);
+        if (!got.ok()) break;
+        out.append(got.bytes);
+    }
+    waited = loop.now() - began;
+}
+
+Task<void> write_and_close(Loop& loop, StreamPair& pair, std::string bytes) {
+    co_await pair.left->write(bytes, loop.now() + 1);
+    pair.left.reset();
+}
+
+}  // namespace
+
+// After a short read a stream waits for an event. One event may tell of the last bytes and of the end: the
+// end must then be found without another, or a closed connection would be kept until its time is over.
+TEST(Stream, FindsTheEndThatCameWithTheLastBytes) {
+    FakeClock clock;
+    Loop loop(clock);
+    for (size_t size : {size_t{1}, constants::kReadBuffer, constants::kReadBuffer + 1}) {
+        StreamPair pair(loop);
+        Scope scope(loop);
+        std::string out;
+        Seconds waited = -1;
+        scope.spawn(write_and_close(loop, pair, std::string(size, 'x')), "writer");
+        loop.turn(0);
+        scope.spawn(read_to_end(loop, *pair.right, out, waited), "reader");
+        ASSERT_TRUE(loop.run_until([&] { return waited >= 0; }, 30));
+        EXPECT_EQ(out.size(), size);
+        EXPECT_LT(waited, 1);
+    }
+}
+
+TEST(Stream, IsStaleOnceItsPeerHasClosed) {
+    FakeClock clock;
+    Loop loop(clock);
+    StreamPair pair(loop);
+    loop.turn(0);
+    EXPECT_FALSE(pair.right->stale());
+    pair.left.reset();
+    loop.turn(0);
+    EXPECT_TRUE(pair.right->stale());
+}
--- /dev/null
+++ b/tests/leader/heartbeats_test.cc
@@ -0,0 +1,60 @@
+// Heartbeats of many workers, and of workers that cannot reach the leader.
+#include <gtest/gtest.h>
+#include <sys/resource.h>
+
+#include "base/constants.h"
+#include "standins/deployment.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+// A worker that was pointed to the leader and comes back could not reach it: its report is passed on.
+TEST(WorkerHeartbeats, RelaysHeartbeatsOfWorkersThatCannotReachTheLeader) {
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int other = 1 - deployment.leader();
+    deployment.run(3);
+    FakeWorker worker;
+    EXPECT_EQ(deployment.send_report(worker, other), 421);
+    deployment.run(5);
+    EXPECT_EQ(deployment.send_report(worker, other), 200);
+    EXPECT_EQ(worker.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
+}
+
+// After a take-over all workers report at once. What comes together is decided together: the work grows with
+// the reports, not with reports times machines.
+TEST(WorkerHeartbeats, SimultaneousHeartbeatsShareSchedulingPasses) {
+    Deployment deployment;
+    // Each worker takes two descriptors of this process.
+    rlimit files{};
+    getrlimit(RLIMIT_NOFILE, &files);
+    files.rlim_cur = files.rlim_max;
+    setrlimit(RLIMIT_NOFILE, &files);
+    ASSERT_GE(files.rlim_cur, 2500u);
+    deployment.configs[0].sockets = 2000;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    ASSERT_EQ(
+        deployment.call(0, "POST", "/v2/runs", job_body("job-1", [](auto& fields) { set_tasks(fields, 8); }))
+            .status,
+        201);
+    std::vector<FakeWorker> workers(1000);
+    int answered = 0;
+    Scope scope(deployment.loop);
+    auto go = [](Loop& l, Address at, FakeWorker& worker, int& n) -> Task<void> {
+        n += co_await worker.send_report(l, at) == 200;
+    };
+    for (size_t i = 0; i < workers.size(); ++i) {
+        workers[i].name = "vm-" + std::to_string(10000 + i);
+        scope.spawn(go(deployment.loop, deployment.configs[0].listen, workers[i], answered), "hello");
+    }
+    uint64_t before = deployment.node(0).leader()->passes_done();
+    Seconds began = deployment.loop.now();
+    ASSERT_TRUE(deployment.until([&] { return answered == 1000; }, 10));
+    uint64_t run_passes = deployment.node(0).leader()->passes_done() - before;
+    EXPECT_LE(static_cast<double>(run_passes),
+              2 + (deployment.loop.now() - began) / constants::kPassInterval_s);
+    EXPECT_LT(run_passes, 50u) << "far fewer than reports";
+    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000u);
+}
--- /dev/null
+++ b/tests/leader/record_reading_test.cc
@@ -0,0 +1,52 @@
+// Reading all records from the store.
+#include <gtest/gtest.h>
+
+#include "standins/records.h"
+
+using namespace hareshore;
+using namespace hareshore::test;
+
+// The service has forgotten the changes that a watch asks for: the leader reads all records again, page by
+// page, and misses neither a new job nor a cancellation.
+TEST(RecordReading, ReadsAllRecordsAgainWhenAWatchComesTooLate) {
+    Deployment deployment(2);
+    ASSERT_TRUE(deployment.start_and_elect());
+    int first = deployment.leader();
+    deployment.run(1);
+    deployment.store.list_page_size = 2;
+    deployment.store.compacted_revision = 1000;
+    for (int i = 1; i <= 5; ++i)
+        ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs", job_body("job-" + std::to_string(i))).status,
+                  201);
+    ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs/job-5/withdraw").status, 200);
+    deployment.run(5);
+    const auto& jobs = deployment.node(first).leader()->jobs();
+    EXPECT_EQ(jobs.size(), 4u) << "the withdrawn one is over and moved";
+    for (int i = 1; i <= 4; ++i) EXPECT_TRUE(jobs.find("job-" + std::to_string(i)));
+    EXPECT_TRUE(deployment.store.rows.count("f/job-5"));
+}
+
+// A watch's answer has no size limit. One that is larger than is taken must lead to reading the records in
+// pages, not to asking for the same answer for ever.
+TEST(RecordReading, ReadsInPagesWhatIsTooLargeForOneAnswer) {
+    Deployment deployment;
+    deployment.configs[0].ram_bytes = 8 * 1024 * 1024;
+    deployment.store.list_page_size = 50;
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    deployment.store.down = true;  // open watches wait
+    for (int i = 0; i < 300; ++i) {
+        JobRecord record;
+        record.spec.id = "job-" + std::to_string(i);
+        record.spec.team = "team";
+        record.spec.tasks = 1;
+        record.spec.image = std::string(5000, 'x');
+        Transaction transaction;
+        transaction.expect(live_key(record.spec.id), 0).put(live_key(record.spec.id), record.pack(1));
+        ASSERT_EQ(deployment.store.apply(transaction.pack()).status, 200);
+    }
+    deployment.store.down = false;
+    deployment.run(10);
+    EXPECT_EQ(deployment.node(0).leader()->jobs().size(), 300u);
+}
--- a/tests/loop_test.cc
+++ b/tests/loop/loop_test.cc
@@ -1,10 +1,12 @@
-// The event loop's order of work.
+// The event loop's order of work, and the end of its routines.
+#include "loop/loop.h"
+
 #include <gtest/gtest.h>
 
-#include "standins/deployment.h"
+#include "base/clock.h"
+#include "base/constants.h"
 
 using namespace hareshore;
-using namespace hareshore::test;
 
 namespace {
 
@@ -59,3 +61,33 @@
     EXPECT_GT(done, 0u);
     ASSERT_TRUE(loop.run_until([&] { return done == kCrowd; }, 1));
 }
+
+// Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
+TEST(Loop, CancelUnwindsNestedRoutines) {
+    FakeClock clock;
+    Loop loop(clock);
+    int unwound = 0;
+    struct Mark {
+        int& n;
+        ~Mark() { ++n; }
+    };
+    struct Run {
+        static Task<int> inner(Loop& l, int& n) {
+            Mark m{n};
+            co_await l.sleep(1000);
+            co_return 1;
+        }
+        static Task<void> outer(Loop& l, int& n) {
+            Mark m{n};
+            co_await inner(l, n);
+            ADD_FAILURE() << "went on after cancel";
+        }
+    };
+    Scope scope(loop);
+    scope.spawn(Run::outer(loop, unwound), "outer");
+    loop.run_until([] { return false; }, 1);
+    EXPECT_EQ(unwound, 0);
+    scope.cancel();
+    loop.run_until([&] { return scope.size() == 0; }, 1);
+    EXPECT_EQ(unwound, 2);
+}
--- a/tests/cancellation_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -1,7 +1,9 @@
-// Cancellations that a leader cannot read from the state service: what its peers tell it of them, and when
-// it must let leases run out because they may not have.
+// Cancellations that a leader cannot read from the store: what its peers notify it of, and when it must let
+// leases expire because they may not have.
 #include <gtest/gtest.h>
 
+#include <memory>
+
 #include "base/constants.h"
 #include "peer/frames.h"
 #include "standins/deployment.h"
@@ -139,7 +141,7 @@
 // The gap: the state service refuses the leader alone, another controller confirms a cancellation, then the
 // service is down for all for longer than cancel_s while workers still report to the leader. Without the
 // peers' word for which jobs were cancelled either this task outlived cancel_s or every lease ended.
-TEST(Cancellation, AnnouncedByAPeerWhileTheLeaderIsRefusedEndsItsTasksAndNoOthers) {
+TEST(CancellationNotices, AnnouncedByAPeerWhileTheLeaderIsRefusedEndsItsTasksAndNoOthers) {
     for (int n : {2, 3, 5}) {
         Deployment deployment(n);
         for (int i = 0; i < n; ++i) deployment.start(i);
@@ -176,7 +178,7 @@
 
 // A cancellation may be confirmed after a new leader has read the job's record and told before it has read
 // them all: its view must not take the job for one that goes on.
-TEST(Cancellation, AnnouncedWhileANewLeaderReadsTheRecordsCounts) {
+TEST(CancellationNotices, AnnouncedWhileANewLeaderReadsTheRecordsCounts) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
@@ -201,7 +203,7 @@
 
 // A peer of the version in production cannot say which jobs were cancelled: it is sent nothing that it
 // does not know, and its silence about cancellations counts as before.
-TEST(Cancellation, BesideTheVersionInProductionSilenceCounts) {
+TEST(CancellationNotices, BesideTheVersionInProductionSilenceCounts) {
     Pair pair(0, {"job-1"});
     ASSERT_EQ(phase_of(pair.deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     pair.deployment.run(3);
@@ -214,7 +216,7 @@
 }
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
-TEST(Cancellation, AMissingNameEndsTheRightToRenewInTime) {
+TEST(CancellationNotices, AMissingNoticeEndsTheRightToRenewLeasesInTime) {
     Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
@@ -226,7 +228,7 @@
 }
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
-TEST(Cancellation, NamesCountOnceAndInCommand) {
+TEST(CancellationNotices, NoticesCountOnceAndInOrder) {
     Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     pair.deployment.run(2);
@@ -251,7 +253,7 @@
 
 // The heartbeat that a peer sends by itself is up to a second newer than its last answer. Taken together, its
 // silence and the answer's time reached back to before a cancellation that it had told a user of.
-TEST(Cancellation, ALaterHeartbeatSaysNothingOfAnEarlierAnswer) {
+TEST(CancellationNotices, ALaterHeartbeatDoesNotExtendAnEarlierAnswer) {
     Pair pair(0);
     // Seen fresh by a watch that began up to 3 s ago, and cut off now.
     pair.deployment.store.refused_nodes.insert(0);
@@ -271,7 +273,7 @@
 }
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
-TEST(Cancellation, WhatWasVouchedForStaysKnown) {
+TEST(CancellationNotices, WhatAPeerConfirmedStaysKnown) {
     Pair pair(peer::kPeerFormat);
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
@@ -281,22 +283,3 @@
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 12), 503)
         << "its last process may have told of one before it ended";
 }
-
-// In the heartbeat's format of the version in production the label is padded to 32 bytes; ours stands in the
-// padding.
-TEST(Cancellation, AHeartbeatIsReadAsTheVersionInProductionReadsIt) {
-    for (std::string label : {"node-0", "a-label-of-23-bytes-long", "a-label-of-exactly-31-bytes-xyz"}) {
-        peer::Heartbeat b{};
-        peer::set_label(b, label);
-        EXPECT_EQ(peer::label_of(b), label);
-        EXPECT_EQ(peer::extended(b), label.size() < sizeof b.label);
-        if (peer::extended(b)) {
-            b.record_format = peer::kPeerFormat;
-            b.cancellations_announced = 0x01020304;
-        }
-        EXPECT_EQ(peer::label_of(b), label);
-        std::string bytes = peer::pack(peer::Kind::kHeartbeat, 1, 2, b);
-        ASSERT_EQ(bytes.size(), 24u + 68u);
-        EXPECT_EQ(std::string(bytes.c_str() + 24), label);
-    }
-}
--- a/tests/standins/messages.cc
+++ b/tests/standins/messages.cc
@@ -113,4 +113,11 @@
     return message ? message->root()["phase"].text_or("") : "";
 }
 
+JobState state_of(const Answer& answer) {
+    auto message = Message::parse(answer.body);
+    if (!message) return {};
+    Node root = message->root();
+    return {root["phase"].text_or(""), root["done"].count_or(0), root["running"].count_or(0)};
+}
+
 }  // namespace hareshore::test
--- a/tests/standins/messages.h
+++ b/tests/standins/messages.h
@@ -31,4 +31,12 @@
 // The job's phase in an answer to a user, in the words of the wire; empty if it has none.
 [[nodiscard]] std::string phase_of(const Answer& answer);
 
+// What an answer to a user tells of a job.
+struct JobState {
+    std::string phase;
+    uint64_t done = 0, running = 0;  // tasks
+    bool operator==(const JobState&) const = default;
+};
+[[nodiscard]] JobState state_of(const Answer& answer);
+
 }  // namespace hareshore::test
--- a/tests/standins/scheduling_test.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -1,4 +1,4 @@
-#include "standins/scheduling_test.h"
+#include "standins/scheduling_fixture.h"
 
 #include <algorithm>
 
--- a/tests/bad_input_test.cc
+++ b/tests/users/submission_test.cc
@@ -1,72 +1,13 @@
-// Input that is refused: settings, by the program itself, and submissions.
+// Submissions: what is refused and how, and what is recognized as accepted.
 #include <gtest/gtest.h>
-#include <sys/wait.h>
-
-#include <algorithm>
-#include <cstdio>
-#include <fstream>
 
 #include "standins/deployment.h"
-#include "standins/settings_text.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
 
 namespace {
 
-struct Checked {
-    int status = -1;
-    std::string output;  // both streams
-};
-
-// What `hareshore --check` says of settings with these later limits in [facts.state].
-Checked check(const std::string& next) {
-    std::string path = testing::TempDir() + "/settings-" + std::to_string(getpid()) + ".toml";
-    std::ofstream(path) << settings_with_store_limits(next);
-    Checked out;
-    std::string command = std::string(HARESHORE_PROGRAM) + " --check --config '" + path + "' 2>&1";
-    FILE* pipe = popen(command.c_str(), "r");
-    char chunk[512];
-    while (pipe && std::fgets(chunk, sizeof chunk, pipe)) out.output += chunk;
-    int ended = pipe ? pclose(pipe) : -1;
-    if (ended >= 0 && WIFEXITED(ended)) out.status = WEXITSTATUS(ended);
-    std::remove(path.c_str());
-    return out;
-}
-
-}  // namespace
-
-TEST(BadInput, LaterLimitsThatAreGivenInPartAreTaken) {
-    for (const char* next :
-         {"", "next = {}", "next = {value_kb = 2}", "next = {txn_ops = 4}", "next = {write_rps = 9.5}",
-          "next = {value_kb = 2.0, write_rps = 9}", "[facts.state.next]\ntxn_ops = 4\nanother = \"field\""}) {
-        Checked checked = check(next);
-        EXPECT_EQ(checked.status, 0) << next << ": " << checked.output;
-    }
-}
-
-// One line that names the field, and a status that says so.
-TEST(BadInput, LaterLimitsThatAreInvalidEndTheProgram) {
-    for (const char* field : {"value_kb", "txn_ops", "write_rps"})
-        for (const char* bad : {"0", "0.0", "-1", "\"4\"", "true", "[4]", "{}", "nan", "inf", "2026-01-01"}) {
-            Checked checked = check(std::string("next = {") + field + " = " + bad + "}");
-            EXPECT_GT(checked.status, 0) << field << ' ' << bad;
-            EXPECT_NE(checked.output.find(std::string("facts.state.next.") + field), std::string::npos)
-                << checked.output;
-            EXPECT_EQ(std::count(checked.output.begin(), checked.output.end(), '\n'), 1) << checked.output;
-        }
-    for (const char* bad : {"3", "0", "\"later\"", "true", "[]", "[[]]"}) {
-        Checked checked = check(std::string("next = ") + bad);
-        EXPECT_GT(checked.status, 0) << bad;
-        EXPECT_NE(checked.output.find("facts.state.next"), std::string::npos) << checked.output;
-        EXPECT_EQ(std::count(checked.output.begin(), checked.output.end(), '\n'), 1) << checked.output;
-    }
-}
-
-namespace {
-
-using FieldChange = JobFieldsChange;
-
 const char* const kNeeded[] = {"ref",   "jobclass",  "owner",     "shape",      "rank",    "pieces",
                                "vcpus", "cards",     "memory_gb", "bundle",     "size_gb", "one_zone",
                                "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
@@ -80,11 +21,11 @@
 
 // Whatever its shape: no field that is needed may be missing, null or of another type; those that may be null
 // may be missing.
-TEST(BadInput, SubmissionsNeedAllTheirFields) {
+TEST(Submissions, SubmissionsNeedAllTheirFields) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
-    auto submit = [&](const std::string& id, const FieldChange& change) {
+    auto submit = [&](const std::string& id, const JobFieldsChange& change) {
         return deployment.call(0, "POST", "/v2/runs", job_body(id, change)).status;
     };
     int accepted = 0;
@@ -127,7 +68,7 @@
 }
 
 // One task that is too large for each machine that its job allows.
-TEST(BadInput, SubmissionsThatFitNoMachineAreRefusedForGood) {
+TEST(Submissions, SubmissionsThatFitNoMachineAreRefusedForGood) {
     Deployment deployment;
     MachineType large = small_machine_type();
     large.name = "g8";
@@ -175,3 +116,84 @@
         status = submit("job-4", "cards", 9);
     EXPECT_EQ(status, 422);
 }
+
+TEST(Submissions, RefusesInvalidRequestsWithTheirStatus) {
+    Deployment deployment;
+    ASSERT_TRUE(deployment.start_and_elect());
+    deployment.run(1);
+    auto submit = [&](const JobFieldsChange& change) {
+        return deployment.call(0, "POST", "/v2/runs", job_body("job-1", change)).status;
+    };
+    auto packed = [](auto fields) {
+        Packer packer;
+        fields(packer);
+        return packer.take();
+    };
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", "\xc1").status, 400);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", "\x93\x01\x02\x03").status, 400);
+    for (const char* field :
+         {"ref", "owner", "pieces", "vcpus", "bundle", "one_zone", "snapshot_s", "rank"}) {
+        EXPECT_EQ(submit([&](auto& fields) { fields.erase(field); }), 400) << field;
+        EXPECT_EQ(
+            submit([&](auto& fields) { fields[field] = packed([](Packer& packer) { packer.list(0); }); }),
+            400)
+            << field;
+    }
+    for (double bad : {-1.0, static_cast<double>(INFINITY), static_cast<double>(NAN)})
+        for (const char* field : {"pieces", "vcpus", "memory_gb", "size_gb", "expect_s", "due_s"})
+            EXPECT_EQ(submit([&](auto& fields) {
+                          fields[field] = packed([&](Packer& packer) { packer.number(bad); });
+                      }),
+                      400)
+                << field << bad;
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["pieces"] = packed([](Packer& packer) { packer.count(100'001); });
+              }),
+              400);
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["owner"] = packed([](Packer& packer) { packer.text("nobody"); });
+              }),
+              422);
+    EXPECT_EQ(
+        submit([&](auto& fields) { fields["cards"] = packed([](Packer& packer) { packer.number(3); }); }),
+        422);
+    EXPECT_EQ(submit([&](auto& fields) {
+                  fields["shape"] = packed([](Packer& packer) { packer.text("ensemble"); });
+                  fields["pieces"] = packed([](Packer& packer) { packer.count(9); });
+              }),
+              422);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs").status, 405);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-1").status, 405);
+    EXPECT_EQ(deployment.call(0, "GET", "/nothing").status, 404);
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404) << "nothing of all this was accepted";
+    EXPECT_EQ(deployment.call(0, "POST", "/hello", "\x81").status, 400);
+    EXPECT_EQ(submit({}), 201) << "and the connection and the process are unharmed";
+}
+
+// Whoever asks again about an accepted job is told so, whatever else has changed; what is new waits until the
+// machine types are known.
+TEST(Submissions, RecognizesAnAcceptedJobWhateverHasChangedSince) {
+    Deployment deployment;
+    ASSERT_TRUE(deployment.start_and_elect());
+    deployment.run(1);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    deployment.kill(0);
+    deployment.store.rows.erase("flavors");
+    deployment.cloud.down = true;
+    deployment.start(0);
+    deployment.run(3);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-2")).status, 503);
+    EXPECT_EQ(
+        deployment.call(0, "POST", "/v2/runs", job_body("job-3", [](auto& fields) { fields.erase("owner"); }))
+            .status,
+        400);
+    deployment.kill(0);
+    deployment.cloud.down = false;
+    deployment.configs[0].teams[0].gpus_max = 0.5;
+    deployment.start(0);
+    deployment.run(3);
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200)
+        << "its team's limit is lower now";
+    EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-2")).status, 422);
+}
