--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -24,7 +24,8 @@
     [[nodiscard]] Task<std::optional<std::vector<MachineType>>> machine_types();
     // All machines, page by page; none if any of the pages could not be read.
     [[nodiscard]] Task<std::optional<std::vector<ListedMachine>>> list_machines();
-    // Idempotent by the request's key.
+    // Idempotent by the request's key. The request is to be a named object: GCC 12 destroys a braced list in
+    // a co_await expression twice.
     [[nodiscard]] Task<CreateMachinesResult> create_machines(CreateMachinesRequest request);
     // At most constants::kMachinesPerDeletion names. Idempotent: a machine that is gone counts as deleted.
     [[nodiscard]] Task<DeleteOutcome> delete_machines(std::vector<std::string> names);
--- a/src/cloud/cloud_types.h
+++ b/src/cloud/cloud_types.h
@@ -9,8 +9,8 @@
 // A request to create machines of one kind.
 struct CreateMachinesRequest {
     // Makes the request idempotent: once it has been executed, the cloud answers any copy of it with the same
-    // machines and creates no others. So a request whose outcome is unknown is repeated with its key, and another
-    // request, also one of another controller, must never have the same one.
+    // machines and creates no others. So a request whose outcome is unknown is repeated with its key, and
+    // another request, also one of another controller, must never have the same one.
     std::string idempotency_key;
     std::string machine_type;
     std::string zone;
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -151,11 +151,12 @@
 Task<void> Leader::rent(ScaleOutRequest rental) {
     // The epoch is never reused, so neither is the claim; it is repeated until its answer is known.
     std::string claim = "r-" + std::to_string(term_.fencing_token) + "-" + std::to_string(++claims_);
+    const CreateMachinesRequest request{claim, rental.kind.machine_type, rental.kind.zone, rental.kind.spot,
+                                        rental.number};
     Seconds pause = constants::kRetryPause_s;
     while (true) {
         co_await confirmation();
-        CreateMachinesResult r = co_await cloud_.create_machines(
-            {claim, rental.kind.machine_type, rental.kind.zone, rental.kind.spot, rental.number});
+        CreateMachinesResult r = co_await cloud_.create_machines(request);
         if (r.outcome == CreateOutcome::kCreated || r.outcome == CreateOutcome::kNoCapacity) {
             for (const auto& name : r.machines) {
                 if (deleted_machines_.contains(name)) continue;
