--- /dev/null
+++ b/tests/cloud/cloud_wire_test.cc
@@ -0,0 +1,190 @@
+// The cloud's wire format: the bytes of requests, and the decoding of answers of every status and of
+// malformed ones.
+#include "cloud/cloud_wire.h"
+
+#include <gtest/gtest.h>
+
+#include "http/pack.h"
+
+namespace hareshore {
+namespace {
+
+Answer answer_of(int status, std::string body = "") {
+    return {status, true, false, std::move(body)};
+}
+
+// Bodies that hold nothing a decoder could use.
+std::vector<std::string> malformed_bodies() {
+    Packer list;
+    list.list(1).text("x");
+    Packer wrong_types;
+    wrong_types.map(2).key("flavors").text("g8").key("hosts").count(1);
+    std::string cut = Packer().map(1).key("hosts").list(0).take();
+    cut.pop_back();
+    return {"", "\xc1", "plain text", cut, list.take(), wrong_types.take()};
+}
+
+// One machine of a listing, with only the fields that it must have.
+std::string machine_row(const std::string& name) {
+    return Packer().map(1).key("ref").text(name).take();
+}
+
+std::string machine_page(const std::vector<std::string>& rows, bool more) {
+    Packer packer;
+    packer.map(2).key("hosts").list(rows.size());
+    for (const auto& row : rows) packer.raw(row);
+    return packer.key("has_next").flag(more).take();
+}
+
+TEST(CloudWire, PathsOfRequests) {
+    EXPECT_EQ(machine_types_path(), "/flavors");
+    EXPECT_EQ(machine_page_path(""), "/hosts?page=500");
+    EXPECT_EQ(machine_page_path("vm-000230"), "/hosts?page=500&from=vm-000230");
+    EXPECT_EQ(creation_path(), "/hosts");
+    EXPECT_EQ(deletion_path(), "/hosts/delete");
+}
+
+TEST(CloudWire, MachineTypesAreReadAsTheyWereWritten) {
+    std::vector<MachineType> written = {{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, 45, {"a", "b"}},
+                                        {"c1", 4, 0, 16, 20, 0.5, 0.2, 0.1, 30, {"a"}}};
+    auto read = decode_machine_types(encode_machine_types(written));
+    ASSERT_TRUE(read);
+    ASSERT_EQ(read->size(), 2u);
+    const MachineType& type = read->front();
+    EXPECT_EQ(type.name, "g8");
+    EXPECT_EQ(type.cpus, 96);
+    EXPECT_EQ(type.gpus, 8);
+    EXPECT_EQ(type.memory_gb, 768);
+    EXPECT_EQ(type.cache_gb, 200);
+    EXPECT_EQ(type.fetch_gb_per_s, 1.5);
+    EXPECT_EQ(type.price, 12);
+    EXPECT_EQ(type.spot_price, 4.5);
+    EXPECT_EQ(type.boot_s, 45);
+    EXPECT_EQ(type.zones, (std::vector<std::string>{"a", "b"}));
+    EXPECT_EQ(read->back().name, "c1");
+}
+
+TEST(CloudWire, TheStoredBytesOfMachineTypes) {
+    EXPECT_EQ(kMachineTypesKey, "flavors");
+    Packer expected;
+    expected.map(1).key("flavors").list(1);
+    expected.map(10).key("name").text("g8").key("vcpus").number(96).key("cards").number(8);
+    expected.key("memory_gb").number(768).key("cache_gb").number(200).key("fetch_gb_per_s").number(1.5);
+    expected.key("price").number(12).key("low_price").number(4.5).key("boot_s").number(45);
+    expected.key("coves").list(1).text("a");
+    EXPECT_EQ(encode_machine_types({{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, 45, {"a"}}}), expected.take());
+}
+
+TEST(CloudWire, AMachineTypeOfNoSpotPriceAndNoBootTime) {
+    Packer packer;
+    packer.map(1).key("flavors").list(1).map(2).key("name").text("g8").key("price").number(12);
+    auto types = decode_machine_types(packer.take());
+    ASSERT_TRUE(types);
+    EXPECT_EQ(types->front().spot_price, 12) << "no more than an ordinary machine's";
+    EXPECT_EQ(types->front().boot_s, 60);
+    EXPECT_TRUE(types->front().zones.empty());
+}
+
+TEST(CloudWire, MalformedMachineTypesAreRefused) {
+    for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_types(body));
+    EXPECT_FALSE(decode_machine_types(Packer().map(1).key("flavors").list(0).take())) << "there is none";
+    EXPECT_FALSE(decode_machine_types(Packer().map(1).key("flavors").list(1).map(0).take())) << "no name";
+}
+
+TEST(CloudWire, AMachineTypeHasRoomForWhatItCanHold) {
+    MachineType type;
+    type.cpus = 16;
+    type.gpus = 2;
+    type.memory_gb = 64;
+    EXPECT_TRUE(type.fits(16, 2, 64));
+    EXPECT_FALSE(type.fits(16.5, 2, 64));
+    EXPECT_FALSE(type.fits(16, 3, 64));
+    EXPECT_FALSE(type.fits(16, 2, 65));
+}
+
+TEST(CloudWire, APageOfMachines) {
+    Packer row;
+    row.map(7).key("ref").text("vm-1").key("addr").text("10.1.0.1:9000").key("flavor").text("g8");
+    row.key("cove").text("a").key("driftwood").flag(true).key("phase").text("running");
+    row.key("age_s").number(61.5);
+    auto page = decode_machine_page(answer_of(200, machine_page({row.take(), machine_row("vm-2")}, true)));
+    ASSERT_TRUE(page);
+    EXPECT_TRUE(page->more);
+    ASSERT_EQ(page->machines.size(), 2u);
+    const ListedMachine& machine = page->machines[0];
+    EXPECT_EQ(machine.name, "vm-1");
+    EXPECT_EQ(machine.addr, "10.1.0.1:9000");
+    EXPECT_EQ(machine.machine_type, "g8");
+    EXPECT_EQ(machine.zone, "a");
+    EXPECT_TRUE(machine.spot);
+    EXPECT_EQ(machine.phase, MachinePhase::kRunning);
+    EXPECT_EQ(machine.age_s, 61.5);
+    EXPECT_EQ(page->machines[1].name, "vm-2");
+    EXPECT_FALSE(page->machines[1].spot);
+    EXPECT_EQ(page->machines[1].phase, MachinePhase::kBooting);
+}
+
+TEST(CloudWire, EachPhaseOfAMachine) {
+    auto phase_of = [](const std::string& text) {
+        std::string row = Packer().map(2).key("ref").text("vm-1").key("phase").text(text).take();
+        return decode_machine_page(answer_of(200, machine_page({row}, false)))->machines.at(0).phase;
+    };
+    EXPECT_EQ(phase_of("booting"), MachinePhase::kBooting);
+    EXPECT_EQ(phase_of("running"), MachinePhase::kRunning);
+    EXPECT_EQ(phase_of("failed"), MachinePhase::kFailed);
+    EXPECT_EQ(phase_of("of a later version"), MachinePhase::kBooting);
+}
+
+TEST(CloudWire, APageThatIsNotUsableIsRefusedAsAWhole) {
+    for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_page(answer_of(200, body)));
+    std::string good = machine_row("vm-1");
+    EXPECT_TRUE(decode_machine_page(answer_of(200, machine_page({good}, false))));
+    for (const char* name : {"", "vm 2"})
+        EXPECT_FALSE(decode_machine_page(answer_of(200, machine_page({good, machine_row(name)}, false))))
+            << name;
+    for (int status : {0, 400, 429, 500, 503})
+        EXPECT_FALSE(decode_machine_page(answer_of(status, machine_page({good}, false)))) << status;
+}
+
+TEST(CloudWire, ARequestToCreateMachines) {
+    Packer expected;
+    expected.map(5).key("claim").text("r-3-17").key("flavor").text("g8").key("cove").text("a");
+    expected.key("driftwood").flag(true).key("number").count(12);
+    EXPECT_EQ(encode_create_request({"r-3-17", "g8", "a", true, 12}), expected.take());
+}
+
+TEST(CloudWire, TheOutcomesOfACreation) {
+    std::string machines = Packer().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take();
+    CreateMachinesResult created = decode_create_answer(answer_of(200, machines));
+    EXPECT_EQ(created.outcome, CreateOutcome::kCreated);
+    EXPECT_EQ(created.machines, (std::vector<std::string>{"vm-1", "vm-2"}));
+
+    auto outcome = [](const Answer& answer) { return decode_create_answer(answer).outcome; };
+    std::string no_capacity = Packer().map(1).key("error").text("no capacity").take();
+    std::string trouble = Packer().map(1).key("error").text("trouble").take();
+    EXPECT_EQ(outcome(answer_of(503, no_capacity)), CreateOutcome::kNoCapacity);
+    EXPECT_EQ(outcome(answer_of(503, trouble)), CreateOutcome::kNotExecuted);
+    EXPECT_EQ(outcome(answer_of(429)), CreateOutcome::kNotExecuted);
+    EXPECT_EQ(outcome({0, false, false, ""}), CreateOutcome::kNotExecuted) << "it was not sent";
+    EXPECT_EQ(outcome({0, true, false, ""}), CreateOutcome::kUnknown) << "it was sent";
+    EXPECT_EQ(outcome(answer_of(500, no_capacity)), CreateOutcome::kUnknown);
+    for (const auto& body : malformed_bodies())
+        EXPECT_EQ(outcome(answer_of(200, body)), CreateOutcome::kUnknown) << "machines of unknown names";
+}
+
+TEST(CloudWire, ARequestToDeleteMachines) {
+    EXPECT_EQ(encode_delete_request({"vm-1", "vm-2"}),
+              Packer().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take());
+}
+
+TEST(CloudWire, TheOutcomesOfADeletion) {
+    EXPECT_EQ(decode_delete_answer(answer_of(200)), DeleteOutcome::kDeleted);
+    EXPECT_EQ(decode_delete_answer(answer_of(429)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_answer(answer_of(503)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_answer(answer_of(500)), DeleteOutcome::kUnknown);
+    EXPECT_EQ(decode_delete_answer({0, false, false, ""}), DeleteOutcome::kNotExecuted) << "it was not sent";
+    EXPECT_EQ(decode_delete_answer({0, true, false, ""}), DeleteOutcome::kUnknown) << "it was sent";
+}
+
+}  // namespace
+}  // namespace hareshore
