--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -32,7 +32,7 @@
 
   private:
     // Sends a request as soon as the rate limit allows.
-    Task<Answer> call(std::string method, std::string path, std::string body);
+    Task<CallResult> call(std::string method, std::string path, std::string body);
 
     Loop& loop_;
     HttpClient http_;
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -4,6 +4,7 @@
 #include "base/constants.h"
 #include "base/log.h"
 #include "cloud/cloud_wire.h"
+#include "http/json_size.h"
 #include "leader/leader.h"
 
 namespace hareshore {
@@ -22,13 +23,14 @@
                 } else {
                     Transaction txn;
                     txn.expect_revision(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
-                    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+                    TransactionResult r =
+                        co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
                     machine_types_kept_ = r.status == StoreStatus::kOk || r.status == StoreStatus::kInvalid;
                 }
             }
-            co_await loop_.sleep(constants::kMachineTypesEvery_s);
+            co_await loop_.sleep(constants::kMachineTypesInterval_s);
         } else {
-            co_await loop_.sleep(constants::kRetryPauseMax_s);
+            co_await loop_.sleep(constants::kRetryBackoffMax_s);
         }
     }
 }
@@ -55,7 +57,7 @@
                 if (m.phase > h.phase) h.phase = m.phase;
             }
         }
-        co_await loop_.sleep(list ? constants::kListEvery_s : constants::kRetryPauseMax_s);
+        co_await loop_.sleep(list ? constants::kMachineListInterval_s : constants::kRetryBackoffMax_s);
     }
 }
 
@@ -71,10 +73,11 @@
 Task<void> Leader::run_fleet() {
     while (true) {
         Seconds slept = loop_.now();
-        co_await loop_.sleep(constants::kFleetTick_s);
+        co_await loop_.sleep(constants::kScalingInterval_s);
         // Who stood still heard nobody: the machines were not silent, we did not listen.
-        if (loop_.now() - slept > constants::kFleetTick_s + constants::kProcessStall_s) {
-            log::info("process_stalled", {{"stalled_s", loop_.now() - slept - constants::kFleetTick_s}});
+        if (loop_.now() - slept > constants::kScalingInterval_s + constants::kProcessStall_s) {
+            log::info("process_stalled",
+                      {{"stalled_s", loop_.now() - slept - constants::kScalingInterval_s}});
             listening_since_ = loop_.now();
         }
         request_pass();  // time has passed: what was held may go
@@ -89,14 +92,15 @@
         if (!leadership_->confirmed()) continue;
         if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
-        if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
+        if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kNewLeaderScalingDelay_s)
+            continue;
         jobs_.find_stragglers(cluster_, loop_.now());
         jobs_.move_replicas(cluster_, loop_.now());
         ScalingInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
                         refused_until_, on_order_, true,        kind_seen_spot_only(),
                         cut_at_};
         recount(cluster_, jobs_, loop_.now(), silent_after());  // without what is kept
-        account(constants::kFleetTick_s);
+        account(constants::kScalingInterval_s);
         ScalingPlan plan = plan_scaling(cluster_, jobs_, in);
         for (const auto& zone : plan.cut) {
             if (loop_.now() - cut_at_[zone] > constants::kWaitLogInterval_s)
@@ -105,7 +109,7 @@
         }
         for (auto& r : plan.rent) {
             while (r.number > 0) {
-                ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerRental)};
+                ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerScaleOutRequest)};
                 r.number -= part.number;
                 on_order_.push_back(part);
                 spawn(rent(part), "rent");
@@ -138,14 +142,14 @@
         log::info("machine_returned", {{"machine", name}, {"reason", plan.reasons.at(name)}});
         names.push_back(name);
         if (plan.silent.contains(name)) silent.insert(name);
-        if (names.size() == constants::kMachinesPerDeletion) send();
+        if (names.size() == constants::kMachinesPerDeletionRequest) send();
     }
     send();
 }
 
 // Before anything is asked of the cloud.
 Task<void> Leader::confirmation() {
-    while (!leadership_->confirmed()) co_await loop_.sleep(constants::kRetryPause_s);
+    while (!leadership_->confirmed()) co_await loop_.sleep(constants::kRetryBackoff_s);
 }
 
 Task<void> Leader::rent(ScaleOutRequest rental) {
@@ -153,7 +157,7 @@
     std::string claim = "r-" + std::to_string(term_.fencing_token) + "-" + std::to_string(++claims_);
     const CreateMachinesRequest request{claim, rental.kind.machine_type, rental.kind.zone, rental.kind.spot,
                                         rental.number};
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     while (true) {
         co_await confirmation();
         CreateMachinesResult r = co_await cloud_.create_machines(request);
@@ -176,7 +180,7 @@
             break;
         }
         co_await loop_.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
     for (auto it = on_order_.begin(); it != on_order_.end(); ++it) {
         if (it->kind == rental.kind && it->number == rental.number) {
@@ -187,7 +191,7 @@
 }
 
 Task<void> Leader::remove(std::vector<std::string> names, std::set<std::string> silent) {
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     Seconds decided = loop_.now();
     bool perhaps = false;  // a request may have been carried out, or may yet be
     while (true) {
@@ -210,7 +214,7 @@
                 if (holds_cancelled(name)) asked.push_back(name);
         }
         if (asked.empty()) {
-            co_await loop_.sleep(constants::kRetryPause_s);
+            co_await loop_.sleep(constants::kRetryBackoff_s);
             continue;
         }
         DeleteOutcome r = co_await cloud_.delete_machines(asked);
@@ -221,7 +225,7 @@
         }
         perhaps = perhaps || r == DeleteOutcome::kUnknown;
         co_await loop_.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
 }
 
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -40,8 +40,8 @@
 
   private:
     // Sends a request other than a watch, and records the contact.
-    Task<Answer> call(HttpClient& connections, std::string method, std::string path, std::string body,
-                      Seconds timeout);
+    Task<CallResult> call(HttpClient& connections, std::string method, std::string path, std::string body,
+                          Seconds timeout);
 
     Loop& loop_;
     // Reads and transactions, lease calls and watches use connections of their own: a lease must not wait for
--- a/src/state/store_wire.h
+++ b/src/state/store_wire.h
@@ -28,16 +28,16 @@
 
 // --- answers ----------------------------------------------------------------------------------------
 // From the HTTP status alone, for answers whose body is of no interest.
-[[nodiscard]] StoreStatus decode_status(const Answer& answer);
-[[nodiscard]] GetResult decode_get(const Answer& answer, std::string key);
-[[nodiscard]] ListResult decode_list(const Answer& answer);
-[[nodiscard]] TransactionResult decode_transaction(const Answer& answer);
-[[nodiscard]] LeaseResult decode_lease(const Answer& answer);
-[[nodiscard]] WatchResult decode_watch(const Answer& answer);
+[[nodiscard]] StoreStatus decode_status(const CallResult& answer);
+[[nodiscard]] GetResult decode_get(const CallResult& answer, std::string key);
+[[nodiscard]] ListResult decode_list(const CallResult& answer);
+[[nodiscard]] TransactionResult decode_transaction(const CallResult& answer);
+[[nodiscard]] LeaseResult decode_lease(const CallResult& answer);
+[[nodiscard]] WatchResult decode_watch(const CallResult& answer);
 
 // The store executed the request, whatever its result: it is available to us.
-[[nodiscard]] bool shows_store_available(const Answer& answer);
+[[nodiscard]] bool shows_store_available(const CallResult& answer);
 // The same for a watch, whose answers have other statuses.
-[[nodiscard]] bool watch_shows_store_available(const Answer& answer);
+[[nodiscard]] bool watch_shows_store_available(const CallResult& answer);
 
 }  // namespace hareshore
--- a/src/workers/worker_client.cc
+++ b/src/workers/worker_client.cc
@@ -1,6 +1,7 @@
 #include "workers/worker_client.h"
 
 #include "base/constants.h"
+#include "workers/command.h"
 #include "workers/worker_wire.h"
 
 namespace hareshore {
@@ -16,9 +17,9 @@
 Task<std::optional<WorkerHeartbeat>> send_commands(Loop& loop, Address worker, uint64_t fencing_token,
                                                    uint64_t incarnation, std::vector<Command> commands) {
     HttpClient http(loop, worker, 1);
-    Answer answer =
+    CallResult answer =
         co_await http.call("POST", commands_path(), encode_commands(fencing_token, incarnation, commands),
-                           constants::kCommandCall_s);
+                           constants::kWorkerCommandTimeout_s);
     if (answer.status != kHttpOk && answer.status != kHttpConflict) co_return std::nullopt;
     co_return decode_heartbeat(answer.body);
 }
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -23,8 +23,8 @@
     bool answers = true;         // heartbeats
     int unknown = 0;             // frames that the version in production does not know
     uint32_t next_heartbeat = 1;
-    File listener;
-    Scope scope;
+    FileDescriptor listener;
+    TaskGroup scope;
 
     explicit ScriptedPeer(Deployment& owner)
         : deployment(owner),
@@ -50,7 +50,7 @@
     }
     Task<void> accept() {
         while (true) {
-            int fd = accept_from(listener.fd());
+            int fd = accept_connection(listener.fd()).value_or(-1);
             if (fd < 0) {
                 co_await deployment.loop.readable(listener, -1);
             } else {
--- a/tests/cloud/cloud_wire_test.cc
+++ b/tests/cloud/cloud_wire_test.cc
@@ -4,33 +4,33 @@
 
 #include <gtest/gtest.h>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 namespace {
 
-Answer answer_of(int status, std::string body = "") {
+CallResult answer_of(int status, std::string body = "") {
     return {status, true, false, std::move(body)};
 }
 
 // Bodies that hold nothing a decoder could use.
 std::vector<std::string> malformed_bodies() {
-    Packer list;
+    MsgpackWriter list;
     list.list(1).text("x");
-    Packer wrong_types;
+    MsgpackWriter wrong_types;
     wrong_types.map(2).key("flavors").text("g8").key("hosts").count(1);
-    std::string cut = Packer().map(1).key("hosts").list(0).take();
+    std::string cut = MsgpackWriter().map(1).key("hosts").list(0).take();
     cut.pop_back();
     return {"", "\xc1", "plain text", cut, list.take(), wrong_types.take()};
 }
 
 // One machine of a listing, with only the fields that it must have.
 std::string machine_row(const std::string& name) {
-    return Packer().map(1).key("ref").text(name).take();
+    return MsgpackWriter().map(1).key("ref").text(name).take();
 }
 
 std::string machine_page(const std::vector<std::string>& rows, bool more) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(2).key("hosts").list(rows.size());
     for (const auto& row : rows) packer.raw(row);
     return packer.key("has_next").flag(more).take();
@@ -66,7 +66,7 @@
 
 TEST(CloudWire, TheStoredBytesOfMachineTypes) {
     EXPECT_EQ(kMachineTypesKey, "flavors");
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(1).key("flavors").list(1);
     expected.map(10).key("name").text("g8").key("vcpus").number(96).key("cards").number(8);
     expected.key("memory_gb").number(768).key("cache_gb").number(200).key("fetch_gb_per_s").number(1.5);
@@ -76,7 +76,7 @@
 }
 
 TEST(CloudWire, AMachineTypeOfNoSpotPriceAndNoBootTime) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("flavors").list(1).map(2).key("name").text("g8").key("price").number(12);
     auto types = decode_machine_types(packer.take());
     ASSERT_TRUE(types);
@@ -87,8 +87,10 @@
 
 TEST(CloudWire, MalformedMachineTypesAreRefused) {
     for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_types(body));
-    EXPECT_FALSE(decode_machine_types(Packer().map(1).key("flavors").list(0).take())) << "there is none";
-    EXPECT_FALSE(decode_machine_types(Packer().map(1).key("flavors").list(1).map(0).take())) << "no name";
+    EXPECT_FALSE(decode_machine_types(MsgpackWriter().map(1).key("flavors").list(0).take()))
+        << "there is none";
+    EXPECT_FALSE(decode_machine_types(MsgpackWriter().map(1).key("flavors").list(1).map(0).take()))
+        << "no name";
 }
 
 TEST(CloudWire, AMachineTypeHasRoomForWhatItCanHold) {
@@ -103,7 +105,7 @@
 }
 
 TEST(CloudWire, APageOfMachines) {
-    Packer row;
+    MsgpackWriter row;
     row.map(7).key("ref").text("vm-1").key("addr").text("10.1.0.1:9000").key("flavor").text("g8");
     row.key("cove").text("a").key("driftwood").flag(true).key("phase").text("running");
     row.key("age_s").number(61.5);
@@ -126,7 +128,7 @@
 
 TEST(CloudWire, EachPhaseOfAMachine) {
     auto phase_of = [](const std::string& text) {
-        std::string row = Packer().map(2).key("ref").text("vm-1").key("phase").text(text).take();
+        std::string row = MsgpackWriter().map(2).key("ref").text("vm-1").key("phase").text(text).take();
         return decode_machine_page(answer_of(200, machine_page({row}, false)))->machines.at(0).phase;
     };
     EXPECT_EQ(phase_of("booting"), MachinePhase::kBooting);
@@ -147,21 +149,21 @@
 }
 
 TEST(CloudWire, ARequestToCreateMachines) {
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(5).key("claim").text("r-3-17").key("flavor").text("g8").key("cove").text("a");
     expected.key("driftwood").flag(true).key("number").count(12);
     EXPECT_EQ(encode_create_request({"r-3-17", "g8", "a", true, 12}), expected.take());
 }
 
 TEST(CloudWire, TheOutcomesOfACreation) {
-    std::string machines = Packer().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take();
+    std::string machines = MsgpackWriter().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take();
     CreateMachinesResult created = decode_create_answer(answer_of(200, machines));
     EXPECT_EQ(created.outcome, CreateOutcome::kCreated);
     EXPECT_EQ(created.machines, (std::vector<std::string>{"vm-1", "vm-2"}));
 
-    auto outcome = [](const Answer& answer) { return decode_create_answer(answer).outcome; };
-    std::string no_capacity = Packer().map(1).key("error").text("no capacity").take();
-    std::string trouble = Packer().map(1).key("error").text("trouble").take();
+    auto outcome = [](const CallResult& answer) { return decode_create_answer(answer).outcome; };
+    std::string no_capacity = MsgpackWriter().map(1).key("error").text("no capacity").take();
+    std::string trouble = MsgpackWriter().map(1).key("error").text("trouble").take();
     EXPECT_EQ(outcome(answer_of(503, no_capacity)), CreateOutcome::kNoCapacity);
     EXPECT_EQ(outcome(answer_of(503, trouble)), CreateOutcome::kNotExecuted);
     EXPECT_EQ(outcome(answer_of(429)), CreateOutcome::kNotExecuted);
@@ -174,7 +176,7 @@
 
 TEST(CloudWire, ARequestToDeleteMachines) {
     EXPECT_EQ(encode_delete_request({"vm-1", "vm-2"}),
-              Packer().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take());
+              MsgpackWriter().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take());
 }
 
 TEST(CloudWire, TheOutcomesOfADeletion) {
--- a/tests/scenario/simulated_fleet.cc
+++ b/tests/scenario/simulated_fleet.cc
@@ -34,7 +34,7 @@
 }
 
 bool SimulatedMachine::takes(const std::string& command) const {
-    auto message = Message::parse(command);
+    auto message = MsgpackDocument::parse(command);
     return message->root()["epoch"].count_or(0) >= worker.fencing_token &&
            message->root()["tenure"].count_or(0) == worker.incarnation;
 }
@@ -142,13 +142,13 @@
     uint64_t incarnation = machine.worker.incarnation;
     machine.reports.push_back(machine.worker.report());
     HttpClient http(loop, deployment_.config(asked).listen, 1);
-    Answer answer = co_await http.call("POST", "/hello", machine.reports.back(), kReportTimeout_s);
+    CallResult answer = co_await http.call("POST", "/hello", machine.reports.back(), kReportTimeout_s);
     while (machine.hung) co_await loop.sleep(kStep_s);
     bool heard = !machine.cannot_hear && !machine.cut && loop.now() - sent <= kReportTimeout_s;
     if (heard && answer.status == 421) co_return follow_redirect(machine, asked, answer);
     if (!heard || answer.status != 200) co_return kRetry_s;
     machine.node = asked;
-    auto parsed = Message::parse(answer.body);
+    auto parsed = MsgpackDocument::parse(answer.body);
     if (machine.worker.incarnation == incarnation && parsed &&
         parsed->root()["epoch"].count_or(0) >= machine.worker.fencing_token) {
         carry_out(machine, answer.body);
@@ -157,8 +157,8 @@
     co_return 0;
 }
 
-Seconds SimulatedFleet::follow_redirect(SimulatedMachine& machine, int asked, const Answer& answer) {
-    auto redirect = Message::parse(answer.body);
+Seconds SimulatedFleet::follow_redirect(SimulatedMachine& machine, int asked, const CallResult& answer) {
+    auto redirect = MsgpackDocument::parse(answer.body);
     std::string leader = redirect ? redirect->root()["harbor"].text_or("") : "";
     int node = leader.empty() ? asked : node_number(leader);
     if (node == asked) return kRetry_s;
@@ -169,7 +169,7 @@
 Task<Response> SimulatedFleet::handle_command(SimulatedMachine& machine, Request request) {
     while (machine.hung || machine.cannot_hear || machine.cut || machine.deleted)
         co_await deployment_.loop.sleep(kStep_s);
-    if (!Message::parse(request.body)) co_return Response{400, "", 0, ""};
+    if (!MsgpackDocument::parse(request.body)) co_return Response{400, "", 0, ""};
     if (Seconds delay = command_delay_ ? command_delay_() : 0; delay > 0) {
         scope_.spawn(carry_out_late(machine, request.body, delay), "late command");
         while (true) co_await deployment_.loop.sleep(kNever_s);
--- a/tests/state/store_wire_test.cc
+++ b/tests/state/store_wire_test.cc
@@ -4,33 +4,33 @@
 
 #include <gtest/gtest.h>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 namespace {
 
-Answer answer_of(int status, std::string body = "") {
+CallResult answer_of(int status, std::string body = "") {
     return {status, true, false, std::move(body)};
 }
 
 // A value as the store would hold it.
 std::string value_of(const std::string& text) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("v").text(text);
     return packer.take();
 }
 
 std::string body_with_revision(uint64_t revision) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(1).key("tide").count(revision);
     return packer.take();
 }
 
 // Bodies that hold nothing a decoder could use.
 std::vector<std::string> malformed_bodies() {
-    Packer list;
+    MsgpackWriter list;
     list.list(1).text("x");
-    Packer wrong_types;
+    MsgpackWriter wrong_types;
     wrong_types.map(6).key("tide").text("431").key("stamp").text("412").key("rows").text("");
     wrong_types.key("has_next").count(1).key("mooring").text("7").key("news").null();
     std::string cut = body_with_revision(300);
@@ -53,7 +53,7 @@
     Transaction transaction;
     transaction.expect_absent("a").expect_revision("b", 412);
     transaction.put("a", value_of("x")).put("b", value_of("y"), 7).delete_key("c");
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(2).key("when").list(2);
     expected.map(2).key("k").text("a").key("stamp").count(0);
     expected.map(2).key("k").text("b").key("stamp").count(412);
@@ -67,13 +67,13 @@
 TEST(StoreWire, ATransactionThatOnlyComparesHasNoWrites) {
     Transaction transaction;
     transaction.expect_revision("a", 1);
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(1).key("when").list(1).map(2).key("k").text("a").key("stamp").count(1);
     EXPECT_EQ(encode_transaction(transaction), expected.take());
 }
 
 TEST(StoreWire, ALeaseRequestIsInMilliseconds) {
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(1).key("ttl_ms").count(3000);
     EXPECT_EQ(encode_lease_request(3.0), expected.take());
 }
@@ -101,7 +101,7 @@
 }
 
 TEST(StoreWire, AGetDecodesTheEntry) {
-    Packer body;
+    MsgpackWriter body;
     body.map(4).key("k").text("a").key("data").raw(value_of("x")).key("stamp").count(412);
     body.key("mooring").count(7);
     GetResult result = decode_get(answer_of(200, body.take()), "a");
@@ -114,7 +114,7 @@
 
 TEST(StoreWire, AGetOfAKeyWithoutALease) {
     for (bool zero : {false, true}) {
-        Packer body;
+        MsgpackWriter body;
         body.map(zero ? 3 : 2).key("data").raw(value_of("x")).key("stamp").count(412);
         if (zero) body.key("mooring").count(0);
         GetResult result = decode_get(answer_of(200, body.take()), "a");
@@ -133,7 +133,7 @@
 }
 
 TEST(StoreWire, AListDecodesItsPage) {
-    Packer body;
+    MsgpackWriter body;
     body.map(3).key("rows").list(2);
     body.map(3).key("k").text("j/1").key("data").raw(value_of("x")).key("stamp").count(4);
     body.map(3).key("k").text("j/2").key("data").raw(value_of("y")).key("stamp").count(5);
@@ -152,7 +152,7 @@
 TEST(StoreWire, AListWithoutAUsableBodyIsUnknown) {
     for (const auto& body : malformed_bodies())
         EXPECT_EQ(decode_list(answer_of(200, body)).status, StoreStatus::kUnknown);
-    Packer no_rows;
+    MsgpackWriter no_rows;
     no_rows.map(2).key("has_next").flag(false).key("tide").count(431);
     EXPECT_EQ(decode_list(answer_of(200, no_rows.take())).status, StoreStatus::kUnknown);
     for (int status : {404, 409})
@@ -167,7 +167,7 @@
     EXPECT_EQ(committed.revision, 432u);
     EXPECT_TRUE(committed.failed_keys.empty());
 
-    Packer body;
+    MsgpackWriter body;
     body.map(2).key("failed").list(2).text("a").text("b").key("tide").count(431);
     TransactionResult conflict = decode_transaction(answer_of(409, body.take()));
     EXPECT_EQ(conflict.status, StoreStatus::kConflict);
@@ -184,7 +184,7 @@
 }
 
 TEST(StoreWire, ALeaseOrNone) {
-    Packer body;
+    MsgpackWriter body;
     body.map(1).key("mooring").count(7);
     LeaseResult granted = decode_lease(answer_of(200, body.take()));
     EXPECT_EQ(granted.status, StoreStatus::kOk);
@@ -195,7 +195,7 @@
 }
 
 TEST(StoreWire, AWatchDecodesPutsAndDeletions) {
-    Packer body;
+    MsgpackWriter body;
     body.map(2).key("tide").count(433).key("news").list(2);
     body.map(3).key("put").text("j/9").key("data").raw(value_of("x")).key("stamp").count(433);
     body.map(2).key("drop").text("j/8").key("stamp").count(432);
--- a/tests/workers/worker_wire_test.cc
+++ b/tests/workers/worker_wire_test.cc
@@ -7,18 +7,18 @@
 #include <map>
 
 #include "base/constants.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 namespace {
 
 std::string packed_text(const std::string& text) {
-    Packer packer;
+    MsgpackWriter packer;
     return packer.text(text).take();
 }
 
 std::string packed_count(uint64_t count) {
-    Packer packer;
+    MsgpackWriter packer;
     return packer.count(count).take();
 }
 
@@ -26,14 +26,14 @@
 using Fields = std::map<std::string, std::string>;
 
 std::string pack_fields(const Fields& fields) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(fields.size());
     for (const auto& [name, value] : fields) packer.key(name).raw(value);
     return packer.take();
 }
 
 std::string pack_list(const std::vector<Fields>& items) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.list(items.size());
     for (const auto& item : items) packer.raw(pack_fields(item));
     return packer.take();
@@ -62,8 +62,8 @@
     fields["addr"] = packed_text("10.1.0.232:9000");
     fields["flavor"] = packed_text("g8");
     fields["cove"] = packed_text("a");
-    fields["driftwood"] = Packer().flag(true).take();
-    fields["warning_s"] = Packer().number(20.5).take();
+    fields["driftwood"] = MsgpackWriter().flag(true).take();
+    fields["warning_s"] = MsgpackWriter().number(20.5).take();
     auto heartbeat = decode_heartbeat(pack_fields(fields));
     ASSERT_TRUE(heartbeat);
     EXPECT_EQ(heartbeat->machine, "vm-000231");
@@ -80,8 +80,8 @@
 
 TEST(WorkerWire, FieldsThatAHeartbeatMayLack) {
     Fields fields = header_fields();
-    fields["warning_s"] = Packer().null().take();
-    fields["pieces"] = Packer().null().take();
+    fields["warning_s"] = MsgpackWriter().null().take();
+    fields["pieces"] = MsgpackWriter().null().take();
     auto heartbeat = decode_heartbeat(pack_fields(fields));
     ASSERT_TRUE(heartbeat);
     EXPECT_EQ(heartbeat->addr, "");
@@ -122,7 +122,7 @@
     for (const auto& [text, cause] : causes) {
         Fields task = task_fields("exited");
         task["cause"] = packed_text(text);
-        task["kept"] = Packer().flag(true).take();
+        task["kept"] = MsgpackWriter().flag(true).take();
         auto heartbeat = decode_heartbeat(heartbeat_with(task));
         ASSERT_TRUE(heartbeat) << text;
         EXPECT_EQ(heartbeat->tasks.at(0).cause, cause) << text;
@@ -143,7 +143,7 @@
         Fields fields = header_fields();
         fields.erase(name);
         EXPECT_FALSE(decode_heartbeat(pack_fields(fields))) << "without " << name;
-        fields[name] = Packer().flag(true).take();
+        fields[name] = MsgpackWriter().flag(true).take();
         EXPECT_FALSE(decode_heartbeat(pack_fields(fields))) << name << " of another type";
     }
 }
@@ -178,7 +178,7 @@
 
 TEST(WorkerWire, AHeartbeatOfTooManyTasksIsRefused) {
     Fields fields = header_fields();
-    std::vector<Fields> tasks(constants::kHeartbeatTasks, task_fields("running"));
+    std::vector<Fields> tasks(constants::kMaxTasksPerHeartbeat, task_fields("running"));
     fields["pieces"] = pack_list(tasks);
     EXPECT_TRUE(decode_heartbeat(pack_fields(fields)));
     tasks.push_back(task_fields("running"));
@@ -205,7 +205,7 @@
 }
 
 // The list of commands below, as the wire has it.
-void pack_expected_commands(Packer& packer) {
+void pack_expected_commands(MsgpackWriter& packer) {
     packer.key("orders").list(3);
     packer.map(3).key("verb").text("launch").key("piece").text("job-1/4").key("try").count(2);
     packer.map(4).key("verb").text("halt").key("piece").text("job-2/1").key("try").count(1);
@@ -221,27 +221,27 @@
 }
 
 TEST(WorkerWire, AnAnswerCarriesTheTokenAndTheCommands) {
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(2).key("epoch").count(41);
     pack_expected_commands(expected);
     EXPECT_EQ(encode_heartbeat_answer(41, one_command_of_each_kind()), expected.take());
 
-    Packer empty;
+    MsgpackWriter empty;
     empty.map(2).key("epoch").count(41).key("orders").list(0);
     EXPECT_EQ(encode_heartbeat_answer(41, {}), empty.take());
 }
 
 TEST(WorkerWire, DirectCommandsCarryTheIncarnationToo) {
     EXPECT_EQ(commands_path(), "/orders");
-    Packer expected;
+    MsgpackWriter expected;
     expected.map(3).key("epoch").count(41).key("tenure").count(2);
     pack_expected_commands(expected);
     EXPECT_EQ(encode_commands(41, 2, one_command_of_each_kind()), expected.take());
 }
 
 TEST(WorkerWire, ARedirectWithAndWithoutALeader) {
-    EXPECT_EQ(encode_redirect("node-2"), Packer().map(1).key("harbor").text("node-2").take());
-    EXPECT_EQ(encode_redirect(std::nullopt), Packer().map(0).take());
+    EXPECT_EQ(encode_redirect("node-2"), MsgpackWriter().map(1).key("harbor").text("node-2").take());
+    EXPECT_EQ(encode_redirect(std::nullopt), MsgpackWriter().map(0).take());
 }
 
 }  // namespace
