--- a/src/cloud/cloud_wire.h
+++ b/src/cloud/cloud_wire.h
@@ -7,7 +7,6 @@
 #include <vector>
 
 #include "cloud/cloud_types.h"
-#include "cloud/cloud_wire.h"
 #include "cloud/machine_type.h"
 #include "http/client.h"
 
--- a/src/state/store_wire.h
+++ b/src/state/store_wire.h
@@ -9,7 +9,6 @@
 #include "base/clock.h"
 #include "http/client.h"
 #include "state/store_types.h"
-#include "state/store_wire.h"
 
 namespace hareshore {
 
--- a/src/workers/worker_wire.h
+++ b/src/workers/worker_wire.h
@@ -8,7 +8,6 @@
 
 #include "workers/command.h"
 #include "workers/worker_heartbeat.h"
-#include "workers/worker_wire.h"
 
 namespace hareshore {
 
