--- a/src/workers/command.h
+++ b/src/workers/command.h
@@ -5,7 +5,6 @@
 
 #include "base/clock.h"
 #include "model/task_name.h"
-#include "workers/command.h"
 
 namespace hareshore {
 
