--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -97,8 +97,8 @@
     peers_.stop();
 }
 
-peer::Heartbeat Controller::heartbeat() const {
-    peer::Heartbeat b{};
+peer::ControllerHeartbeat Controller::heartbeat() const {
+    peer::ControllerHeartbeat b{};
     peer::set_label(b, config_.label);
     b.fencing_token = election_.leading() ? election_.fencing_token() : election_.known_fencing_token();
     b.leads = election_.leading();
@@ -110,7 +110,7 @@
         std::count_if(worker_heartbeat_times_.begin(), worker_heartbeat_times_.end(),
                       [&](Seconds t) { return loop_.now() - t < constants::kReportWindow_s; }));
     b.store_age_ms = state_.last_contact() < 0 ? UINT32_MAX : ms(state_.last_contact());
-    b.quiet_ms = ms(users_.last_cancellation());
+    b.since_last_cancellation_ms = ms(users_.last_cancellation());
     return b;
 }
 
@@ -134,7 +134,7 @@
 
 bool Controller::all_upgraded() const {
     return std::all_of(peers_.peers().begin(), peers_.peers().end(),
-                       [](const auto& p) { return p.record_format >= peer::kPeerFormat; });
+                       [](const auto& p) { return p.record_format >= peer::kAnnouncedRecordFormat; });
 }
 
 // Every peer has answered lately and knows of no later term: there is no other leader.
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -30,7 +30,7 @@
     Response operator_page(const std::string& path);
     bool ready() const;
     void resign_if_isolated();
-    peer::Heartbeat heartbeat() const;
+    peer::ControllerHeartbeat heartbeat() const;
     Seconds cancellations_known_until(Seconds since) const;
     void observe_cancellation(const std::string& id);
     // Whether every peer has said that it knows the formats of this version.
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -11,84 +11,133 @@
 
 static_assert(std::endian::native == std::endian::little, "frames are little-endian");
 
-std::string pack(Kind kind, uint32_t id, uint64_t incarnation, std::string_view payload) {
-    Head h{kMagic,     kVersion, static_cast<uint16_t>(kind), id, static_cast<uint32_t>(payload.size()),
-           incarnation};
-    std::string s(reinterpret_cast<const char*>(&h), sizeof h);
-    return s.append(payload);
+namespace {
+
+// The bytes that a label may take if no extension fields follow it.
+constexpr size_t kLabelRoom = offsetof(ControllerHeartbeat, incarnation);
+static_assert(kLabelRoom == 32);
+
+// The bytes of a wire layout.
+template <class Layout>
+std::string_view bytes_of(const Layout& layout) {
+    return {reinterpret_cast<const char*>(&layout), sizeof layout};
 }
 
-std::string pack(Kind kind, uint32_t id, uint64_t incarnation, const Heartbeat& heartbeat) {
-    return pack(kind, id, incarnation,
-                std::string_view(reinterpret_cast<const char*>(&heartbeat), sizeof heartbeat));
+// Takes a wire layout from the front of `bytes`; nothing if they are too few.
+template <class Layout>
+std::optional<Layout> take_layout(std::string_view& bytes) {
+    if (bytes.size() < sizeof(Layout)) return std::nullopt;
+    Layout layout{};
+    std::memcpy(&layout, bytes.data(), sizeof layout);
+    bytes.remove_prefix(sizeof layout);
+    return layout;
 }
 
-std::optional<Frame> Reader::next() {
-    if (bad_ || buffer_.size() < sizeof(Head)) return std::nullopt;
-    Head h{};
-    std::memcpy(&h, buffer_.data(), sizeof h);
-    bool known = h.kind >= 1 && h.kind <= static_cast<uint16_t>(Kind::kCancellationNotice);
-    if (h.magic != kMagic || h.version != kVersion || !known || h.length > constants::kFrameLimit) {
-        bad_ = true;
-        return std::nullopt;
-    }
-    if (buffer_.size() < sizeof h + h.length) return std::nullopt;
-    Frame f{static_cast<Kind>(h.kind), h.id, h.incarnation, buffer_.substr(sizeof h, h.length)};
-    buffer_.erase(0, sizeof h + h.length);
-    return f;
+// Takes a text that is preceded by its length in one byte; nothing if the bytes are too few.
+std::optional<std::string_view> take_text(std::string_view& bytes) {
+    if (bytes.empty()) return std::nullopt;
+    const size_t length = static_cast<uint8_t>(bytes.front());
+    bytes.remove_prefix(1);
+    if (bytes.size() < length) return std::nullopt;
+    const std::string_view text = bytes.substr(0, length);
+    bytes.remove_prefix(length);
+    return text;
 }
 
-std::optional<Heartbeat> unpack_heartbeat(std::string_view payload) {
-    if (payload.size() != sizeof(Heartbeat)) return std::nullopt;
-    Heartbeat b{};
-    std::memcpy(&b, payload.data(), sizeof b);
-    return b;
+bool is_valid(const FrameHeader& header) {
+    const bool known_kind = header.kind >= static_cast<uint16_t>(FrameKind::kHeartbeat) &&
+                            header.kind <= static_cast<uint16_t>(FrameKind::kCancellationNotice);
+    return header.magic == kMagic && header.version == kVersion && known_kind &&
+           header.length <= constants::kFrameLimit;
 }
 
-namespace {
+}  // namespace
 
-// What a label may take, with what stands behind it if it is that long.
-constexpr size_t kLabelRoom = offsetof(Heartbeat, incarnation);
-static_assert(kLabelRoom == 32);
+std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation, std::string_view payload) {
+    const FrameHeader header{
+        kMagic,     kVersion, static_cast<uint16_t>(kind), id, static_cast<uint32_t>(payload.size()),
+        incarnation};
+    std::string frame(bytes_of(header));
+    return frame.append(payload);
+}
 
-}  // namespace
+std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                       const ControllerHeartbeat& heartbeat) {
+    return pack_frame(kind, id, incarnation, bytes_of(heartbeat));
+}
 
-std::string label_of(const Heartbeat& heartbeat) {
-    const char* label = reinterpret_cast<const char*>(&heartbeat);
-    return {label, strnlen(label, extended(heartbeat) ? sizeof heartbeat.label : kLabelRoom)};
+std::optional<Frame> FrameReader::next() {
+    if (malformed_) return std::nullopt;
+    std::string_view bytes = buffer_;
+    const auto header = take_layout<FrameHeader>(bytes);
+    if (!header) return std::nullopt;
+    if (!is_valid(*header)) {
+        malformed_ = true;
+        return std::nullopt;
+    }
+    if (bytes.size() < header->length) return std::nullopt;
+    Frame frame{static_cast<FrameKind>(header->kind), header->id, header->incarnation,
+                std::string(bytes.substr(0, header->length))};
+    buffer_.erase(0, sizeof *header + header->length);
+    return frame;
+}
+
+std::optional<ControllerHeartbeat> unpack_heartbeat(std::string_view payload) {
+    if (payload.size() != sizeof(ControllerHeartbeat)) return std::nullopt;
+    return take_layout<ControllerHeartbeat>(payload);
+}
+
+std::string label_of(const ControllerHeartbeat& heartbeat) {
+    const char* label = bytes_of(heartbeat).data();
+    return {label, strnlen(label, has_extension(heartbeat) ? sizeof heartbeat.label : kLabelRoom)};
 }
 
-void set_label(Heartbeat& heartbeat, std::string_view label) {
-    char* to = reinterpret_cast<char*>(&heartbeat);
-    std::memset(to, 0, kLabelRoom);
-    std::memcpy(to, label.data(), std::min(label.size(), kLabelRoom - 1));
+void set_label(ControllerHeartbeat& heartbeat, std::string_view label) {
+    // Through a pointer to the whole struct: a long label goes on into the extension fields.
+    char* room = reinterpret_cast<char*>(&heartbeat);
+    std::memset(room, 0, kLabelRoom);
+    std::memcpy(room, label.data(), std::min(label.size(), kLabelRoom - 1));
 }
 
-bool extended(const Heartbeat& heartbeat) {
+bool has_extension(const ControllerHeartbeat& heartbeat) {
     return heartbeat.label[sizeof heartbeat.label - 1] == 0;
 }
 
-std::string pack(const CancellationNotice& notice) {
-    CancellationNoticeHead h{notice.incarnation, notice.first, static_cast<uint16_t>(notice.jobs.size())};
-    std::string s(reinterpret_cast<const char*>(&h), sizeof h);
-    for (const auto& id : notice.jobs) s.append(1, static_cast<char>(id.size())).append(id);
-    return s;
+bool announces_cancellations(const ControllerHeartbeat& heartbeat) {
+    return has_extension(heartbeat) && heartbeat.record_format >= kAnnouncedRecordFormat;
+}
+
+std::string pack_cancellation_notice(const CancellationNotice& notice) {
+    const CancellationNoticeHeader header{notice.incarnation, notice.first_index,
+                                          static_cast<uint16_t>(notice.jobs.size())};
+    std::string payload(bytes_of(header));
+    for (const auto& job : notice.jobs) payload.append(1, static_cast<char>(job.size())).append(job);
+    return payload;
 }
 
 std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload) {
-    CancellationNoticeHead h{};
-    if (payload.size() < sizeof h) return std::nullopt;
-    std::memcpy(&h, payload.data(), sizeof h);
-    payload.remove_prefix(sizeof h);
-    CancellationNotice w{h.incarnation, h.first, {}};
-    for (uint16_t i = 0; i < h.count; ++i) {
-        if (payload.empty()) return std::nullopt;
-        auto n = static_cast<uint8_t>(payload[0]);
-        if (payload.size() < 1U + n) return std::nullopt;
-        w.jobs.emplace_back(payload.substr(1, n));
-        payload.remove_prefix(1U + n);
+    const auto header = take_layout<CancellationNoticeHeader>(payload);
+    if (!header) return std::nullopt;
+    CancellationNotice notice{header->incarnation, header->first_index, {}};
+    for (uint16_t i = 0; i < header->count; ++i) {
+        const auto job = take_text(payload);
+        if (!job) return std::nullopt;
+        notice.jobs.emplace_back(*job);
     }
-    return payload.empty() ? std::optional(std::move(w)) : std::nullopt;
+    if (!payload.empty()) return std::nullopt;
+    return notice;
+}
+
+std::string pack_relay_answer(uint16_t status, std::string_view body) {
+    const RelayAnswerHeader header{status};
+    std::string payload(bytes_of(header));
+    return payload.append(body);
+}
+
+std::optional<RelayAnswer> unpack_relay_answer(std::string_view payload) {
+    const auto header = take_layout<RelayAnswerHeader>(payload);
+    if (!header) return std::nullopt;
+    return RelayAnswer{header->status, std::string(payload)};
 }
 
 }  // namespace hareshore::peer
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -1,4 +1,10 @@
-// What controllers say to each other: packed structs, little-endian, behind a fixed head.
+// The frames that controllers exchange: their layout on the wire and the codec for it.
+//
+// A frame is a FrameHeader followed by a payload of `length` bytes. The structs between the pack pragmas are
+// wire layouts: packed, little-endian, sent byte for byte. Versions of this program run side by side during
+// an upgrade, so neither a field's place nor a FrameKind's value may change.
+//
+// Decoding checks every length; a payload may hold anything, since any process can connect to the port.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,102 +14,136 @@
 
 namespace hareshore::peer {
 
-inline constexpr uint32_t kMagic = 0x52485248;  // "HRHR"
-inline constexpr uint16_t kVersion = 2;
+inline constexpr uint32_t kMagic = 0x52485248;  // the first four bytes of every frame, "HRHR"
+inline constexpr uint16_t kVersion = 2;         // of the frame layout
 
-enum class Kind : uint16_t {
-    kHeartbeat = 1,
-    kHeartbeatAnswer = 2,
-    kRelay = 3,
-    kRelayAnswer = 4,
-    kCancellationNotice =
-        5,  // only to a peer whose heartbeats say that it knows kForm: others close the connection
+enum class FrameKind : uint16_t {
+    kHeartbeat = 1,           // payload: ControllerHeartbeat
+    kHeartbeatAnswer = 2,     // payload: ControllerHeartbeat of the answering controller
+    kRelay = 3,               // payload: the body of a worker's heartbeat
+    kRelayAnswer = 4,         // payload: RelayAnswerHeader and the body of the answer
+    kCancellationNotice = 5,  // payload: CancellationNoticeHeader and its jobs. Sent only to peers whose
+                              // heartbeats announce kAnnouncedRecordFormat: older ones close the connection
 };
 
-// What this version reads and writes, said in each heartbeat. The versions before that said nothing have 0.
-// What is new with it: kWithdrawn, and records of format 2.
-inline constexpr uint8_t kPeerFormat = 2;
+// The newest record format that this version reads, announced in each heartbeat. A peer that announces it
+// also reads cancellation notices. Versions that announce nothing send 0.
+inline constexpr uint8_t kAnnouncedRecordFormat = 2;
 
 #pragma pack(push, 1)
-struct Head {
+
+// Wire layout: begins every frame.
+struct FrameHeader {
     uint32_t magic;
     uint16_t version;
     uint16_t kind;
-    uint32_t id;           // of a relay or a heartbeat; its answer carries the same
-    uint32_t length;       // bytes that follow
-    uint64_t incarnation;  // drawn by the asker's process when it began; an answer carries the same
+    uint32_t id;           // of a heartbeat or a relay; repeated in its answer
+    uint32_t length;       // of the payload, in bytes
+    uint64_t incarnation;  // of the requesting process; repeated in the answer
 };
 
-// Once a second each way; also the answer to one.
-struct Heartbeat {
-    char label[24];  // the sender's, zero-padded
-    // These stand in what was the padding of a label of 32 bytes, which older versions read up to its first
-    // zero and write as zeros. A label too long for that leaves no room for them (`extended`).
-    uint8_t record_format;  // what the sender knows; 0: a version that does not say
-    uint8_t spare[3];
-    uint32_t cancellations_announced;  // cancellations that the sender's process has told users of, so far
-    uint64_t incarnation;              // drawn by the sender's process when it began
-    uint64_t asked_us;                 // in an answer: the asker's clock from the heartbeat that it answers
-    uint64_t fencing_token;            // highest epoch the sender knows
-    uint8_t leads;                     // it leads in that epoch
-    uint8_t ready;                     // it takes users' requests
-    uint16_t
-        worker_heartbeats_received;  // workers' reports that came to the sender itself in the last seconds
-    uint32_t store_age_ms;           // since the state service last answered it
-    uint32_t quiet_ms;               // for how long it has told no user of a cancellation; at most its uptime
+// Wire layout: what a controller reports of itself once a second, and in the answer to such a report.
+struct ControllerHeartbeat {
+    char label[24];  // of the sender, zero-padded
+    // The next three fields occupy what was the padding of a 32-byte label. Older versions read the label up
+    // to its first zero and write zeros here. A label of 24 bytes or more leaves no room for them: see
+    // has_extension().
+    uint8_t record_format;  // the newest that the sender reads; 0: a version that does not announce it
+    uint8_t reserved[3];
+    uint32_t cancellations_announced;     // that the sender's process has confirmed to users so far
+    uint64_t incarnation;                 // of the sender's process, drawn at random when it starts
+    uint64_t request_sent_us;             // steady clock of the requester when it sent the heartbeat; an
+                                          // answer repeats it
+    uint64_t fencing_token;               // the highest that the sender has seen
+    uint8_t leads;                        // whether the sender is the leader with that fencing token
+    uint8_t ready;                        // whether the sender takes users' requests
+    uint16_t worker_heartbeats_received;  // directly from workers, in the last kReportWindow_s
+    uint32_t store_age_ms;                // since the store last answered the sender; UINT32_MAX: never
+    uint32_t since_last_cancellation_ms;  // since the sender last confirmed a cancellation to a user, or
+                                          // since it started
 };
 
-struct RelayAnswerHead {
-    uint16_t status;
+// Wire layout: begins the payload of kRelayAnswer.
+struct RelayAnswerHeader {
+    uint16_t status;  // HTTP status of the leader's answer
 };
 
-// Cancellations that the sender's process has told users of, in the order in which it did; sent ahead of the
-// answer to a heartbeat, so that an answer never counts one that did not come before it. Behind it for each
-// the length of the job's id, one byte, and the id.
-struct CancellationNoticeHead {
+// Wire layout: begins the payload of kCancellationNotice. For each job follow the length of its id in one
+// byte and the id.
+struct CancellationNoticeHeader {
     uint64_t incarnation;  // of the sender's process
-    uint32_t first;        // how many it had told of before these
+    uint32_t first_index;  // how many cancellations the sender announced before these
     uint16_t count;
 };
+
 #pragma pack(pop)
 
-static_assert(sizeof(Head) == 24 && sizeof(Heartbeat) == 68 && sizeof(RelayAnswerHead) == 2 &&
-              sizeof(CancellationNoticeHead) == 14);
+static_assert(sizeof(FrameHeader) == 24);
+static_assert(sizeof(ControllerHeartbeat) == 68);
+static_assert(sizeof(RelayAnswerHeader) == 2);
+static_assert(sizeof(CancellationNoticeHeader) == 14);
 
+// A decoded frame; its payload is not yet checked.
 struct Frame {
-    Kind kind{};
+    FrameKind kind{};
     uint32_t id = 0;
     uint64_t incarnation = 0;
     std::string payload;
 };
 
-std::string pack(Kind kind, uint32_t id, uint64_t incarnation, std::string_view payload);
-std::string pack(Kind kind, uint32_t id, uint64_t incarnation, const Heartbeat& heartbeat);
+[[nodiscard]] std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                                     std::string_view payload);
+[[nodiscard]] std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                                     const ControllerHeartbeat& heartbeat);
 
-// Cuts frames out of a byte stream; a stream that is not ours ends the connection.
-class Reader {
+// Cuts frames out of a byte stream. Once the stream is malformed it yields no more frames, and the connection
+// must be closed.
+class FrameReader {
   public:
     void feed(std::string_view bytes) { buffer_.append(bytes); }
-    std::optional<Frame> next();
-    bool bad() const { return bad_; }
+    // The next whole frame, if there is one.
+    [[nodiscard]] std::optional<Frame> next();
+    [[nodiscard]] bool malformed() const { return malformed_; }
 
   private:
     std::string buffer_;
-    bool bad_ = false;
+    bool malformed_ = false;
 };
 
-std::optional<Heartbeat> unpack_heartbeat(std::string_view payload);
-std::string label_of(const Heartbeat& heartbeat);
-void set_label(Heartbeat& heartbeat, std::string_view label);
-// Whether the label left room for what stands behind it.
-bool extended(const Heartbeat& heartbeat);
+// Nothing if the payload has another size.
+[[nodiscard]] std::optional<ControllerHeartbeat> unpack_heartbeat(std::string_view payload);
 
+// The sender's label.
+[[nodiscard]] std::string label_of(const ControllerHeartbeat& heartbeat);
+// Sets the sender's label, cut to 31 bytes. To be called before the extension fields are set.
+void set_label(ControllerHeartbeat& heartbeat, std::string_view label);
+// Whether the label leaves room for the extension fields `record_format` and `cancellations_announced`.
+[[nodiscard]] bool has_extension(const ControllerHeartbeat& heartbeat);
+// Whether the sender reads cancellation notices and announces the cancellations that it confirms.
+[[nodiscard]] bool announces_cancellations(const ControllerHeartbeat& heartbeat);
+
+// Cancellations that a controller has confirmed to users, in that order. Sent ahead of the answer to a
+// heartbeat, so that the answer's count never includes one that has not arrived yet.
 struct CancellationNotice {
-    uint64_t incarnation = 0;
-    uint32_t first = 0;
-    std::vector<std::string> jobs;
+    uint64_t incarnation = 0;       // of the sender's process
+    uint32_t first_index = 0;       // how many cancellations the sender announced before these
+    std::vector<std::string> jobs;  // ids, each of at most 255 bytes
 };
-std::string pack(const CancellationNotice& notice);
-std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload);
+
+// The payload of a kCancellationNotice frame.
+[[nodiscard]] std::string pack_cancellation_notice(const CancellationNotice& notice);
+// Nothing if the payload is malformed.
+[[nodiscard]] std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload);
+
+// The answer to a relayed heartbeat.
+struct RelayAnswer {
+    uint16_t status = 0;  // HTTP status of the leader's answer
+    std::string body;
+};
+
+// The payload of a kRelayAnswer frame.
+[[nodiscard]] std::string pack_relay_answer(uint16_t status, std::string_view body);
+// Nothing if the payload is malformed.
+[[nodiscard]] std::optional<RelayAnswer> unpack_relay_answer(std::string_view payload);
 
 }  // namespace hareshore::peer
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -71,21 +71,23 @@
 // An answer counts only for the very heartbeat that it belongs to, from this process's incarnation; and once.
 // A heartbeat that comes by itself counts if it is newer than the last one of the incarnation that the peer's
 // answers show. Copies that come late would else show a peer that is gone as present, or as leading.
-void Peers::heard(const peer::Frame& frame, const peer::Heartbeat& heartbeat) {
+void Peers::heard(const peer::Frame& frame, const peer::ControllerHeartbeat& heartbeat) {
     for (auto& p : peers_) {
         if (p.who.label != peer::label_of(heartbeat)) continue;
         Seconds now = loop_.now();
-        if (frame.kind == peer::Kind::kHeartbeatAnswer) {
+        if (frame.kind == peer::FrameKind::kHeartbeatAnswer) {
             if (frame.incarnation != incarnation_ || frame.id <= p.last_answer || frame.id >= next_heartbeat_)
                 return;
             p.last_answer = frame.id;
             if (heartbeat.incarnation != p.incarnation) p.last_heartbeat = 0;
-            p.answered = static_cast<double>(heartbeat.asked_us) / 1e6;
+            p.answered = static_cast<double>(heartbeat.request_sent_us) / 1e6;
             p.answer_at = now;
             // Taken from the very answer: with the silence of a later heartbeat, which nobody asked for, an
             // earlier answer would seem to reach further back than its sender's word.
-            p.no_cancellation_since = now - heartbeat.quiet_ms / 1000.0 * (1 - constants::kDrift);
-            bool says = peer::extended(heartbeat) && heartbeat.record_format >= peer::kPeerFormat;
+            p.no_cancellation_since =
+                now - heartbeat.since_last_cancellation_ms / 1000.0 * (1 - constants::kDrift);
+            bool says =
+                peer::has_extension(heartbeat) && heartbeat.record_format >= peer::kAnnouncedRecordFormat;
             if (!says) {
                 p.complete_since = 1e18;
             } else if (heartbeat.incarnation != p.announced_incarnation ||
@@ -101,7 +103,8 @@
                 return;
             p.last_heartbeat = frame.id;
         }
-        if (peer::extended(heartbeat)) p.record_format = std::max(p.record_format, heartbeat.record_format);
+        if (peer::has_extension(heartbeat))
+            p.record_format = std::max(p.record_format, heartbeat.record_format);
         p.incarnation = heartbeat.incarnation;
         p.heard = now;
         p.heartbeat = heartbeat;
@@ -118,9 +121,10 @@
             scope_.spawn(write_all(link), "peer writer", Priority::kUrgent);
             scope_.spawn(read_all(link), "peer reader", Priority::kUrgent);
             while (link->open) {
-                peer::Heartbeat b = heartbeat_now();
-                b.asked_us = static_cast<uint64_t>(loop_.now() * 1e6);
-                send(*link, peer::pack(peer::Kind::kHeartbeat, next_heartbeat_++, incarnation_, b));
+                peer::ControllerHeartbeat b = heartbeat_now();
+                b.request_sent_us = static_cast<uint64_t>(loop_.now() * 1e6);
+                send(*link,
+                     peer::pack_frame(peer::FrameKind::kHeartbeat, next_heartbeat_++, incarnation_, b));
                 co_await loop_.sleep(constants::kHeartbeat_s);
             }
             links_[peer] = nullptr;
@@ -129,11 +133,11 @@
     }
 }
 
-peer::Heartbeat Peers::heartbeat_now() {
-    peer::Heartbeat b = heartbeat_();
+peer::ControllerHeartbeat Peers::heartbeat_now() {
+    peer::ControllerHeartbeat b = heartbeat_();
     b.incarnation = incarnation_;
-    if (peer::extended(b)) {
-        b.record_format = peer::kPeerFormat;
+    if (peer::has_extension(b)) {
+        b.record_format = peer::kAnnouncedRecordFormat;
         b.cancellations_announced = announced_count_;
     }
     return b;
@@ -154,17 +158,19 @@
     if (link.cancellations_sent == announced_count_) return;
     uint32_t kept_from = announced_count_ - static_cast<uint32_t>(announced_.size());
     peer::CancellationNotice w{incarnation_, std::max(link.cancellations_sent, kept_from), {}};
-    w.jobs.assign(announced_.begin() + (w.first - kept_from), announced_.end());
+    w.jobs.assign(announced_.begin() + (w.first_index - kept_from), announced_.end());
     link.cancellations_sent = announced_count_;
-    send(link, peer::pack(peer::Kind::kCancellationNotice, 0, incarnation_, peer::pack(w)));
+    send(link, peer::pack_frame(peer::FrameKind::kCancellationNotice, 0, incarnation_,
+                                peer::pack_cancellation_notice(w)));
 }
 
 // A new connection begins with all that its sender keeps, so that nothing is missing when an older one broke.
 void Peers::receive_cancellations(const peer::CancellationNotice& w) {
     for (auto& p : peers_) {
         if (p.announced_incarnation != w.incarnation || p.complete_since > loop_.now()) continue;
-        if (w.first > p.cancellations_known) return;  // the answer that follows shows that some are missing
-        for (size_t i = p.cancellations_known - w.first; i < w.jobs.size(); ++i) {
+        if (w.first_index > p.cancellations_known)
+            return;  // the answer that follows shows that some are missing
+        for (size_t i = p.cancellations_known - w.first_index; i < w.jobs.size(); ++i) {
             ++p.cancellations_known;
             on_cancellation_(w.jobs[i]);
         }
@@ -204,49 +210,51 @@
 }
 
 Task<void> Peers::read_all(std::shared_ptr<Link> link) {
-    peer::Reader reader;
+    peer::FrameReader reader;
     while (link->open) {
         Stream::Read got = co_await link->stream->read(loop_.now() + constants::kHeartbeatFresh_s);
         if (!got.ok()) break;
         reader.feed(got.bytes);
         while (auto f = reader.next()) {
-            if (f->kind == peer::Kind::kHeartbeat || f->kind == peer::Kind::kHeartbeatAnswer) {
+            if (f->kind == peer::FrameKind::kHeartbeat || f->kind == peer::FrameKind::kHeartbeatAnswer) {
                 auto heartbeat = peer::unpack_heartbeat(f->payload);
                 if (!heartbeat) {
                     link->close();
                     break;
                 }
                 heard(*f, *heartbeat);
-                if (f->kind == peer::Kind::kHeartbeat) {
-                    if (peer::extended(*heartbeat) && heartbeat->record_format >= peer::kPeerFormat)
+                if (f->kind == peer::FrameKind::kHeartbeat) {
+                    if (peer::has_extension(*heartbeat) &&
+                        heartbeat->record_format >= peer::kAnnouncedRecordFormat)
                         send_cancellations(*link);
-                    peer::Heartbeat mine = heartbeat_now();
-                    mine.asked_us = heartbeat->asked_us;
-                    send(*link, peer::pack(peer::Kind::kHeartbeatAnswer, f->id, f->incarnation, mine));
+                    peer::ControllerHeartbeat mine = heartbeat_now();
+                    mine.request_sent_us = heartbeat->request_sent_us;
+                    send(*link,
+                         peer::pack_frame(peer::FrameKind::kHeartbeatAnswer, f->id, f->incarnation, mine));
                 }
-            } else if (f->kind == peer::Kind::kCancellationNotice) {
+            } else if (f->kind == peer::FrameKind::kCancellationNotice) {
                 auto cancelled = peer::unpack_cancellation_notice(f->payload);
                 if (!cancelled) {
                     link->close();
                     break;
                 }
                 receive_cancellations(*cancelled);
-            } else if (f->kind == peer::Kind::kRelay) {
+            } else if (f->kind == peer::FrameKind::kRelay) {
                 if (scope_.size() <= most_routines_)
                     scope_.spawn(answer_relay(link, f->id, f->incarnation, std::move(f->payload)),
                                  "relayed report");
-            } else if (f->payload.size() >= sizeof(peer::RelayAnswerHead)) {
+            } else if (f->payload.size() >= sizeof(peer::RelayAnswerHeader)) {
                 // The answer to an earlier process's relay would give one worker another's commands.
                 auto it = f->incarnation == incarnation_ ? calls_.find(f->id) : calls_.end();
                 if (it == calls_.end()) continue;  // or too late
-                peer::RelayAnswerHead h{};
+                peer::RelayAnswerHeader h{};
                 std::memcpy(&h, f->payload.data(), sizeof h);
                 it->second->answer =
                     Response{h.status, f->payload.substr(sizeof h), 0, "application/msgpack"};
                 it->second->done.notify();
             }
         }
-        if (reader.bad()) {
+        if (reader.malformed()) {
             log::info("peer_connection_closed", {{"reason", "not_the_frame_protocol"}});
             break;
         }
@@ -257,10 +265,10 @@
 Task<void> Peers::answer_relay(std::shared_ptr<Link> link, uint32_t id, uint64_t incarnation,
                                std::string body) {
     Response r = co_await relay_(std::move(body));
-    peer::RelayAnswerHead h{static_cast<uint16_t>(r.status)};
+    peer::RelayAnswerHeader h{static_cast<uint16_t>(r.status)};
     std::string payload(reinterpret_cast<const char*>(&h), sizeof h);
     payload += r.body;
-    send(*link, peer::pack(peer::Kind::kRelayAnswer, id, incarnation, payload));
+    send(*link, peer::pack_frame(peer::FrameKind::kRelayAnswer, id, incarnation, payload));
 }
 
 Task<std::optional<Response>> Peers::relay(std::string label, std::string body) {
@@ -274,7 +282,7 @@
             uint32_t id;
             ~Forget() { calls.erase(id); }
         } forget{calls_, id};
-        send(*links_[i], peer::pack(peer::Kind::kRelay, id, incarnation_, body));
+        send(*links_[i], peer::pack_frame(peer::FrameKind::kRelay, id, incarnation_, body));
         Seconds until = loop_.now() + constants::kRelay_s;
         while (!call->answer)
             if (co_await loop_.wait(call->done, until) == Wake::kTimeout) break;
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -14,7 +14,7 @@
 
 class Peers {
   public:
-    using HeartbeatSource = std::function<peer::Heartbeat()>;
+    using HeartbeatSource = std::function<peer::ControllerHeartbeat()>;
     using RelayHandler = std::function<Task<Response>(std::string)>;
     // A peer has told a user that this job is cancelled.
     using CancellationHandler = std::function<void(const std::string&)>;
@@ -27,7 +27,7 @@
         Seconds heard = -1e9;      // when it last said anything
         Seconds answered = -1e9;   // when the heartbeat that it answered last was sent
         Seconds answer_at = -1e9;  // and when that answer came
-        peer::Heartbeat heartbeat{};
+        peer::ControllerHeartbeat heartbeat{};
         uint64_t incarnation = 0;     // of its process
         uint32_t last_heartbeat = 0;  // the newest heartbeat of that incarnation
         uint32_t last_answer = 0;     // the newest of our heartbeats that it answered
@@ -63,8 +63,8 @@
     Task<void> read_all(std::shared_ptr<Link> link);
     Task<void> write_all(std::shared_ptr<Link> link);
     Task<void> answer_relay(std::shared_ptr<Link> link, uint32_t id, uint64_t incarnation, std::string body);
-    void heard(const peer::Frame& frame, const peer::Heartbeat& heartbeat);
-    peer::Heartbeat heartbeat_now();
+    void heard(const peer::Frame& frame, const peer::ControllerHeartbeat& heartbeat);
+    peer::ControllerHeartbeat heartbeat_now();
     void send_cancellations(Link& link);
     void receive_cancellations(const peer::CancellationNotice& w);
     void send(Link& link, const std::string& frame) const;
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -224,7 +224,7 @@
     r.spec.id = "job-1";
     r.spec.tasks = 4;
     r.live[1] = {1, "vm-1", "a"};
-    peer::Heartbeat heartbeat{};
+    peer::ControllerHeartbeat heartbeat{};
     peer::set_label(heartbeat, "node-0");
     Packer p;
     p.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
@@ -232,8 +232,8 @@
         r.pack(1),
         r.pack(2),
         p.take(),
-        peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
-        peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
+        peer::pack_frame(peer::FrameKind::kHeartbeat, 1, 2, heartbeat),
+        peer::pack_frame(peer::FrameKind::kCancellationNotice, 1, 2, peer::pack_cancellation_notice({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
         Cloud::pack_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kGood};
@@ -258,7 +258,7 @@
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
         taken += FinalRecord::unpack(s).has_value();
         taken += Cloud::unpack_machine_types(s).has_value();
-        peer::Reader reader;
+        peer::FrameReader reader;
         reader.feed(s);
         while (auto f = reader.next()) {
             taken += peer::unpack_heartbeat(f->payload).has_value();
--- a/tests/cancellation_test.cc
+++ b/tests/cancellation_test.cc
@@ -18,7 +18,7 @@
 struct ScriptedPeer {
     Site& site;
     uint64_t incarnation = 77;
-    uint8_t record_format = peer::kPeerFormat;  // 0: the version in production, which knows no cancellations
+    uint8_t record_format = peer::kAnnouncedRecordFormat;  // 0: the version in production, which knows no cancellations
     uint32_t announced = 0;                     // cancellations that it says it told users of
     std::vector<std::string> sends;  // and those that it sends ahead of its next answer, numbered from `from`
     uint32_t from = 0;
@@ -41,14 +41,14 @@
         scope.cancel();
         unwind(site.loop);
     }
-    peer::Heartbeat heartbeat() const {
-        peer::Heartbeat b{};
+    peer::ControllerHeartbeat heartbeat() const {
+        peer::ControllerHeartbeat b{};
         peer::set_label(b, site.configs[1].label);
         b.incarnation = incarnation;
         b.record_format = record_format;
         b.cancellations_announced = record_format ? announced : 0;
         b.store_age_ms = UINT32_MAX;
-        b.quiet_ms = static_cast<uint32_t>((site.loop.now() - announced_last) * 1000);
+        b.since_last_cancellation_ms = static_cast<uint32_t>((site.loop.now() - announced_last) * 1000);
         return b;
     }
     Task<void> accept() {
@@ -63,32 +63,32 @@
     }
     Task<void> serve(int fd) {
         Stream stream(site.loop, fd);
-        peer::Reader reader;
+        peer::FrameReader reader;
         while (true) {
             Stream::Read got = co_await stream.read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
             while (auto f = reader.next()) {
-                if (f->kind != peer::Kind::kHeartbeat || !answers) continue;
+                if (f->kind != peer::FrameKind::kHeartbeat || !answers) continue;
                 std::string out;
                 if (!sends.empty())
-                    out = peer::pack(peer::Kind::kCancellationNotice, 0, incarnation,
-                                     peer::pack({incarnation, from, sends}));
+                    out = peer::pack_frame(peer::FrameKind::kCancellationNotice, 0, incarnation,
+                                     peer::pack_cancellation_notice({incarnation, from, sends}));
                 sends.clear();
-                peer::Heartbeat b = heartbeat();
-                b.asked_us = peer::unpack_heartbeat(f->payload)->asked_us;
-                out += peer::pack(peer::Kind::kHeartbeatAnswer, f->id, f->incarnation, b);
+                peer::ControllerHeartbeat b = heartbeat();
+                b.request_sent_us = peer::unpack_heartbeat(f->payload)->request_sent_us;
+                out += peer::pack_frame(peer::FrameKind::kHeartbeatAnswer, f->id, f->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
     }
     Task<void> count_unknown(std::shared_ptr<Stream> stream) {
-        peer::Reader reader;
+        peer::FrameReader reader;
         while (true) {
             Stream::Read got = co_await stream->read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
-            while (auto f = reader.next()) unknown += f->kind == peer::Kind::kCancellationNotice;
+            while (auto f = reader.next()) unknown += f->kind == peer::FrameKind::kCancellationNotice;
         }
     }
     Task<void> heartbeats() {
@@ -98,7 +98,7 @@
         while (stream) {
             co_await site.loop.sleep(0.93);
             co_await stream->write(
-                peer::pack(peer::Kind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
+                peer::pack_frame(peer::FrameKind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
         }
     }
 };
@@ -218,7 +218,7 @@
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
 TEST(Cancellation, AMissingNameEndsTheRightToRenewInTime) {
-    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
+    Pair p(peer::kAnnouncedRecordFormat, {"job-1", "job-2"});
     p.s.state.down = true;
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
     p.peer->announced_last = p.s.loop.now();
@@ -230,7 +230,7 @@
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
 TEST(Cancellation, NamesCountOnceAndInCommand) {
-    Pair p(peer::kPeerFormat, {"job-1", "job-2"});
+    Pair p(peer::kAnnouncedRecordFormat, {"job-1", "job-2"});
     p.s.state.down = true;
     p.s.run(2);
     p.peer->announced_last = p.s.loop.now();
@@ -274,7 +274,7 @@
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
 TEST(Cancellation, WhatWasVouchedForStaysKnown) {
-    Pair p(peer::kPeerFormat);
+    Pair p(peer::kAnnouncedRecordFormat);
     p.s.state.down = true;
     EXPECT_EQ(report(p.s, p.w, 0, 60), 200);
     p.peer->incarnation = 78;
@@ -287,16 +287,16 @@
 // padding.
 TEST(Cancellation, AHeartbeatIsReadAsTheVersionInProductionReadsIt) {
     for (std::string label : {"node-0", "a-label-of-23-bytes-long", "a-label-of-exactly-31-bytes-xyz"}) {
-        peer::Heartbeat b{};
+        peer::ControllerHeartbeat b{};
         peer::set_label(b, label);
         EXPECT_EQ(peer::label_of(b), label);
-        EXPECT_EQ(peer::extended(b), label.size() < sizeof b.label);
-        if (peer::extended(b)) {
-            b.record_format = peer::kPeerFormat;
+        EXPECT_EQ(peer::has_extension(b), label.size() < sizeof b.label);
+        if (peer::has_extension(b)) {
+            b.record_format = peer::kAnnouncedRecordFormat;
             b.cancellations_announced = 0x01020304;
         }
         EXPECT_EQ(peer::label_of(b), label);
-        std::string bytes = peer::pack(peer::Kind::kHeartbeat, 1, 2, b);
+        std::string bytes = peer::pack_frame(peer::FrameKind::kHeartbeat, 1, 2, b);
         ASSERT_EQ(bytes.size(), 24u + 68u);
         EXPECT_EQ(std::string(bytes.c_str() + 24), label);
     }
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -184,19 +184,19 @@
     return {"job-000735", true, 16, 6};
 }
 
-peer::Heartbeat full_heartbeat() {
-    peer::Heartbeat heartbeat{};
+peer::ControllerHeartbeat full_heartbeat() {
+    peer::ControllerHeartbeat heartbeat{};
     peer::set_label(heartbeat, "node-2");
     heartbeat.record_format = 2;
     heartbeat.cancellations_announced = 0x01020304;
     heartbeat.incarnation = 0x1112131415161718;
-    heartbeat.asked_us = 0x2122232425262728;
+    heartbeat.request_sent_us = 0x2122232425262728;
     heartbeat.fencing_token = 0x3132333435363738;
     heartbeat.leads = 1;
     heartbeat.ready = 0;
     heartbeat.worker_heartbeats_received = 0x4142;
     heartbeat.store_age_ms = 0x51525354;
-    heartbeat.quiet_ms = 0x61626364;
+    heartbeat.since_last_cancellation_ms = 0x61626364;
     return heartbeat;
 }
 
@@ -213,7 +213,7 @@
     FakeWorker worker;
     worker.addr = "10.1.0.9:9000";
     worker.fencing_token = kStoredFencingToken;
-    return peer::pack(peer::Kind::kRelay, kFrameId, kAskerIncarnation, worker.report());
+    return peer::pack_frame(peer::FrameKind::kRelay, kFrameId, kAskerIncarnation, worker.report());
 }
 
 std::string term_of(const std::string& node, uint64_t fencing_token) {
@@ -285,12 +285,12 @@
 
 // The single frame that the bytes hold.
 peer::Frame only_frame(const std::string& bytes) {
-    peer::Reader reader;
+    peer::FrameReader reader;
     reader.feed(bytes);
     auto frame = reader.next();
     EXPECT_TRUE(frame);
     EXPECT_FALSE(reader.next());
-    EXPECT_FALSE(reader.bad());
+    EXPECT_FALSE(reader.malformed());
     return frame.value_or(peer::Frame{});
 }
 
@@ -414,8 +414,8 @@
 }
 
 TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
-    const std::pair<peer::Kind, const char*> stored[] = {
-        {peer::Kind::kHeartbeat, kHeartbeatFrame}, {peer::Kind::kHeartbeatAnswer, kHeartbeatAnswerFrame}};
+    const std::pair<peer::FrameKind, const char*> stored[] = {
+        {peer::FrameKind::kHeartbeat, kHeartbeatFrame}, {peer::FrameKind::kHeartbeatAnswer, kHeartbeatAnswerFrame}};
     for (const auto& [kind, hex] : stored) {
         peer::Frame frame = only_frame(from_hex(hex));
         EXPECT_EQ(frame.kind, kind);
@@ -423,26 +423,26 @@
         EXPECT_EQ(frame.incarnation, kAskerIncarnation);
         auto read = peer::unpack_heartbeat(frame.payload);
         ASSERT_TRUE(read);
-        const peer::Heartbeat expected = full_heartbeat();
+        const peer::ControllerHeartbeat expected = full_heartbeat();
         EXPECT_EQ(peer::label_of(*read), "node-2");
-        EXPECT_TRUE(peer::extended(*read));
+        EXPECT_TRUE(peer::has_extension(*read));
         EXPECT_EQ(read->record_format, expected.record_format);
         EXPECT_EQ(read->cancellations_announced, expected.cancellations_announced);
         EXPECT_EQ(read->incarnation, expected.incarnation);
-        EXPECT_EQ(read->asked_us, expected.asked_us);
+        EXPECT_EQ(read->request_sent_us, expected.request_sent_us);
         EXPECT_EQ(read->fencing_token, expected.fencing_token);
         EXPECT_EQ(read->leads, expected.leads);
         EXPECT_EQ(read->ready, expected.ready);
         EXPECT_EQ(read->worker_heartbeats_received, expected.worker_heartbeats_received);
         EXPECT_EQ(read->store_age_ms, expected.store_age_ms);
-        EXPECT_EQ(read->quiet_ms, expected.quiet_ms);
-        EXPECT_EQ(to_hex(peer::pack(kind, kFrameId, kAskerIncarnation, expected)), hex);
+        EXPECT_EQ(read->since_last_cancellation_ms, expected.since_last_cancellation_ms);
+        EXPECT_EQ(to_hex(peer::pack_frame(kind, kFrameId, kAskerIncarnation, expected)), hex);
     }
 }
 
 TEST(ProductionBytes, RelaysAreReadAndWritten) {
     peer::Frame frame = only_frame(from_hex(kRelayFrame));
-    EXPECT_EQ(frame.kind, peer::Kind::kRelay);
+    EXPECT_EQ(frame.kind, peer::FrameKind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
     auto report = WorkerHeartbeat::parse(frame.payload);
@@ -462,11 +462,11 @@
     site.run(4);
     EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
     peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
-    EXPECT_EQ(frame.kind, peer::Kind::kRelayAnswer);
+    EXPECT_EQ(frame.kind, peer::FrameKind::kRelayAnswer);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHead));
-    peer::RelayAnswerHead head;
+    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHeader));
+    peer::RelayAnswerHeader head;
     std::memcpy(&head, frame.payload.data(), sizeof head);
     EXPECT_EQ(head.status, 200);
     auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
@@ -477,16 +477,16 @@
 TEST(ProductionBytes, CancellationsAreReadAndWritten) {
     const peer::CancellationNotice expected = cancellations();
     peer::Frame frame = only_frame(from_hex(kCancellationsFrame));
-    EXPECT_EQ(frame.kind, peer::Kind::kCancellationNotice);
+    EXPECT_EQ(frame.kind, peer::FrameKind::kCancellationNotice);
     EXPECT_EQ(frame.id, 0u);
     EXPECT_EQ(frame.incarnation, expected.incarnation);
     auto read = peer::unpack_cancellation_notice(frame.payload);
     ASSERT_TRUE(read);
     EXPECT_EQ(read->incarnation, expected.incarnation);
-    EXPECT_EQ(read->first, expected.first);
+    EXPECT_EQ(read->first_index, expected.first_index);
     EXPECT_EQ(read->jobs, expected.jobs);
     EXPECT_EQ(
-        to_hex(peer::pack(peer::Kind::kCancellationNotice, 0, expected.incarnation, peer::pack(expected))),
+        to_hex(peer::pack_frame(peer::FrameKind::kCancellationNotice, 0, expected.incarnation, peer::pack_cancellation_notice(expected))),
         kCancellationsFrame);
 }
 
--- a/tests/controller_test.cc
+++ b/tests/controller_test.cc
@@ -762,15 +762,15 @@
     size_t at = static_cast<size_t>(leader);
     s.run(4);
     uint64_t fencing_token = s.nodes[at]->election().fencing_token();
-    peer::Heartbeat b{};
+    peer::ControllerHeartbeat b{};
     peer::set_label(b, s.configs[1 - at].label);
     b.incarnation = 7;
     b.fencing_token = 50;
     b.leads = 1;
-    b.asked_us = static_cast<uint64_t>((s.loop.now() + 100) * 1e6);
-    std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
-                         peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
-                         peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+    b.request_sent_us = static_cast<uint64_t>((s.loop.now() + 100) * 1e6);
+    std::string frames = peer::pack_frame(peer::FrameKind::kHeartbeat, 1000, 7, b) +
+                         peer::pack_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, b) +
+                         peer::pack_frame(peer::FrameKind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
     Scope scope(s.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
--- a/tests/fault_scenario.cc
+++ b/tests/fault_scenario.cc
@@ -61,7 +61,7 @@
 
 Task<void> Wire::pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into,
                       std::shared_ptr<bool> open) {
-    peer::Reader reader;
+    peer::FrameReader reader;
     while (*open) {
         Stream::Read got = co_await from->read(loop.now() + 0.5);
         if (got.outcome == Stream::Read::Outcome::kTimeout) continue;
@@ -74,18 +74,18 @@
     *open = false;
 }
 
-std::string Wire::as_old_peer(peer::Reader& reader, std::string_view bytes) {
+std::string Wire::as_old_peer(peer::FrameReader& reader, std::string_view bytes) {
     std::string out;
     reader.feed(bytes);
     while (auto frame = reader.next()) {
-        if (frame->kind == peer::Kind::kCancellationNotice) continue;
-        if (frame->kind == peer::Kind::kHeartbeat || frame->kind == peer::Kind::kHeartbeatAnswer) {
+        if (frame->kind == peer::FrameKind::kCancellationNotice) continue;
+        if (frame->kind == peer::FrameKind::kHeartbeat || frame->kind == peer::FrameKind::kHeartbeatAnswer) {
             auto heartbeat = peer::unpack_heartbeat(frame->payload);
             heartbeat->record_format = 0;
             heartbeat->cancellations_announced = 0;
-            out += peer::pack(frame->kind, frame->id, frame->incarnation, *heartbeat);
+            out += peer::pack_frame(frame->kind, frame->id, frame->incarnation, *heartbeat);
         } else {
-            out += peer::pack(frame->kind, frame->id, frame->incarnation, frame->payload);
+            out += peer::pack_frame(frame->kind, frame->id, frame->incarnation, frame->payload);
         }
     }
     return out;
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -44,7 +44,7 @@
     Task<void> join(std::shared_ptr<Stream> near);
     Task<void> pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into, std::shared_ptr<bool> open);
     // What of these bytes an old peer would say or take.
-    static std::string as_old_peer(peer::Reader& reader, std::string_view bytes);
+    static std::string as_old_peer(peer::FrameReader& reader, std::string_view bytes);
 };
 
 // A machine that does all that the protocol says of workers: it follows hints, its lease ends, it hangs.
