--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,67 +1,84 @@
-// One controller: it serves users, takes part in elections, and leads or points workers to the leader.
+// One controller process. Every controller serves users and takes part in elections; the elected one leads,
+// and the others redirect or relay workers to it.
+//
+// The decisions stand in files of their own, as functions of time and plain inputs: readiness.h,
+// heartbeat_router.h, resignation.h, peer_confirmations.h. This class joins them to the network.
 #pragma once
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "cloud/cloud.h"
 #include "config/config.h"
+#include "controller/heartbeat_router.h"
+#include "controller/heartbeat_window.h"
+#include "controller/leader_runner.h"
+#include "controller/operator_page.h"
+#include "controller/readiness.h"
 #include "http/server.h"
 #include "leader/election.h"
-#include "leader/leader.h"
 #include "peer/peers.h"
+#include "state/store_client.h"
 #include "users/service.h"
 
 namespace hareshore {
 
-class Controller {
+// Owns all parts; they refer to one another and to the controller, and so do the coroutines that run in their
+// scopes. `loop`, `config` and `settings` must outlive it. To destroy it, call stop() and let the loop take
+// turns until all coroutines have unwound.
+class Controller : private peer::PeerDelegate {
   public:
+    // Starts to listen and to take part in elections. Throws std::system_error if an address cannot be
+    // listened on.
     Controller(Loop& loop, const Config& config, const Settings& settings);
-    ~Controller();
-    // Cancels every routine; the loop unwinds them in its next turns. Nothing may be destroyed before.
+    ~Controller() override;
+    // Cancels all coroutines; they unwind in the next turns of the loop.
     void stop();
-    Task<Response> handle(Request request);
+    // Answers one HTTP request.
+    [[nodiscard]] Task<Response> handle(Request request);
+
     const Election& election() const { return election_; }
-    std::shared_ptr<Leader> leader() const { return leader_; }
+    // Null while this controller does not lead. A caller that awaits something of the leader holds the
+    // pointer meanwhile.
+    std::shared_ptr<Leader> leader() const { return leader_runner_.leader(); }
 
   private:
-    class TermChecks;
+    // For the peers.
+    [[nodiscard]] peer::ControllerHeartbeat heartbeat() const override;
+    [[nodiscard]] Task<Response> handle_relayed_heartbeat(std::string body) override;
+    void cancellation_announced(const std::string& job) override { observe_cancellation(job); }
 
+    // Coroutines of scope_; they end when it is cancelled.
     Task<void> follow_election();
-    Task<void> learn_machine_types();
+    Task<void> load_machine_types();
     Task<void> follow_record_format();
-    Task<Response> handle_heartbeat(std::string body);
-    Task<Response> relayed(std::string body);
-    Response operator_page(const std::string& path);
-    bool ready() const;
+
+    void report_peers_to_election();
     void resign_if_isolated();
-    peer::ControllerHeartbeat heartbeat() const;
-    Seconds cancellations_known_until(Seconds since) const;
-    void observe_cancellation(const std::string& id);
-    // Whether every peer has said that it knows the formats of this version.
-    bool all_upgraded() const;
-    bool no_other_leader() const;
+    // A user is being told, here or by a peer, that the job is cancelled.
+    void observe_cancellation(const std::string& job);
+
+    Task<Response> handle_heartbeat(std::string body);
+    Response show_operator_page(OperatorPage page) const;
+    Readiness readiness() const;
+    std::optional<Seconds> last_store_contact() const;
+    // For the heartbeats to the peers: milliseconds since that time.
+    uint32_t milliseconds_since(Seconds time) const;
 
     Loop& loop_;
     const Config& config_;
-    const Settings& settings_;
-    Seconds started_;
-    StoreClient state_;
+    const Seconds started_at_;
+    StoreClient store_;
     Cloud cloud_;
     Election election_;
-    std::vector<MachineType> machine_types_;
+    std::vector<MachineType> machine_types_;  // empty until they are known
     RecordFormat record_format_;
     UserService users_;
-    std::shared_ptr<Leader> leader_;
-    // When a worker was pointed to which leader: one that comes back could not reach it.
-    struct Redirection {
-        std::string leader;
-        Seconds at = 0;
-        Seconds relayed_since = -1;
-        uint64_t incarnation = 0,
-                 sequence = 0;  // the report that was pointed: a late copy of it shows nothing
-    };
-    std::unordered_map<std::string, Redirection> redirections_;
-    // Of each zone the workers that came back of late. One may be deaf; several speak for the others.
-    std::map<std::string, std::map<std::string, Seconds>> returned_workers_;
-    bool zone_cut(const std::string& zone);
-    std::deque<Seconds> worker_heartbeat_times_;  // when workers' reports came
-    Peers peers_;
+    HeartbeatRouter router_;
+    HeartbeatWindow worker_heartbeats_;
+    peer::Peers peers_;
+    LeaderRunner leader_runner_;
     HttpServer server_;
     Scope scope_;
 };
--- /dev/null
+++ b/src/controller/peer_confirmations.cc
@@ -0,0 +1,33 @@
+#include "controller/peer_confirmations.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+
+namespace hareshore {
+
+Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since, Seconds now) {
+    Seconds until = now;
+    for (const auto& peer : peers) {
+        const auto answered_at = peer.answered_request_sent_at();
+        if (!answered_at || !peer.all_cancellations_known_since(since)) return since;
+        until = std::min(until, *answered_at);
+    }
+    return std::max(since, until);
+}
+
+bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token, Seconds now) {
+    return std::all_of(peers.begin(), peers.end(), [&](const peer::PeerStatus& peer) {
+        const auto answered_at = peer.answered_request_sent_at();
+        return answered_at && now - *answered_at < constants::kHeartbeatFresh_s &&
+               peer.last_heartbeat().fencing_token <= fencing_token;
+    });
+}
+
+bool all_peers_upgraded(std::span<const peer::PeerStatus> peers) {
+    return std::all_of(peers.begin(), peers.end(), [](const peer::PeerStatus& peer) {
+        return peer.record_format() >= peer::kAnnouncedRecordFormat;
+    });
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/controller/resignation.cc
@@ -0,0 +1,27 @@
+#include "controller/resignation.h"
+
+#include "base/constants.h"
+
+namespace hareshore {
+
+namespace {
+
+bool is_reached_by_workers(const peer::PeerStatus& peer, Seconds now) {
+    const auto received_at = peer.last_received_at();
+    return received_at && now - *received_at <= constants::kHeartbeatFresh_s &&
+           peer.last_heartbeat().worker_heartbeats_received >= constants::kResignMachines;
+}
+
+}  // namespace
+
+std::optional<Resignation> decide_resignation(const ResignationInput& input) {
+    if (input.loaded_for < constants::kResignQuiet_s) return std::nullopt;
+    if (input.machines_seen < constants::kResignMachines) return std::nullopt;
+    if (input.last_worker_heartbeat && input.now - *input.last_worker_heartbeat < constants::kResignQuiet_s)
+        return std::nullopt;
+    for (const auto& peer : input.peers)
+        if (is_reached_by_workers(peer, input.now)) return Resignation{peer.label()};
+    return std::nullopt;
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/controller/resource_limits.cc
@@ -0,0 +1,27 @@
+#include "controller/resource_limits.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+
+namespace hareshore {
+
+namespace {
+
+// Standard input, output and error, and the event loop's epoll descriptor.
+constexpr size_t kDescriptorsOfTheProcess = 4;
+
+}  // namespace
+
+size_t connection_limit(const Config& config) {
+    const double share = 1 - constants::kSocketReserve;
+    return static_cast<size_t>(static_cast<double>(config.sockets) * share) - kDescriptorsOfTheProcess;
+}
+
+size_t answer_limit(const Config& config) {
+    if (config.ram_bytes == 0) return constants::kAnswerLimit;
+    return std::clamp(config.ram_bytes / constants::kAnswerShare, constants::kAnswerLeast,
+                      constants::kAnswerLimit);
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/controller/term_checks.h
@@ -0,0 +1,33 @@
+// The checks of one term of leadership that need the election and the peers.
+#pragma once
+#include <cstdint>
+
+#include "leader/election.h"
+#include "leader/leadership.h"
+#include "peer/peers.h"
+
+namespace hareshore {
+
+// Given to a Leader, which owns it. The references must outlive that Leader. Its answers are negative once
+// the election has gone on to another term.
+class TermChecks : public Leadership {
+  public:
+    TermChecks(const Loop& loop, Election& election, const peer::Peers& peers, uint64_t fencing_token)
+        : loop_(loop), election_(election), peers_(peers), fencing_token_(fencing_token) {}
+
+    [[nodiscard]] Seconds cancellations_known_until(Seconds since) const override;
+    [[nodiscard]] bool confirmed() const override;
+    [[nodiscard]] bool no_other_leader() const override;
+    [[nodiscard]] bool all_peers_upgraded() const override;
+    void deposed(const char* reason) override;
+
+  private:
+    bool is_current() const { return election_.fencing_token() == fencing_token_; }
+
+    const Loop& loop_;
+    Election& election_;
+    const peer::Peers& peers_;
+    uint64_t fencing_token_;
+};
+
+}  // namespace hareshore
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -30,6 +30,9 @@
 // also reads cancellation notices. Versions that announce nothing send 0.
 inline constexpr uint8_t kAnnouncedRecordFormat = 2;
 
+// ControllerHeartbeat::store_age_ms of a controller that the store has never answered.
+inline constexpr uint32_t kNeverServed = UINT32_MAX;
+
 #pragma pack(push, 1)
 
 // Wire layout: begins every frame.
@@ -58,7 +61,7 @@
     uint8_t leads;                        // whether the sender is the leader with that fencing token
     uint8_t ready;                        // whether the sender takes users' requests
     uint16_t worker_heartbeats_received;  // directly from workers, in the last kReportWindow_s
-    uint32_t store_age_ms;                // since the store last answered the sender; UINT32_MAX: never
+    uint32_t store_age_ms;                // since the store last answered the sender, or kNeverServed
     uint32_t since_last_cancellation_ms;  // since the sender last confirmed a cancellation to a user, or
                                           // since it started
 };
--- /dev/null
+++ b/src/peer/peer_link.cc
@@ -0,0 +1,46 @@
+#include "peer/peer_link.h"
+
+#include <utility>
+
+#include "base/constants.h"
+
+namespace hareshore::peer {
+
+void PeerLink::send(std::string_view frame) {
+    if (!open_ || outbox_.size() + frame.size() > outbox_limit_) {
+        close();
+        return;
+    }
+    outbox_ += frame;
+    outbox_changed_.notify();
+}
+
+void PeerLink::send_new_announcements(const CancellationAnnouncements& announcements, uint64_t incarnation) {
+    const auto notice = announcements.notice_after(announcements_sent_);
+    if (!notice) return;
+    announcements_sent_ = announcements.count();
+    send(pack_frame(FrameKind::kCancellationNotice, 0, incarnation, pack_cancellation_notice(*notice)));
+}
+
+void PeerLink::close() {
+    open_ = false;
+    outbox_changed_.notify();
+}
+
+Task<Stream::Read> PeerLink::read() {
+    return stream_->read(loop_.now() + constants::kHeartbeatFresh_s);
+}
+
+Task<void> PeerLink::write_queued(std::shared_ptr<PeerLink> link) {
+    while (link->open_) {
+        if (link->outbox_.empty()) {
+            co_await link->loop_.wait(link->outbox_changed_, -1);
+            continue;
+        }
+        const std::string bytes = std::exchange(link->outbox_, {});
+        const Seconds until = link->loop_.now() + constants::kHeartbeatFresh_s;
+        if (!co_await link->stream_->write(bytes, until)) link->close();
+    }
+}
+
+}  // namespace hareshore::peer
--- /dev/null
+++ b/src/peer/peer_status.cc
@@ -0,0 +1,79 @@
+#include "peer/peer_status.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+
+namespace hareshore::peer {
+
+void PeerStatus::receive_heartbeat(uint32_t heartbeat_id, const ControllerHeartbeat& heartbeat, Seconds now) {
+    if (heartbeat.incarnation == incarnation_) {
+        if (heartbeat_id <= last_heartbeat_id_) return;
+    } else if (last_answer_at_ && now - *last_answer_at_ < constants::kHeartbeatFresh_s) {
+        // Another process than the one that answers: a late copy from one that has ended.
+        return;
+    }
+    last_heartbeat_id_ = heartbeat_id;
+    take_in(heartbeat, now);
+}
+
+void PeerStatus::receive_answer(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now) {
+    if (heartbeat_id <= last_answered_id_) return;
+    last_answered_id_ = heartbeat_id;
+    if (answer.incarnation != incarnation_) last_heartbeat_id_ = 0;
+    answered_request_sent_at_ = static_cast<double>(answer.request_sent_us) / 1e6;
+    last_answer_at_ = now;
+    update_cancellations(answer, now);
+    take_in(answer, now);
+}
+
+void PeerStatus::take_in(const ControllerHeartbeat& heartbeat, Seconds now) {
+    if (has_extension(heartbeat)) record_format_ = std::max(record_format_, heartbeat.record_format);
+    incarnation_ = heartbeat.incarnation;
+    last_received_at_ = now;
+    last_heartbeat_ = heartbeat;
+}
+
+void PeerStatus::update_cancellations(const ControllerHeartbeat& answer, Seconds now) {
+    // From this very answer: with the value of a later heartbeat, which answers no request, the answer would
+    // seem to cover a longer time than it does.
+    none_confirmed_since_ = now - answer.since_last_cancellation_ms / 1000.0 * (1 - constants::kDrift);
+    if (!announces_cancellations(answer)) {
+        all_received_since_.reset();
+        return;
+    }
+    const bool nothing_missing = all_received_since_ && answer.incarnation == answering_incarnation_ &&
+                                 answer.cancellations_announced == announcements_received_;
+    if (nothing_missing) return;
+    // Its process is new here, or a notice was lost. From now on nothing is.
+    all_received_since_ = now;
+    announcements_received_ = answer.cancellations_announced;
+    answering_incarnation_ = answer.incarnation;
+}
+
+std::span<const std::string> PeerStatus::receive_cancellations(const CancellationNotice& notice) {
+    if (!all_received_since_ || notice.incarnation != answering_incarnation_) return {};
+    // Some are missing before it: the count in the answer that follows will show that.
+    if (notice.first_index > announcements_received_) return {};
+    const size_t received_before = announcements_received_ - notice.first_index;
+    if (received_before >= notice.jobs.size()) return {};
+    const auto received_now = std::span(notice.jobs).subspan(received_before);
+    announcements_received_ += static_cast<uint32_t>(received_now.size());
+    return received_now;
+}
+
+bool PeerStatus::is_present(Seconds now) const {
+    return last_received_at_ && now - *last_received_at_ < constants::kHeartbeatFresh_s;
+}
+
+std::optional<Seconds> PeerStatus::store_age() const {
+    if (last_heartbeat_.store_age_ms == kNeverServed) return std::nullopt;
+    return last_heartbeat_.store_age_ms / 1000.0;
+}
+
+bool PeerStatus::all_cancellations_known_since(Seconds since) const {
+    return (none_confirmed_since_ && *none_confirmed_since_ <= since) ||
+           (all_received_since_ && *all_received_since_ <= since);
+}
+
+}  // namespace hareshore::peer
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -2,13 +2,13 @@
 
 #include <unistd.h>
 
-#include <cstring>
+#include <algorithm>
 #include <random>
 
 #include "base/constants.h"
 #include "base/log.h"
 
-namespace hareshore {
+namespace hareshore::peer {
 
 namespace {
 
@@ -19,172 +19,41 @@
 
 }  // namespace
 
-struct Peers::Link {
-    Link(Loop& loop, std::unique_ptr<Stream> s) : stream(std::move(s)), more(loop) {}
-    std::unique_ptr<Stream> stream;
-    std::string outbox;
-    uint32_t cancellations_sent =
-        0;  // of the cancellations told here, how many this link was sent or need not be sent
-    Signal more;
-    bool open = true;
-    void close() {
-        open = false;
-        more.notify();
-    }
-};
-
-struct Peers::Call {
-    explicit Call(Loop& loop) : done(loop) {}
-    Signal done;
-    std::optional<Response> answer;
-};
-
-Peers::Peers(Loop& loop, const Config& config, HeartbeatSource heartbeat, RelayHandler relay,
-             CancellationHandler cancelled)
+Peers::Peers(Loop& loop, const Config& config, PeerDelegate& delegate)
     : loop_(loop),
-      heartbeat_(std::move(heartbeat)),
-      relay_(std::move(relay)),
-      on_cancellation_(std::move(cancelled)),
-      links_(config.peers.size()),
+      delegate_(delegate),
       incarnation_(draw_incarnation()),
-      most_routines_(std::max(constants::kPeerRoutines, config.sockets)),
-      most_outbox_(std::max(constants::kOutbox, config.sockets * constants::kOutboxPerSocket)),
-      news_(loop),
+      routine_limit_(std::max(constants::kPeerRoutines, config.sockets)),
+      outbox_limit_(std::max(constants::kOutbox, config.sockets * constants::kOutboxPerSocket)),
+      statuses_(config.peers.begin(), config.peers.end()),
+      dialed_links_(config.peers.size()),
+      announcements_(incarnation_),
       listener_(loop, listen_on(config.peer_listen)),
-      scope_(loop) {
-    for (const auto& s : config.peers) {
-        Peer p;
-        p.who = s;
-        peers_.push_back(p);
-    }
-    scope_.spawn(accept_all(), "peer accept", Priority::kUrgent);
-    for (size_t i = 0; i < peers_.size(); ++i) scope_.spawn(dial(i), "peer link", Priority::kUrgent);
+      scope_(loop),
+      relay_client_(loop, incarnation_),
+      relay_server_(delegate, scope_, routine_limit_) {
+    scope_.spawn(accept_connections(), "peer accept", Priority::kUrgent);
+    for (size_t peer = 0; peer < statuses_.size(); ++peer)
+        scope_.spawn(dial(peer), "peer link", Priority::kUrgent);
 }
 
-void Peers::send(Link& link, const std::string& frame) const {
-    // A link that does not drain is cut off; nothing on it is worth keeping for later.
-    if (!link.open || link.outbox.size() + frame.size() > most_outbox_) return link.close();
-    link.outbox += frame;
-    link.more.notify();
+Task<RelayResult> Peers::relay(const std::string& label, std::string body) {
+    const auto status = std::find_if(statuses_.begin(), statuses_.end(),
+                                     [&](const PeerStatus& peer) { return peer.label() == label; });
+    std::shared_ptr<PeerLink> link;
+    if (status != statuses_.end()) link = dialed_links_[static_cast<size_t>(status - statuses_.begin())];
+    // No coroutine of its own: its frame would be one more allocation for each relay.
+    return relay_client_.relay(std::move(link), std::move(body));
 }
 
-// An answer counts only for the very heartbeat that it belongs to, from this process's incarnation; and once.
-// A heartbeat that comes by itself counts if it is newer than the last one of the incarnation that the peer's
-// answers show. Copies that come late would else show a peer that is gone as present, or as leading.
-void Peers::heard(const peer::Frame& frame, const peer::ControllerHeartbeat& heartbeat) {
-    for (auto& p : peers_) {
-        if (p.who.label != peer::label_of(heartbeat)) continue;
-        Seconds now = loop_.now();
-        if (frame.kind == peer::FrameKind::kHeartbeatAnswer) {
-            if (frame.incarnation != incarnation_ || frame.id <= p.last_answer || frame.id >= next_heartbeat_)
-                return;
-            p.last_answer = frame.id;
-            if (heartbeat.incarnation != p.incarnation) p.last_heartbeat = 0;
-            p.answered = static_cast<double>(heartbeat.request_sent_us) / 1e6;
-            p.answer_at = now;
-            // Taken from the very answer: with the silence of a later heartbeat, which nobody asked for, an
-            // earlier answer would seem to reach further back than its sender's word.
-            p.no_cancellation_since =
-                now - heartbeat.since_last_cancellation_ms / 1000.0 * (1 - constants::kDrift);
-            bool says =
-                peer::has_extension(heartbeat) && heartbeat.record_format >= peer::kAnnouncedRecordFormat;
-            if (!says) {
-                p.complete_since = 1e18;
-            } else if (heartbeat.incarnation != p.announced_incarnation ||
-                       heartbeat.cancellations_announced != p.cancellations_known || p.complete_since > now) {
-                // Its process is new to us, or something is missing: from here on nothing will be.
-                p.complete_since = now;
-                p.cancellations_known = heartbeat.cancellations_announced;
-                p.announced_incarnation = heartbeat.incarnation;
-            }
-        } else {
-            bool known = heartbeat.incarnation == p.incarnation;
-            if (known ? frame.id <= p.last_heartbeat : now - p.answer_at < constants::kHeartbeatFresh_s)
-                return;
-            p.last_heartbeat = frame.id;
-        }
-        if (peer::has_extension(heartbeat))
-            p.record_format = std::max(p.record_format, heartbeat.record_format);
-        p.incarnation = heartbeat.incarnation;
-        p.heard = now;
-        p.heartbeat = heartbeat;
-    }
-    news_.notify();
-}
-
-Task<void> Peers::dial(size_t peer) {
+Task<void> Peers::accept_connections() {
     while (true) {
-        auto stream = co_await connect_to(loop_, peers_[peer].who.addr, loop_.now() + constants::kConnect_s);
-        if (stream) {
-            auto link = std::make_shared<Link>(loop_, std::move(stream));
-            links_[peer] = link;
-            scope_.spawn(write_all(link), "peer writer", Priority::kUrgent);
-            scope_.spawn(read_all(link), "peer reader", Priority::kUrgent);
-            while (link->open) {
-                peer::ControllerHeartbeat b = heartbeat_now();
-                b.request_sent_us = static_cast<uint64_t>(loop_.now() * 1e6);
-                send(*link,
-                     peer::pack_frame(peer::FrameKind::kHeartbeat, next_heartbeat_++, incarnation_, b));
-                co_await loop_.sleep(constants::kHeartbeat_s);
-            }
-            links_[peer] = nullptr;
-        }
-        co_await loop_.sleep(constants::kHeartbeat_s);
-    }
-}
-
-peer::ControllerHeartbeat Peers::heartbeat_now() {
-    peer::ControllerHeartbeat b = heartbeat_();
-    b.incarnation = incarnation_;
-    if (peer::has_extension(b)) {
-        b.record_format = peer::kAnnouncedRecordFormat;
-        b.cancellations_announced = announced_count_;
-    }
-    return b;
-}
-
-void Peers::announce_cancellation(const std::string& id) {
-    // Who knows it from the first time need not hear it again.
-    if (!announced_ids_.insert(id).second) return;
-    announced_.push_back(id);
-    ++announced_count_;
-    if (announced_.size() > constants::kAnnouncementsKept) {
-        announced_ids_.erase(announced_.front());
-        announced_.pop_front();
-    }
-}
-
-void Peers::send_cancellations(Link& link) {
-    if (link.cancellations_sent == announced_count_) return;
-    uint32_t kept_from = announced_count_ - static_cast<uint32_t>(announced_.size());
-    peer::CancellationNotice w{incarnation_, std::max(link.cancellations_sent, kept_from), {}};
-    w.jobs.assign(announced_.begin() + (w.first_index - kept_from), announced_.end());
-    link.cancellations_sent = announced_count_;
-    send(link, peer::pack_frame(peer::FrameKind::kCancellationNotice, 0, incarnation_,
-                                peer::pack_cancellation_notice(w)));
-}
-
-// A new connection begins with all that its sender keeps, so that nothing is missing when an older one broke.
-void Peers::receive_cancellations(const peer::CancellationNotice& w) {
-    for (auto& p : peers_) {
-        if (p.announced_incarnation != w.incarnation || p.complete_since > loop_.now()) continue;
-        if (w.first_index > p.cancellations_known)
-            return;  // the answer that follows shows that some are missing
-        for (size_t i = p.cancellations_known - w.first_index; i < w.jobs.size(); ++i) {
-            ++p.cancellations_known;
-            on_cancellation_(w.jobs[i]);
-        }
-    }
-}
-
-Task<void> Peers::accept_all() {
-    while (true) {
-        int fd = accept_from(listener_.fd());
+        const int fd = accept_from(listener_.fd());
         if (fd == -1) {
             co_await loop_.readable(listener_, -1);
         } else if (fd == -2) {
             co_await loop_.sleep(constants::kAcceptPause_s);
-        } else if (scope_.size() > most_routines_) {
+        } else if (scope_.size() > routine_limit_) {
             close(fd);
         } else {
             scope_.spawn(serve(fd), "peer connection", Priority::kUrgent);
@@ -193,65 +62,45 @@
 }
 
 Task<void> Peers::serve(int fd) {
-    auto link = std::make_shared<Link>(loop_, std::make_unique<Stream>(loop_, fd));
-    scope_.spawn(write_all(link), "peer writer", Priority::kUrgent);
-    co_await read_all(link);
+    const auto link = make_link(std::make_unique<Stream>(loop_, fd));
+    scope_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
+    co_await read_frames(link);
 }
 
-Task<void> Peers::write_all(std::shared_ptr<Link> link) {
-    while (link->open) {
-        if (link->outbox.empty()) {
-            co_await loop_.wait(link->more, -1);
-            continue;
+Task<void> Peers::dial(size_t peer) {
+    while (true) {
+        const Seconds until = loop_.now() + constants::kConnect_s;
+        auto stream = co_await connect_to(loop_, statuses_[peer].address().addr, until);
+        if (stream) {
+            const auto link = make_link(std::move(stream));
+            dialed_links_[peer] = link;
+            scope_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
+            scope_.spawn(read_frames(link), "peer reader", Priority::kUrgent);
+            co_await send_heartbeats(link);
+            dialed_links_[peer] = nullptr;
         }
-        std::string out = std::exchange(link->outbox, {});
-        if (!co_await link->stream->write(out, loop_.now() + constants::kHeartbeatFresh_s)) link->close();
+        co_await loop_.sleep(constants::kHeartbeat_s);
+    }
+}
+
+Task<void> Peers::send_heartbeats(std::shared_ptr<PeerLink> link) {
+    while (link->is_open()) {
+        const auto heartbeat = make_heartbeat(static_cast<uint64_t>(loop_.now() * 1e6));
+        link->send(pack_frame(FrameKind::kHeartbeat, next_heartbeat_id_++, incarnation_, heartbeat));
+        co_await loop_.sleep(constants::kHeartbeat_s);
     }
 }
 
-Task<void> Peers::read_all(std::shared_ptr<Link> link) {
-    peer::FrameReader reader;
-    while (link->open) {
-        Stream::Read got = co_await link->stream->read(loop_.now() + constants::kHeartbeatFresh_s);
+Task<void> Peers::read_frames(std::shared_ptr<PeerLink> link) {
+    FrameReader reader;
+    while (link->is_open()) {
+        const Stream::Read got = co_await link->read();
         if (!got.ok()) break;
         reader.feed(got.bytes);
-        while (auto f = reader.next()) {
-            if (f->kind == peer::FrameKind::kHeartbeat || f->kind == peer::FrameKind::kHeartbeatAnswer) {
-                auto heartbeat = peer::unpack_heartbeat(f->payload);
-                if (!heartbeat) {
-                    link->close();
-                    break;
-                }
-                heard(*f, *heartbeat);
-                if (f->kind == peer::FrameKind::kHeartbeat) {
-                    if (peer::has_extension(*heartbeat) &&
-                        heartbeat->record_format >= peer::kAnnouncedRecordFormat)
-                        send_cancellations(*link);
-                    peer::ControllerHeartbeat mine = heartbeat_now();
-                    mine.request_sent_us = heartbeat->request_sent_us;
-                    send(*link,
-                         peer::pack_frame(peer::FrameKind::kHeartbeatAnswer, f->id, f->incarnation, mine));
-                }
-            } else if (f->kind == peer::FrameKind::kCancellationNotice) {
-                auto cancelled = peer::unpack_cancellation_notice(f->payload);
-                if (!cancelled) {
-                    link->close();
-                    break;
-                }
-                receive_cancellations(*cancelled);
-            } else if (f->kind == peer::FrameKind::kRelay) {
-                if (scope_.size() <= most_routines_)
-                    scope_.spawn(answer_relay(link, f->id, f->incarnation, std::move(f->payload)),
-                                 "relayed report");
-            } else if (f->payload.size() >= sizeof(peer::RelayAnswerHeader)) {
-                // The answer to an earlier process's relay would give one worker another's commands.
-                auto it = f->incarnation == incarnation_ ? calls_.find(f->id) : calls_.end();
-                if (it == calls_.end()) continue;  // or too late
-                peer::RelayAnswerHeader h{};
-                std::memcpy(&h, f->payload.data(), sizeof h);
-                it->second->answer =
-                    Response{h.status, f->payload.substr(sizeof h), 0, "application/msgpack"};
-                it->second->done.notify();
+        while (auto frame = reader.next()) {
+            if (handle_frame(link, std::move(*frame)) == FrameOutcome::kMalformed) {
+                link->close();
+                break;
             }
         }
         if (reader.malformed()) {
@@ -262,33 +111,69 @@
     link->close();
 }
 
-Task<void> Peers::answer_relay(std::shared_ptr<Link> link, uint32_t id, uint64_t incarnation,
-                               std::string body) {
-    Response r = co_await relay_(std::move(body));
-    peer::RelayAnswerHeader h{static_cast<uint16_t>(r.status)};
-    std::string payload(reinterpret_cast<const char*>(&h), sizeof h);
-    payload += r.body;
-    send(*link, peer::pack_frame(peer::FrameKind::kRelayAnswer, id, incarnation, payload));
+Peers::FrameOutcome Peers::handle_frame(const std::shared_ptr<PeerLink>& link, Frame frame) {
+    switch (frame.kind) {
+        case FrameKind::kHeartbeat:
+        case FrameKind::kHeartbeatAnswer:
+            return handle_heartbeat(*link, frame);
+        case FrameKind::kCancellationNotice:
+            return handle_cancellation_notice(frame);
+        case FrameKind::kRelay:
+            relay_server_.handle(link, std::move(frame));
+            return FrameOutcome::kHandled;
+        case FrameKind::kRelayAnswer:
+            relay_client_.receive_answer(frame);
+            return FrameOutcome::kHandled;
+    }
+    return FrameOutcome::kMalformed;  // not reached: FrameReader refuses unknown kinds
+}
+
+Peers::FrameOutcome Peers::handle_heartbeat(PeerLink& link, const Frame& frame) {
+    const auto heartbeat = unpack_heartbeat(frame.payload);
+    if (!heartbeat) return FrameOutcome::kMalformed;
+    update_status(frame, *heartbeat);
+    if (frame.kind == FrameKind::kHeartbeatAnswer) return FrameOutcome::kHandled;
+    if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_, incarnation_);
+    const auto answer = make_heartbeat(heartbeat->request_sent_us);
+    link.send(pack_frame(FrameKind::kHeartbeatAnswer, frame.id, frame.incarnation, answer));
+    return FrameOutcome::kHandled;
+}
+
+Peers::FrameOutcome Peers::handle_cancellation_notice(const Frame& frame) {
+    const auto notice = unpack_cancellation_notice(frame.payload);
+    if (!notice) return FrameOutcome::kMalformed;
+    for (auto& status : statuses_)
+        for (const auto& job : status.receive_cancellations(*notice)) delegate_.cancellation_announced(job);
+    return FrameOutcome::kHandled;
+}
+
+void Peers::update_status(const Frame& frame, const ControllerHeartbeat& heartbeat) {
+    const bool is_answer = frame.kind == FrameKind::kHeartbeatAnswer;
+    // Answers to an earlier process of this controller, or to no heartbeat at all, do not count.
+    if (is_answer && (frame.incarnation != incarnation_ || frame.id >= next_heartbeat_id_)) return;
+    const std::string label = label_of(heartbeat);
+    for (auto& status : statuses_) {
+        if (status.label() != label) continue;
+        if (is_answer)
+            status.receive_answer(frame.id, heartbeat, loop_.now());
+        else
+            status.receive_heartbeat(frame.id, heartbeat, loop_.now());
+    }
+}
+
+std::shared_ptr<PeerLink> Peers::make_link(std::unique_ptr<Stream> stream) {
+    return std::make_shared<PeerLink>(loop_, std::move(stream), outbox_limit_);
 }
 
-Task<std::optional<Response>> Peers::relay(std::string label, std::string body) {
-    for (size_t i = 0; i < peers_.size(); ++i) {
-        if (peers_[i].who.label != label || !links_[i] || !links_[i]->open) continue;
-        uint32_t id = next_call_++;
-        auto call = std::make_shared<Call>(loop_);
-        calls_[id] = call;
-        struct Forget {
-            std::unordered_map<uint32_t, std::shared_ptr<Call>>& calls;
-            uint32_t id;
-            ~Forget() { calls.erase(id); }
-        } forget{calls_, id};
-        send(*links_[i], peer::pack_frame(peer::FrameKind::kRelay, id, incarnation_, body));
-        Seconds until = loop_.now() + constants::kRelay_s;
-        while (!call->answer)
-            if (co_await loop_.wait(call->done, until) == Wake::kTimeout) break;
-        co_return call->answer;
+ControllerHeartbeat Peers::make_heartbeat(uint64_t request_sent_us) const {
+    ControllerHeartbeat heartbeat = delegate_.heartbeat();
+    heartbeat.incarnation = incarnation_;
+    heartbeat.request_sent_us = request_sent_us;
+    if (has_extension(heartbeat)) {
+        heartbeat.record_format = kAnnouncedRecordFormat;
+        heartbeat.cancellations_announced = announcements_.count();
     }
-    co_return std::nullopt;
+    return heartbeat;
 }
 
-}  // namespace hareshore
+}  // namespace hareshore::peer
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -1,91 +1,70 @@
-// The other controllers: heartbeats, the cancellations that were told to users, and reports relayed for
-// workers that cannot reach the leader.
+// The connections to the other controllers. Each controller dials every peer and accepts what peers dial;
+// heartbeats, cancellation notices and relayed worker heartbeats travel on them.
 #pragma once
-#include <deque>
-#include <functional>
-#include <set>
-#include <unordered_map>
+#include <memory>
+#include <span>
+#include <string>
+#include <vector>
 
 #include "config/config.h"
-#include "http/message.h"
+#include "peer/cancellation_announcements.h"
 #include "peer/frames.h"
+#include "peer/peer_delegate.h"
+#include "peer/peer_link.h"
+#include "peer/peer_status.h"
+#include "peer/relay_client.h"
+#include "peer/relay_server.h"
 
-namespace hareshore {
+namespace hareshore::peer {
 
+// Wires the parts of this folder together. `loop`, `config` and `delegate` must outlive it; after stop() the
+// loop must unwind its routines before it is destroyed.
 class Peers {
   public:
-    using HeartbeatSource = std::function<peer::ControllerHeartbeat()>;
-    using RelayHandler = std::function<Task<Response>(std::string)>;
-    // A peer has told a user that this job is cancelled.
-    using CancellationHandler = std::function<void(const std::string&)>;
-
-    Peers(Loop& loop, const Config& config, HeartbeatSource heartbeat, RelayHandler relay,
-          CancellationHandler cancelled);
-
-    struct Peer {
-        PeerAddress who;
-        Seconds heard = -1e9;      // when it last said anything
-        Seconds answered = -1e9;   // when the heartbeat that it answered last was sent
-        Seconds answer_at = -1e9;  // and when that answer came
-        peer::ControllerHeartbeat heartbeat{};
-        uint64_t incarnation = 0;     // of its process
-        uint32_t last_heartbeat = 0;  // the newest heartbeat of that incarnation
-        uint32_t last_answer = 0;     // the newest of our heartbeats that it answered
-
-        // What its answers say of cancellations. The heartbeats that come by themselves say the same, but
-        // their age is not known, and they overtake what is sent ahead of an answer.
-        Seconds no_cancellation_since = 1e18;  // it has told nobody of one from then to the answer
-        uint64_t announced_incarnation = 0;  // of its process at the last answer; `incarnation` may be newer
-        uint32_t cancellations_known =
-            0;  // how many of those that its process told of we know, or need not know
-        Seconds complete_since = 1e18;  // we know of all that it told of from then to the answer
-        uint8_t record_format =
-            0;  // the newest format that it ever said it knows: nobody goes back to an older
-        // Whether all that it told of from `since` to its last answer is known here.
-        bool covers_since(Seconds since) const {
-            return std::min(no_cancellation_since, complete_since) <= since;
-        }
-    };
-    const std::vector<Peer>& peers() const { return peers_; }
-    // Passes a worker's report to a peer; nothing if it did not answer in time.
-    Task<std::optional<Response>> relay(std::string label, std::string body);
-    // Before a user is told that the job is cancelled: the peers will be told, too.
-    void announce_cancellation(const std::string& id);
-    Signal& news() { return news_; }  // a heartbeat came
+    // Listens and dials at once. Throws std::system_error if the address cannot be listened on.
+    Peers(Loop& loop, const Config& config, PeerDelegate& delegate);
+    // Cancels all routines.
     void stop() { scope_.cancel(); }
 
+    // One for each peer of the configuration, in its order.
+    std::span<const PeerStatus> statuses() const { return statuses_; }
+    // Relays the body of a worker's heartbeat to the peer with this label.
+    [[nodiscard]] Task<RelayResult> relay(const std::string& label, std::string body);
+    // To be called before a user is told that the job is cancelled: the peers will be told as well.
+    void announce_cancellation(const std::string& job) { announcements_.add(job); }
+
   private:
-    struct Link;
-    struct Call;
-    Task<void> dial(size_t peer);
-    Task<void> accept_all();
+    Task<void> accept_connections();
     Task<void> serve(int fd);
-    Task<void> read_all(std::shared_ptr<Link> link);
-    Task<void> write_all(std::shared_ptr<Link> link);
-    Task<void> answer_relay(std::shared_ptr<Link> link, uint32_t id, uint64_t incarnation, std::string body);
-    void heard(const peer::Frame& frame, const peer::ControllerHeartbeat& heartbeat);
-    peer::ControllerHeartbeat heartbeat_now();
-    void send_cancellations(Link& link);
-    void receive_cancellations(const peer::CancellationNotice& w);
-    void send(Link& link, const std::string& frame) const;
+    Task<void> dial(size_t peer);
+    Task<void> send_heartbeats(std::shared_ptr<PeerLink> link);
+    Task<void> read_frames(std::shared_ptr<PeerLink> link);
+
+    // Whether a frame's payload was well-formed; if not, the connection must be closed.
+    enum class FrameOutcome : uint8_t { kHandled, kMalformed };
+    FrameOutcome handle_frame(const std::shared_ptr<PeerLink>& link, Frame frame);
+    FrameOutcome handle_heartbeat(PeerLink& link, const Frame& frame);
+    FrameOutcome handle_cancellation_notice(const Frame& frame);
+    void update_status(const Frame& frame, const ControllerHeartbeat& heartbeat);
+
+    std::shared_ptr<PeerLink> make_link(std::unique_ptr<Stream> stream);
+    // This controller's heartbeat, or its answer to the one sent at `request_sent_us` on the requester's
+    // clock.
+    ControllerHeartbeat make_heartbeat(uint64_t request_sent_us) const;
 
     Loop& loop_;
-    HeartbeatSource heartbeat_;
-    RelayHandler relay_;
-    CancellationHandler on_cancellation_;
-    std::deque<std::string> announced_;    // the last jobs that users were told are cancelled
-    std::set<std::string> announced_ids_;  // the same
-    uint32_t announced_count_ = 0;         // of all, also those that announced_ has no more
-    std::vector<Peer> peers_;
-    std::vector<std::shared_ptr<Link>> links_;
-    std::unordered_map<uint32_t, std::shared_ptr<Call>> calls_;
-    uint32_t next_call_ = 1, next_heartbeat_ = 1;
-    const uint64_t incarnation_;
-    const size_t most_routines_;
-    const size_t most_outbox_;  // bytes waiting on a link
-    Signal news_;
+    PeerDelegate& delegate_;
+    const uint64_t incarnation_;  // of this process
+    const size_t routine_limit_;  // connections and relays that are served at once
+    const size_t outbox_limit_;   // bytes that may wait on each link
+    std::vector<PeerStatus> statuses_;
+    std::vector<std::shared_ptr<PeerLink>> dialed_links_;  // by index in statuses_; null while not connected
+    uint32_t next_heartbeat_id_ = 1;
+    CancellationAnnouncements announcements_;
     File listener_;
     Scope scope_;
+    RelayClient relay_client_;
+    RelayServer relay_server_;
 };
 
-}  // namespace hareshore
+}  // namespace hareshore::peer
--- /dev/null
+++ b/src/peer/relay_client.h
@@ -0,0 +1,42 @@
+// Relays workers' heartbeats to the leader through a peer connection: the requesting side.
+#pragma once
+#include <memory>
+#include <optional>
+#include <string>
+#include <tl/expected.hpp>
+#include <unordered_map>
+
+#include "peer/frames.h"
+#include "peer/peer_link.h"
+
+namespace hareshore::peer {
+
+// Why a relay has no answer. The leader may have handled the heartbeat all the same after kTimedOut.
+enum class RelayError : uint8_t { kNotConnected, kTimedOut };
+using RelayResult = tl::expected<RelayAnswer, RelayError>;
+
+class RelayClient {
+  public:
+    // `incarnation` is that of this process.
+    RelayClient(Loop& loop, uint64_t incarnation) : loop_(loop), incarnation_(incarnation) {}
+
+    // Sends the body of a worker's heartbeat and waits up to kRelay_s for the answer. `link` may be null or
+    // closed: then the result is kNotConnected. The client must outlive the task.
+    [[nodiscard]] Task<RelayResult> relay(std::shared_ptr<PeerLink> link, std::string body);
+    // Takes in a frame of kind kRelayAnswer. Ignored if it is malformed or belongs to no pending relay.
+    void receive_answer(const Frame& frame);
+
+  private:
+    struct PendingRelay {
+        explicit PendingRelay(Loop& loop) : answered(loop) {}
+        std::optional<RelayAnswer> answer;
+        Signal answered;
+    };
+
+    Loop& loop_;
+    uint64_t incarnation_;
+    uint32_t next_id_ = 1;
+    std::unordered_map<uint32_t, PendingRelay*> pending_;  // each owned by its relay()
+};
+
+}  // namespace hareshore::peer
--- /dev/null
+++ b/src/peer/relay_server.cc
@@ -0,0 +1,16 @@
+#include "peer/relay_server.h"
+
+namespace hareshore::peer {
+
+void RelayServer::handle(std::shared_ptr<PeerLink> link, Frame frame) {
+    if (scope_.size() > routine_limit_) return;
+    scope_.spawn(answer(std::move(link), std::move(frame)), "relay answer");
+}
+
+Task<void> RelayServer::answer(std::shared_ptr<PeerLink> link, Frame frame) {
+    const Response response = co_await delegate_.handle_relayed_heartbeat(std::move(frame.payload));
+    const std::string payload = pack_relay_answer(static_cast<uint16_t>(response.status), response.body);
+    link->send(pack_frame(FrameKind::kRelayAnswer, frame.id, frame.incarnation, payload));
+}
+
+}  // namespace hareshore::peer
