--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -4,10 +4,12 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
 #include "controller/endpoint_wire.h"
 #include "controller/http_responses.h"
 #include "controller/resignation.h"
 #include "controller/resource_limits.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
@@ -69,7 +71,7 @@
         election_.leading() ? election_.fencing_token() : election_.known_fencing_token();
     heartbeat.ready = readiness() == Readiness::kReady;
     heartbeat.worker_heartbeats_received = static_cast<uint16_t>(worker_heartbeats_.count(loop_.now()));
-    const auto store_contact = last_store_contact();
+    const auto store_contact = store_.last_contact();
     heartbeat.store_age_ms = store_contact ? milliseconds_since(*store_contact) : peer::kNeverServed;
     heartbeat.since_last_cancellation_ms = milliseconds_since(users_.last_cancellation());
     return heartbeat;
@@ -80,15 +82,10 @@
     return static_cast<uint32_t>(std::clamp((loop_.now() - time) * 1000, 0.0, kMost));
 }
 
-std::optional<Seconds> Controller::last_store_contact() const {
-    if (store_.last_contact() < 0) return std::nullopt;
-    return store_.last_contact();
-}
-
 Readiness Controller::readiness() const {
     return decide_readiness({.now = loop_.now(),
                              .started_at = started_at_,
-                             .last_store_contact = last_store_contact(),
+                             .last_store_contact = store_.last_contact(),
                              .records_readable = !record_format_.newer(),
                              .machine_types_known = !machine_types_.empty(),
                              .peers = peers_.statuses()});
@@ -138,8 +135,7 @@
     while (machine_types_.empty()) {
         const GetResult stored = co_await store_.get(kMachineTypesKey, constants::kStateCall_s);
         if (stored.status == StoreStatus::kOk) {
-            if (auto types = Cloud::unpack_machine_types(stored.entry.data))
-                machine_types_ = std::move(*types);
+            if (auto types = decode_machine_types(stored.entry.data)) machine_types_ = std::move(*types);
         }
         if (!machine_types_.empty()) break;
         auto offered = co_await cloud_.machine_types();
@@ -190,9 +186,9 @@
 }
 
 Task<Response> Controller::handle_heartbeat(std::string body) {
-    auto heartbeat = WorkerHeartbeat::parse(body);
+    auto heartbeat = decode_heartbeat(body);
     if (!heartbeat) co_return empty_response(HttpStatus::kBadRequest);
-    const HeartbeatHeader header = heartbeat->head();  // the heartbeat itself goes to the leader
+    const HeartbeatHeader header = heartbeat->header();  // the heartbeat itself goes to the leader
     worker_heartbeats_.record(loop_.now());
     if (const auto leader = leader_runner_.leader()) {
         Response response =
@@ -201,17 +197,17 @@
         if (response.status == static_cast<int>(HttpStatus::kOk) || leads_still) co_return response;
     }
     const std::string& leader_label = election_.leader();
-    if (leader_label.empty() || leader_label == config_.label) co_return redirect_response_without_leader();
+    if (leader_label.empty() || leader_label == config_.label) co_return redirect_response(std::nullopt);
     if (router_.route(header, leader_label, loop_.now()) == HeartbeatRoute::kRedirect)
         co_return redirect_response(leader_label);
     auto answer = co_await peers_.relay(leader_label, std::move(body));
     if (!answer || answer->status != static_cast<int>(HttpStatus::kOk))
-        co_return redirect_response_without_leader();
+        co_return redirect_response(std::nullopt);
     co_return Response{.status = answer->status, .body = std::move(answer->body)};
 }
 
 Task<Response> Controller::handle_relayed_heartbeat(std::string body) {
-    auto heartbeat = WorkerHeartbeat::parse(body);
+    auto heartbeat = decode_heartbeat(body);
     const auto leader = leader_runner_.leader();
     if (!heartbeat || !leader) co_return empty_response(HttpStatus::kMisdirectedRequest);
     co_return co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kHoldRelayed_s, false);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "cloud/cloud.h"
+#include "cloud/cloud_client.h"
 #include "config/config.h"
 #include "controller/heartbeat_router.h"
 #include "controller/heartbeat_window.h"
@@ -62,7 +62,6 @@
     Task<Response> handle_heartbeat(std::string body);
     Response show_operator_page(OperatorPage page) const;
     Readiness readiness() const;
-    std::optional<Seconds> last_store_contact() const;
     // For the heartbeats to the peers: milliseconds since that time.
     uint32_t milliseconds_since(Seconds time) const;
 
@@ -70,7 +69,7 @@
     const Config& config_;
     const Seconds started_at_;
     StoreClient store_;
-    Cloud cloud_;
+    CloudClient cloud_;
     Election election_;
     std::vector<MachineType> machine_types_;  // empty until they are known
     RecordFormat record_format_;
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -6,7 +6,7 @@
 
 #include "base/clock.h"
 #include "controller/zone_partition.h"
-#include "workers/workers.h"
+#include "workers/worker_heartbeat.h"
 
 namespace hareshore {
 
--- a/src/controller/http_responses.cc
+++ b/src/controller/http_responses.cc
@@ -1,8 +1,9 @@
 #include "controller/http_responses.h"
 
+#include <string>
 #include <utility>
 
-#include "workers/workers.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
@@ -21,12 +22,8 @@
     return make_response(status, "");
 }
 
-Response redirect_response(const std::string& leader) {
-    return make_response(HttpStatus::kMisdirectedRequest, pack_redirect(leader));
-}
-
-Response redirect_response_without_leader() {
-    return make_response(HttpStatus::kMisdirectedRequest, pack_redirect(""));
+Response redirect_response(std::optional<std::string_view> leader) {
+    return make_response(HttpStatus::kMisdirectedRequest, encode_redirect(leader));
 }
 
 }  // namespace hareshore
--- a/src/controller/http_responses.h
+++ b/src/controller/http_responses.h
@@ -1,7 +1,8 @@
 // The answers that the controller itself gives, without the leader or the users' service.
 #pragma once
 #include <cstdint>
-#include <string>
+#include <optional>
+#include <string_view>
 
 #include "http/message.h"
 
@@ -17,9 +18,8 @@
 
 // An answer without a body.
 [[nodiscard]] Response empty_response(HttpStatus status);
-// Tells a worker that this controller does not lead, and which one does.
-[[nodiscard]] Response redirect_response(const std::string& leader);
-// Tells a worker that this controller does not lead and cannot tell which one it should send to.
-[[nodiscard]] Response redirect_response_without_leader();
+// Tells a worker that this controller does not lead, and which one does; nothing if it is not known or the
+// worker cannot reach it.
+[[nodiscard]] Response redirect_response(std::optional<std::string_view> leader);
 
 }  // namespace hareshore
--- a/src/controller/readiness.cc
+++ b/src/controller/readiness.cc
@@ -1,7 +1,5 @@
 #include "controller/readiness.h"
 
-#include <algorithm>
-
 #include "base/constants.h"
 
 namespace hareshore {
@@ -33,8 +31,7 @@
 
 Readiness decide_readiness(const ReadinessInput& input) {
     if (!input.records_readable) return Readiness::kRecordsUnreadable;
-    const Seconds served_until =
-        std::max(input.last_store_contact.value_or(input.started_at), input.started_at);
+    const Seconds served_until = input.last_store_contact.value_or(input.started_at);
     const Seconds unserved_for = input.now - served_until;
     if (!input.last_store_contact) {
         // Started in an outage. The machine types are not needed to tell users when to retry, and the load
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation, std::string_view payload) {
+std::string encode_frame(FrameKind kind, uint32_t id, uint64_t incarnation, std::string_view payload) {
     const FrameHeader header{
         kMagic,     kVersion, static_cast<uint16_t>(kind), id, static_cast<uint32_t>(payload.size()),
         incarnation};
@@ -61,9 +61,9 @@
     return frame.append(payload);
 }
 
-std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
-                       const ControllerHeartbeat& heartbeat) {
-    return pack_frame(kind, id, incarnation, bytes_of(heartbeat));
+std::string encode_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                         const ControllerHeartbeat& heartbeat) {
+    return encode_frame(kind, id, incarnation, bytes_of(heartbeat));
 }
 
 std::optional<Frame> FrameReader::next() {
@@ -82,7 +82,7 @@
     return frame;
 }
 
-std::optional<ControllerHeartbeat> unpack_heartbeat(std::string_view payload) {
+std::optional<ControllerHeartbeat> decode_controller_heartbeat(std::string_view payload) {
     if (payload.size() != sizeof(ControllerHeartbeat)) return std::nullopt;
     return take_layout<ControllerHeartbeat>(payload);
 }
@@ -107,7 +107,7 @@
     return has_extension(heartbeat) && heartbeat.record_format >= kAnnouncedRecordFormat;
 }
 
-std::string pack_cancellation_notice(const CancellationNotice& notice) {
+std::string encode_cancellation_notice(const CancellationNotice& notice) {
     const CancellationNoticeHeader header{notice.incarnation, notice.first_index,
                                           static_cast<uint16_t>(notice.jobs.size())};
     std::string payload(bytes_of(header));
@@ -115,7 +115,7 @@
     return payload;
 }
 
-std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload) {
+std::optional<CancellationNotice> decode_cancellation_notice(std::string_view payload) {
     const auto header = take_layout<CancellationNoticeHeader>(payload);
     if (!header) return std::nullopt;
     CancellationNotice notice{header->incarnation, header->first_index, {}};
@@ -128,13 +128,13 @@
     return notice;
 }
 
-std::string pack_relay_answer(uint16_t status, std::string_view body) {
+std::string encode_relay_answer(uint16_t status, std::string_view body) {
     const RelayAnswerHeader header{status};
     std::string payload(bytes_of(header));
     return payload.append(body);
 }
 
-std::optional<RelayAnswer> unpack_relay_answer(std::string_view payload) {
+std::optional<RelayAnswer> decode_relay_answer(std::string_view payload) {
     const auto header = take_layout<RelayAnswerHeader>(payload);
     if (!header) return std::nullopt;
     return RelayAnswer{header->status, std::string(payload)};
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -94,10 +94,10 @@
     std::string payload;
 };
 
-[[nodiscard]] std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
-                                     std::string_view payload);
-[[nodiscard]] std::string pack_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
-                                     const ControllerHeartbeat& heartbeat);
+[[nodiscard]] std::string encode_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                                       std::string_view payload);
+[[nodiscard]] std::string encode_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
+                                       const ControllerHeartbeat& heartbeat);
 
 // Cuts frames out of a byte stream. Once the stream is malformed it yields no more frames, and the connection
 // must be closed.
@@ -114,7 +114,7 @@
 };
 
 // Nothing if the payload has another size.
-[[nodiscard]] std::optional<ControllerHeartbeat> unpack_heartbeat(std::string_view payload);
+[[nodiscard]] std::optional<ControllerHeartbeat> decode_controller_heartbeat(std::string_view payload);
 
 // The sender's label.
 [[nodiscard]] std::string label_of(const ControllerHeartbeat& heartbeat);
@@ -134,9 +134,9 @@
 };
 
 // The payload of a kCancellationNotice frame.
-[[nodiscard]] std::string pack_cancellation_notice(const CancellationNotice& notice);
+[[nodiscard]] std::string encode_cancellation_notice(const CancellationNotice& notice);
 // Nothing if the payload is malformed.
-[[nodiscard]] std::optional<CancellationNotice> unpack_cancellation_notice(std::string_view payload);
+[[nodiscard]] std::optional<CancellationNotice> decode_cancellation_notice(std::string_view payload);
 
 // The answer to a relayed heartbeat.
 struct RelayAnswer {
@@ -145,8 +145,8 @@
 };
 
 // The payload of a kRelayAnswer frame.
-[[nodiscard]] std::string pack_relay_answer(uint16_t status, std::string_view body);
+[[nodiscard]] std::string encode_relay_answer(uint16_t status, std::string_view body);
 // Nothing if the payload is malformed.
-[[nodiscard]] std::optional<RelayAnswer> unpack_relay_answer(std::string_view payload);
+[[nodiscard]] std::optional<RelayAnswer> decode_relay_answer(std::string_view payload);
 
 }  // namespace hareshore::peer
--- a/src/peer/peer_link.cc
+++ b/src/peer/peer_link.cc
@@ -19,7 +19,7 @@
     const auto notice = announcements.notice_after(announcements_sent_);
     if (!notice) return;
     announcements_sent_ = announcements.count();
-    send(pack_frame(FrameKind::kCancellationNotice, 0, incarnation, pack_cancellation_notice(*notice)));
+    send(encode_frame(FrameKind::kCancellationNotice, 0, incarnation, encode_cancellation_notice(*notice)));
 }
 
 void PeerLink::close() {
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -86,7 +86,7 @@
 Task<void> Peers::send_heartbeats(std::shared_ptr<PeerLink> link) {
     while (link->is_open()) {
         const auto heartbeat = make_heartbeat(static_cast<uint64_t>(loop_.now() * 1e6));
-        link->send(pack_frame(FrameKind::kHeartbeat, next_heartbeat_id_++, incarnation_, heartbeat));
+        link->send(encode_frame(FrameKind::kHeartbeat, next_heartbeat_id_++, incarnation_, heartbeat));
         co_await loop_.sleep(constants::kHeartbeat_s);
     }
 }
@@ -129,18 +129,18 @@
 }
 
 Peers::FrameOutcome Peers::handle_heartbeat(PeerLink& link, const Frame& frame) {
-    const auto heartbeat = unpack_heartbeat(frame.payload);
+    const auto heartbeat = decode_controller_heartbeat(frame.payload);
     if (!heartbeat) return FrameOutcome::kMalformed;
     update_status(frame, *heartbeat);
     if (frame.kind == FrameKind::kHeartbeatAnswer) return FrameOutcome::kHandled;
     if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_, incarnation_);
     const auto answer = make_heartbeat(heartbeat->request_sent_us);
-    link.send(pack_frame(FrameKind::kHeartbeatAnswer, frame.id, frame.incarnation, answer));
+    link.send(encode_frame(FrameKind::kHeartbeatAnswer, frame.id, frame.incarnation, answer));
     return FrameOutcome::kHandled;
 }
 
 Peers::FrameOutcome Peers::handle_cancellation_notice(const Frame& frame) {
-    const auto notice = unpack_cancellation_notice(frame.payload);
+    const auto notice = decode_cancellation_notice(frame.payload);
     if (!notice) return FrameOutcome::kMalformed;
     for (auto& status : statuses_)
         for (const auto& job : status.receive_cancellations(*notice)) delegate_.cancellation_announced(job);
--- a/src/peer/relay_client.cc
+++ b/src/peer/relay_client.cc
@@ -15,7 +15,7 @@
         uint32_t id;
         ~RemovePending() { pending.erase(id); }
     } remove_pending{pending_, id};
-    link->send(pack_frame(FrameKind::kRelay, id, incarnation_, body));
+    link->send(encode_frame(FrameKind::kRelay, id, incarnation_, body));
     link.reset();  // while this waits, it does not keep a closed connection's socket
     const Seconds until = loop_.now() + constants::kRelay_s;
     while (!relay.answer)
@@ -29,7 +29,7 @@
     if (frame.incarnation != incarnation_) return;
     const auto found = pending_.find(frame.id);
     if (found == pending_.end()) return;  // its relay has timed out
-    auto answer = unpack_relay_answer(frame.payload);
+    auto answer = decode_relay_answer(frame.payload);
     if (!answer) return;
     found->second->answer = std::move(*answer);
     found->second->answered.notify();
--- /dev/null
+++ b/tests/controller/heartbeat_router_test.cc
@@ -0,0 +1,68 @@
+#include "controller/heartbeat_router.h"
+
+#include <gtest/gtest.h>
+
+using namespace hareshore;
+
+namespace {
+
+HeartbeatHeader heartbeat(const std::string& machine, uint64_t sequence) {
+    HeartbeatHeader header;
+    header.machine = machine;
+    header.zone = "zone-a";
+    header.incarnation = 1;
+    header.sequence = sequence;
+    return header;
+}
+
+}  // namespace
+
+TEST(HeartbeatRouter, RelaysAWorkerThatReturns) {
+    HeartbeatRouter router;
+    EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-1", 110), HeartbeatRoute::kRelay);
+    EXPECT_EQ(router.route(heartbeat("vm-2", 1), "node-1", 110), HeartbeatRoute::kRedirect);
+}
+
+TEST(HeartbeatRouter, RedirectsAWorkerThatWasAwayForLong) {
+    HeartbeatRouter router;
+    EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-1", 125), HeartbeatRoute::kRedirect);
+}
+
+TEST(HeartbeatRouter, RedirectsToANewLeader) {
+    HeartbeatRouter router;
+    EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-2", 105), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 3), "node-2", 110), HeartbeatRoute::kRelay);
+}
+
+TEST(HeartbeatRouter, DoesNotTakeALateCopyForAReturn) {
+    HeartbeatRouter router;
+    EXPECT_EQ(router.route(heartbeat("vm-1", 5), "node-1", 100), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 5), "node-1", 101), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 4), "node-1", 102), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", 6), "node-1", 103), HeartbeatRoute::kRelay);
+}
+
+TEST(HeartbeatRouter, RedirectsAgainAfterAWhileOfRelaying) {
+    HeartbeatRouter router;
+    uint64_t sequence = 0;
+    EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 100), HeartbeatRoute::kRedirect);
+    for (Seconds now = 105; now < 150; now += 5)
+        EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", now), HeartbeatRoute::kRelay) << now;
+    EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 150), HeartbeatRoute::kRedirect);
+    EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 155), HeartbeatRoute::kRelay);
+}
+
+TEST(HeartbeatRouter, RelaysTheOtherWorkersOfAPartitionedZoneAtOnce) {
+    HeartbeatRouter router;
+    for (const char* machine : {"vm-1", "vm-2"}) {
+        EXPECT_EQ(router.route(heartbeat(machine, 1), "node-1", 100), HeartbeatRoute::kRedirect);
+        EXPECT_EQ(router.route(heartbeat(machine, 2), "node-1", 105), HeartbeatRoute::kRelay);
+    }
+    EXPECT_EQ(router.route(heartbeat("vm-3", 1), "node-1", 106), HeartbeatRoute::kRelay);
+    HeartbeatHeader elsewhere = heartbeat("vm-4", 1);
+    elsewhere.zone = "zone-b";
+    EXPECT_EQ(router.route(elsewhere, "node-1", 106), HeartbeatRoute::kRedirect);
+}
