--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -43,12 +43,12 @@
                      machine_types_),
       server_(loop, config.listen, connection_limit(config),
               [this](Request request) { return handle(std::move(request)); }),
-      scope_(loop) {
+      tasks_(loop) {
     // Urgent: if these were late, the leadership would change, and all that waits would wait longer.
-    scope_.spawn(election_.run(), "election", Priority::kUrgent);
-    scope_.spawn(follow_election(), "leadership", Priority::kUrgent);
-    scope_.spawn(load_machine_types(), "machine types");
-    scope_.spawn(follow_record_format(), "record format");
+    tasks_.spawn(election_.run(), "election", Priority::kUrgent);
+    tasks_.spawn(follow_election(), "leadership", Priority::kUrgent);
+    tasks_.spawn(load_machine_types(), "machine types");
+    tasks_.spawn(follow_record_format(), "record format");
 }
 
 Controller::~Controller() {
@@ -57,7 +57,7 @@
 
 void Controller::stop() {
     leader_runner_.stop();
-    scope_.cancel();
+    tasks_.cancel();
     server_.stop();
     users_.stop();
     peers_.stop();
@@ -99,7 +99,7 @@
 
 Task<void> Controller::follow_election() {
     while (true) {
-        co_await loop_.wait(election_.changed(), loop_.now() + constants::kHeartbeat_s);
+        co_await loop_.wait(election_.changed(), loop_.now() + constants::kPeerHeartbeatInterval_s);
         report_peers_to_election();
         resign_if_isolated();
         leader_runner_.follow_election();
@@ -126,21 +126,21 @@
                                                  .peers = peers_.statuses()});
     if (!resignation) return;
     log::info("resigning", {{"reason", "no_worker_reaches_this_node"}, {"peer", resignation->peer}});
-    election_.resign(constants::kResignStandDown_s);
+    election_.resign(constants::kResignNoCandidacy_s);
 }
 
 Task<void> Controller::load_machine_types() {
     // What an earlier leader stored is at hand sooner than the cloud's answer, and also while the cloud is
     // away. Later changes of prices concern only the leader, which reads them itself.
     while (machine_types_.empty()) {
-        const GetResult stored = co_await store_.get(kMachineTypesKey, constants::kStateCall_s);
+        const GetResult stored = co_await store_.get(kMachineTypesKey, constants::kStoreCallTimeout_s);
         if (stored.status == StoreStatus::kOk) {
             if (auto types = decode_machine_types(stored.entry.data)) machine_types_ = std::move(*types);
         }
         if (!machine_types_.empty()) break;
         auto offered = co_await cloud_.machine_types();
         if (offered) machine_types_ = std::move(*offered);
-        if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryPauseMax_s / 2);
+        if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryBackoffMax_s / 2);
     }
 }
 
@@ -148,7 +148,8 @@
     // Until the newest format is in force; no version goes back after that.
     while (record_format_.kept < kNewestRecordFormat) {
         co_await learn_record_format(store_, record_format_);
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.kept < kNewestRecordFormat)
+            co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     if (record_format_.newer()) election_.stop_standing();
 }
@@ -192,7 +193,7 @@
     worker_heartbeats_.record(loop_.now());
     if (const auto leader = leader_runner_.leader()) {
         Response response =
-            co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kHoldHeartbeat_s, true);
+            co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kIdleHeartbeatHold_s, true);
         const bool leads_still = leader_runner_.leader() == leader && election_.leading();
         if (response.status == static_cast<int>(HttpStatus::kOk) || leads_still) co_return response;
     }
@@ -210,7 +211,8 @@
     auto heartbeat = decode_heartbeat(body);
     const auto leader = leader_runner_.leader();
     if (!heartbeat || !leader) co_return empty_response(HttpStatus::kMisdirectedRequest);
-    co_return co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kHoldRelayed_s, false);
+    co_return co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kRelayedHeartbeatHold_s,
+                                                false);
 }
 
 }  // namespace hareshore
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -20,7 +20,7 @@
 #include "leader/election.h"
 #include "peer/peers.h"
 #include "state/store_client.h"
-#include "users/service.h"
+#include "users/user_service.h"
 
 namespace hareshore {
 
@@ -49,7 +49,7 @@
     [[nodiscard]] Task<Response> handle_relayed_heartbeat(std::string body) override;
     void cancellation_announced(const std::string& job) override { observe_cancellation(job); }
 
-    // Coroutines of scope_; they end when it is cancelled.
+    // Coroutines of tasks_; they end when it is cancelled.
     Task<void> follow_election();
     Task<void> load_machine_types();
     Task<void> follow_record_format();
@@ -79,7 +79,7 @@
     peer::Peers peers_;
     LeaderRunner leader_runner_;
     HttpServer server_;
-    Scope scope_;
+    TaskGroup tasks_;
 };
 
 }  // namespace hareshore
--- a/src/controller/heartbeat_router.cc
+++ b/src/controller/heartbeat_router.cc
@@ -9,7 +9,8 @@
     if (workers_.size() > constants::kRedirectionsKept) workers_.clear();
     WorkerState& worker = workers_[heartbeat.machine];
     const bool is_new = heartbeat.newer_than(worker.incarnation, worker.sequence);
-    const bool was_sent_there = worker.leader == leader && now - worker.routed_at < constants::kRelayAfter_s;
+    const bool was_sent_there =
+        worker.leader == leader && now - worker.routed_at < constants::kRelayAfterRedirection_s;
     const bool returned = is_new && was_sent_there;
     if (is_new) {
         worker.incarnation = heartbeat.incarnation;
@@ -21,7 +22,7 @@
     // Other workers of a partitioned zone are relayed without being redirected first.
     const bool unreachable = returned || (is_new && partitions_.is_partitioned(heartbeat.zone, now));
     const bool relayed_long_enough =
-        worker.relayed_since && now - *worker.relayed_since >= constants::kRelayFor_s;
+        worker.relayed_since && now - *worker.relayed_since >= constants::kRelayPeriod_s;
     const bool relay = unreachable && !relayed_long_enough;
     if (!relay) {
         worker.relayed_since.reset();
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -15,7 +15,7 @@
     kRelay,     // the worker cannot reach the leader: this controller sends the heartbeat on
 };
 
-// Remembers where workers were sent. A worker that was redirected and returns is relayed for kRelayFor_s,
+// Remembers where workers were sent. A worker that was redirected and returns is relayed for kRelayPeriod_s,
 // then redirected again to find out whether the cut is over.
 class HeartbeatRouter {
   public:
--- a/src/controller/heartbeat_window.cc
+++ b/src/controller/heartbeat_window.cc
@@ -8,13 +8,14 @@
 
 void HeartbeatWindow::record(Seconds now) {
     times_.push_back(now);
-    while (times_.size() > constants::kRedirectionsKept || now - times_.front() > constants::kReportWindow_s)
+    while (times_.size() > constants::kRedirectionsKept ||
+           now - times_.front() > constants::kHeartbeatCountWindow_s)
         times_.pop_front();
 }
 
 size_t HeartbeatWindow::count(Seconds now) const {
     const auto recent = std::count_if(times_.begin(), times_.end(), [now](Seconds time) {
-        return now - time < constants::kReportWindow_s;
+        return now - time < constants::kHeartbeatCountWindow_s;
     });
     return static_cast<size_t>(recent);
 }
--- a/src/controller/heartbeat_window.h
+++ b/src/controller/heartbeat_window.h
@@ -8,11 +8,11 @@
 
 namespace hareshore {
 
-// Keeps the times of the last kReportWindow_s, at most kRedirectionsKept of them.
+// Keeps the times of the last kHeartbeatCountWindow_s, at most kRedirectionsKept of them.
 class HeartbeatWindow {
   public:
     void record(Seconds now);
-    // How many were recorded in the last kReportWindow_s.
+    // How many were recorded in the last kHeartbeatCountWindow_s.
     [[nodiscard]] size_t count(Seconds now) const;
     // When the last one was recorded; nothing before the first.
     [[nodiscard]] std::optional<Seconds> last() const;
--- a/src/controller/leader_runner.h
+++ b/src/controller/leader_runner.h
@@ -22,7 +22,7 @@
     // Stops the Leader of a term that is over and starts that of a new one. To be called whenever the
     // election changes.
     void follow_election();
-    // Stops the Leader, if there is one; it is kept until its routines have unwound.
+    // Stops the Leader, if there is one; it is kept until its coroutines have unwound.
     void stop();
     // Null while this controller does not lead.
     const std::shared_ptr<Leader>& leader() const { return leader_; }
--- a/src/controller/peer_confirmations.cc
+++ b/src/controller/peer_confirmations.cc
@@ -19,7 +19,7 @@
 bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token, Seconds now) {
     return std::all_of(peers.begin(), peers.end(), [&](const peer::PeerStatus& peer) {
         const auto answered_at = peer.answered_request_sent_at();
-        return answered_at && now - *answered_at < constants::kHeartbeatFresh_s &&
+        return answered_at && now - *answered_at < constants::kPeerHeartbeatTimeout_s &&
                peer.last_heartbeat().fencing_token <= fencing_token;
     });
 }
--- a/src/controller/peer_confirmations.h
+++ b/src/controller/peer_confirmations.h
@@ -13,7 +13,7 @@
 [[nodiscard]] Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since,
                                                 Seconds now);
 
-// Whether every peer has answered a heartbeat sent less than kHeartbeatFresh_s ago, and none has seen a
+// Whether every peer has answered a heartbeat sent less than kPeerHeartbeatTimeout_s ago, and none has seen a
 // higher fencing token than `fencing_token`: then no other leader can exist.
 [[nodiscard]] bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token,
                                    Seconds now);
--- a/src/controller/readiness.cc
+++ b/src/controller/readiness.cc
@@ -10,7 +10,7 @@
 // as refused.
 bool is_served_by_store(const peer::PeerStatus& peer) {
     const auto age = peer.store_age();
-    return peer.last_heartbeat().ready && age && *age < constants::kStoreRefused_s / 2;
+    return peer.last_heartbeat().ready && age && *age < constants::kUnreadyAfterStoreRefusal_s / 2;
 }
 
 // Whether this controller may serve users while the store does not answer it.
@@ -23,7 +23,7 @@
     }
     // In an outage for all, users are better answered than turned away. Without any peer, this controller is
     // more likely cut off than all of them are down: users who stay with it would wait until the cut ends.
-    const bool isolated = !any_peer_present && unserved_for >= constants::kIsolated_s;
+    const bool isolated = !any_peer_present && unserved_for >= constants::kUnreadyAfterIsolation_s;
     return isolated ? Readiness::kIsolated : Readiness::kReady;
 }
 
@@ -37,11 +37,11 @@
         // Started in an outage. The machine types are not needed to tell users when to retry, and the load
         // balancer need not find this controller anew when the outage ends. But the peers must have had time
         // to report whether they are served.
-        if (unserved_for < 2 * constants::kHeartbeat_s) return Readiness::kStarting;
+        if (unserved_for < 2 * constants::kPeerHeartbeatInterval_s) return Readiness::kStarting;
         return decide_without_store(input, unserved_for);
     }
     if (!input.machine_types_known) return Readiness::kStarting;
-    if (unserved_for < constants::kStoreRefused_s) return Readiness::kReady;
+    if (unserved_for < constants::kUnreadyAfterStoreRefusal_s) return Readiness::kReady;
     return decide_without_store(input, unserved_for);
 }
 
--- a/src/controller/resource_limits.cc
+++ b/src/controller/resource_limits.cc
@@ -14,14 +14,14 @@
 }  // namespace
 
 size_t connection_limit(const Config& config) {
-    const double share = 1 - constants::kSocketReserve;
+    const double share = 1 - constants::kReservedSocketShare;
     return static_cast<size_t>(static_cast<double>(config.sockets) * share) - kDescriptorsOfTheProcess;
 }
 
 size_t answer_limit(const Config& config) {
-    if (config.ram_bytes == 0) return constants::kAnswerLimit;
-    return std::clamp(config.ram_bytes / constants::kAnswerShare, constants::kAnswerLeast,
-                      constants::kAnswerLimit);
+    if (config.ram_bytes == 0) return constants::kResponseLimit;
+    return std::clamp(config.ram_bytes / constants::kResponseMemoryDivisor, constants::kSmallestResponseLimit,
+                      constants::kResponseLimit);
 }
 
 }  // namespace hareshore
--- a/src/controller/zone_partition.cc
+++ b/src/controller/zone_partition.cc
@@ -22,7 +22,7 @@
     // zone would cost the square of their number.
     size_t recent = 0;
     for (auto it = returns.begin(); it != returns.end() && recent < constants::kPartitionWitnesses;) {
-        const bool outdated = now - it->second > constants::kRelayAfter_s;
+        const bool outdated = now - it->second > constants::kRelayAfterRedirection_s;
         if (!outdated) ++recent;
         it = outdated ? returns.erase(it) : std::next(it);
     }
--- a/src/controller/zone_partition.h
+++ b/src/controller/zone_partition.h
@@ -8,7 +8,8 @@
 namespace hareshore {
 
 // A worker that was redirected to the leader and returns could not reach it. One such worker may be at fault
-// itself; kPartitionWitnesses of a zone within kRelayAfter_s show that its other workers are cut off, too.
+// itself; kPartitionWitnesses of a zone within kRelayAfterRedirection_s show that its other workers are cut
+// off, too.
 class ZonePartitionDetector {
   public:
     void record_returned_worker(const std::string& zone, const std::string& machine, Seconds now);
--- a/src/peer/cancellation_announcements.cc
+++ b/src/peer/cancellation_announcements.cc
@@ -10,7 +10,7 @@
     if (!known_jobs_.insert(job).second) return;
     jobs_.push_back(job);
     ++count_;
-    if (jobs_.size() > constants::kAnnouncementsKept) {
+    if (jobs_.size() > constants::kCancellationAnnouncementsKept) {
         known_jobs_.erase(jobs_.front());
         jobs_.pop_front();
     }
--- a/src/peer/cancellation_announcements.h
+++ b/src/peer/cancellation_announcements.h
@@ -9,7 +9,8 @@
 
 namespace hareshore::peer {
 
-// Numbers them in the order in which they were confirmed and keeps the last kAnnouncementsKept of them.
+// Numbers them in the order in which they were confirmed and keeps the last kCancellationAnnouncementsKept of
+// them.
 class CancellationAnnouncements {
   public:
     // `incarnation` is that of this process.
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -48,7 +48,7 @@
     const bool known_kind = header.kind >= static_cast<uint16_t>(FrameKind::kHeartbeat) &&
                             header.kind <= static_cast<uint16_t>(FrameKind::kCancellationNotice);
     return header.magic == kMagic && header.version == kVersion && known_kind &&
-           header.length <= constants::kFrameLimit;
+           header.length <= constants::kPeerFrameLimit;
 }
 
 }  // namespace
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -60,7 +60,7 @@
     uint64_t fencing_token;               // the highest that the sender has seen
     uint8_t leads;                        // whether the sender is the leader with that fencing token
     uint8_t ready;                        // whether the sender takes users' requests
-    uint16_t worker_heartbeats_received;  // directly from workers, in the last kReportWindow_s
+    uint16_t worker_heartbeats_received;  // directly from workers, in the last kHeartbeatCountWindow_s
     uint32_t store_age_ms;                // since the store last answered the sender, or kNeverServed
     uint32_t since_last_cancellation_ms;  // since the sender last confirmed a cancellation to a user, or
                                           // since it started
--- a/src/peer/peer_link.cc
+++ b/src/peer/peer_link.cc
@@ -28,7 +28,7 @@
 }
 
 Task<Stream::Read> PeerLink::read() {
-    return stream_->read(loop_.now() + constants::kHeartbeatFresh_s);
+    return stream_->read(loop_.now() + constants::kPeerHeartbeatTimeout_s);
 }
 
 Task<void> PeerLink::write_queued(std::shared_ptr<PeerLink> link) {
@@ -38,7 +38,7 @@
             continue;
         }
         const std::string bytes = std::exchange(link->outbox_, {});
-        const Seconds until = link->loop_.now() + constants::kHeartbeatFresh_s;
+        const Seconds until = link->loop_.now() + constants::kPeerHeartbeatTimeout_s;
         if (!co_await link->stream_->write(bytes, until)) link->close();
     }
 }
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -9,7 +9,7 @@
 
 namespace hareshore::peer {
 
-// Shared by the routines that read, write and answer on the connection; the last of them closes the socket.
+// Shared by the coroutines that read, write and answer on the connection; the last of them closes the socket.
 class PeerLink {
   public:
     // `outbox_limit`: bytes that may wait to be written.
@@ -22,11 +22,11 @@
     // Queues a notice of the announcements that this link was not sent before, if there are any.
     void send_new_announcements(const CancellationAnnouncements& announcements, uint64_t incarnation);
     bool is_open() const { return open_; }
-    // Ends the routines of this link at their next turn.
+    // Ends the coroutines of this link at their next turn.
     void close();
 
-    // The next bytes. The peer sends a heartbeat every second, so a silence of kHeartbeatFresh_s ends in a
-    // timeout.
+    // The next bytes. The peer sends a heartbeat every second, so a silence of kPeerHeartbeatTimeout_s ends
+    // in a timeout.
     [[nodiscard]] Task<Stream::Read> read();
     // Writes what is queued until the link is closed. Runs once for each link, and keeps it alive.
     static Task<void> write_queued(std::shared_ptr<PeerLink> link);
@@ -38,7 +38,7 @@
     std::string outbox_;
     uint32_t announcements_sent_ = 0;  // those that were no longer kept included
     bool open_ = true;
-    Signal outbox_changed_;  // or the link was closed
+    Condition outbox_changed_;  // or the link was closed
 };
 
 }  // namespace hareshore::peer
--- a/src/peer/peer_status.cc
+++ b/src/peer/peer_status.cc
@@ -9,7 +9,7 @@
 void PeerStatus::receive_heartbeat(uint32_t heartbeat_id, const ControllerHeartbeat& heartbeat, Seconds now) {
     if (heartbeat.incarnation == incarnation_) {
         if (heartbeat_id <= last_heartbeat_id_) return;
-    } else if (last_answer_at_ && now - *last_answer_at_ < constants::kHeartbeatFresh_s) {
+    } else if (last_answer_at_ && now - *last_answer_at_ < constants::kPeerHeartbeatTimeout_s) {
         // Another process than the one that answers: a late copy from one that has ended.
         return;
     }
@@ -37,7 +37,8 @@
 void PeerStatus::update_cancellations(const ControllerHeartbeat& answer, Seconds now) {
     // From this very answer: with the value of a later heartbeat, which answers no request, the answer would
     // seem to cover a longer time than it does.
-    none_confirmed_since_ = now - answer.since_last_cancellation_ms / 1000.0 * (1 - constants::kDrift);
+    none_confirmed_since_ =
+        now - answer.since_last_cancellation_ms / 1000.0 * (1 - constants::kClockDriftRate);
     if (!announces_cancellations(answer)) {
         all_received_since_.reset();
         return;
@@ -63,7 +64,7 @@
 }
 
 bool PeerStatus::is_present(Seconds now) const {
-    return last_received_at_ && now - *last_received_at_ < constants::kHeartbeatFresh_s;
+    return last_received_at_ && now - *last_received_at_ < constants::kPeerHeartbeatTimeout_s;
 }
 
 std::optional<Seconds> PeerStatus::store_age() const {
--- a/src/peer/peer_status.h
+++ b/src/peer/peer_status.h
@@ -38,7 +38,7 @@
     std::optional<Seconds> answered_request_sent_at() const { return answered_request_sent_at_; }
     // The newest record format that the peer has ever announced; no peer returns to an older version.
     uint8_t record_format() const { return record_format_; }
-    // Whether the peer was heard of less than kHeartbeatFresh_s ago.
+    // Whether the peer was heard of less than kPeerHeartbeatTimeout_s ago.
     [[nodiscard]] bool is_present(Seconds now) const;
     // How long before its last heartbeat the peer was served by the store; nothing if never.
     std::optional<Seconds> store_age() const;
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -23,18 +23,19 @@
     : loop_(loop),
       delegate_(delegate),
       incarnation_(draw_incarnation()),
-      routine_limit_(std::max(constants::kPeerRoutines, config.sockets)),
-      outbox_limit_(std::max(constants::kOutbox, config.sockets * constants::kOutboxPerSocket)),
+      task_limit_(std::max(constants::kMinConcurrentPeerRequests, config.sockets)),
+      outbox_limit_(std::max(constants::kMinPeerSendQueueBytes,
+                             config.sockets * constants::kPeerSendQueueBytesPerSocket)),
       statuses_(config.peers.begin(), config.peers.end()),
       dialed_links_(config.peers.size()),
       announcements_(incarnation_),
       listener_(loop, listen_on(config.peer_listen)),
-      scope_(loop),
+      tasks_(loop),
       relay_client_(loop, incarnation_),
-      relay_server_(delegate, scope_, routine_limit_) {
-    scope_.spawn(accept_connections(), "peer accept", Priority::kUrgent);
+      relay_server_(delegate, tasks_, task_limit_) {
+    tasks_.spawn(accept_connections(), "peer accept", Priority::kUrgent);
     for (size_t peer = 0; peer < statuses_.size(); ++peer)
-        scope_.spawn(dial(peer), "peer link", Priority::kUrgent);
+        tasks_.spawn(dial(peer), "peer link", Priority::kUrgent);
 }
 
 Task<RelayResult> Peers::relay(const std::string& label, std::string body) {
@@ -48,38 +49,38 @@
 
 Task<void> Peers::accept_connections() {
     while (true) {
-        const int fd = accept_from(listener_.fd());
-        if (fd == -1) {
+        const auto fd = accept_connection(listener_.fd());
+        if (!fd && fd.error() == AcceptError::kNoneWaiting) {
             co_await loop_.readable(listener_, -1);
-        } else if (fd == -2) {
-            co_await loop_.sleep(constants::kAcceptPause_s);
-        } else if (scope_.size() > routine_limit_) {
-            close(fd);
+        } else if (!fd) {
+            co_await loop_.sleep(constants::kAcceptRetryPause_s);
+        } else if (tasks_.size() > task_limit_) {
+            close(*fd);
         } else {
-            scope_.spawn(serve(fd), "peer connection", Priority::kUrgent);
+            tasks_.spawn(serve(*fd), "peer connection", Priority::kUrgent);
         }
     }
 }
 
 Task<void> Peers::serve(int fd) {
     const auto link = make_link(std::make_unique<Stream>(loop_, fd));
-    scope_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
+    tasks_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
     co_await read_frames(link);
 }
 
 Task<void> Peers::dial(size_t peer) {
     while (true) {
-        const Seconds until = loop_.now() + constants::kConnect_s;
+        const Seconds until = loop_.now() + constants::kConnectTimeout_s;
         auto stream = co_await connect_to(loop_, statuses_[peer].address().addr, until);
         if (stream) {
             const auto link = make_link(std::move(stream));
             dialed_links_[peer] = link;
-            scope_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
-            scope_.spawn(read_frames(link), "peer reader", Priority::kUrgent);
+            tasks_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
+            tasks_.spawn(read_frames(link), "peer reader", Priority::kUrgent);
             co_await send_heartbeats(link);
             dialed_links_[peer] = nullptr;
         }
-        co_await loop_.sleep(constants::kHeartbeat_s);
+        co_await loop_.sleep(constants::kPeerHeartbeatInterval_s);
     }
 }
 
@@ -87,7 +88,7 @@
     while (link->is_open()) {
         const auto heartbeat = make_heartbeat(static_cast<uint64_t>(loop_.now() * 1e6));
         link->send(encode_frame(FrameKind::kHeartbeat, next_heartbeat_id_++, incarnation_, heartbeat));
-        co_await loop_.sleep(constants::kHeartbeat_s);
+        co_await loop_.sleep(constants::kPeerHeartbeatInterval_s);
     }
 }
 
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -18,13 +18,13 @@
 namespace hareshore::peer {
 
 // Wires the parts of this folder together. `loop`, `config` and `delegate` must outlive it; after stop() the
-// loop must unwind its routines before it is destroyed.
+// loop must unwind its coroutines before it is destroyed.
 class Peers {
   public:
     // Listens and dials at once. Throws std::system_error if the address cannot be listened on.
     Peers(Loop& loop, const Config& config, PeerDelegate& delegate);
-    // Cancels all routines.
-    void stop() { scope_.cancel(); }
+    // Cancels all coroutines.
+    void stop() { tasks_.cancel(); }
 
     // One for each peer of the configuration, in its order.
     std::span<const PeerStatus> statuses() const { return statuses_; }
@@ -55,14 +55,14 @@
     Loop& loop_;
     PeerDelegate& delegate_;
     const uint64_t incarnation_;  // of this process
-    const size_t routine_limit_;  // connections and relays that are served at once
+    const size_t task_limit_;     // connections and relays that are served at once
     const size_t outbox_limit_;   // bytes that may wait on each link
     std::vector<PeerStatus> statuses_;
     std::vector<std::shared_ptr<PeerLink>> dialed_links_;  // by index in statuses_; null while not connected
     uint32_t next_heartbeat_id_ = 1;
     CancellationAnnouncements announcements_;
-    File listener_;
-    Scope scope_;
+    FileDescriptor listener_;
+    TaskGroup tasks_;
     RelayClient relay_client_;
     RelayServer relay_server_;
 };
--- a/src/peer/relay_client.cc
+++ b/src/peer/relay_client.cc
@@ -9,7 +9,7 @@
     const uint32_t id = next_id_++;
     PendingRelay relay(loop_);
     pending_[id] = &relay;
-    // Also when the routine is cancelled while it waits.
+    // Also when the coroutine is cancelled while it waits.
     struct RemovePending {
         std::unordered_map<uint32_t, PendingRelay*>& pending;
         uint32_t id;
@@ -17,9 +17,9 @@
     } remove_pending{pending_, id};
     link->send(encode_frame(FrameKind::kRelay, id, incarnation_, body));
     link.reset();  // while this waits, it does not keep a closed connection's socket
-    const Seconds until = loop_.now() + constants::kRelay_s;
+    const Seconds until = loop_.now() + constants::kRelayTimeout_s;
     while (!relay.answer)
-        if (co_await loop_.wait(relay.answered, until) == Wake::kTimeout) break;
+        if (co_await loop_.wait(relay.answered, until) == WakeReason::kTimeout) break;
     if (!relay.answer) co_return tl::unexpected(RelayError::kTimedOut);
     co_return std::move(*relay.answer);
 }
--- a/src/peer/relay_client.h
+++ b/src/peer/relay_client.h
@@ -20,8 +20,8 @@
     // `incarnation` is that of this process.
     RelayClient(Loop& loop, uint64_t incarnation) : loop_(loop), incarnation_(incarnation) {}
 
-    // Sends the body of a worker's heartbeat and waits up to kRelay_s for the answer. `link` may be null or
-    // closed: then the result is kNotConnected. The client must outlive the task.
+    // Sends the body of a worker's heartbeat and waits up to kRelayTimeout_s for the answer. `link` may be
+    // null or closed: then the result is kNotConnected. The client must outlive the task.
     [[nodiscard]] Task<RelayResult> relay(std::shared_ptr<PeerLink> link, std::string body);
     // Takes in a frame of kind kRelayAnswer. Ignored if it is malformed or belongs to no pending relay.
     void receive_answer(const Frame& frame);
@@ -30,7 +30,7 @@
     struct PendingRelay {
         explicit PendingRelay(Loop& loop) : answered(loop) {}
         std::optional<RelayAnswer> answer;
-        Signal answered;
+        Condition answered;
     };
 
     Loop& loop_;
--- a/src/peer/relay_server.cc
+++ b/src/peer/relay_server.cc
@@ -3,8 +3,8 @@
 namespace hareshore::peer {
 
 void RelayServer::handle(std::shared_ptr<PeerLink> link, Frame frame) {
-    if (scope_.size() > routine_limit_) return;
-    scope_.spawn(answer(std::move(link), std::move(frame)), "relay answer");
+    if (tasks_.size() > task_limit_) return;
+    tasks_.spawn(answer(std::move(link), std::move(frame)), "relay answer");
 }
 
 Task<void> RelayServer::answer(std::shared_ptr<PeerLink> link, Frame frame) {
--- a/src/peer/relay_server.h
+++ b/src/peer/relay_server.h
@@ -9,10 +9,10 @@
 
 class RelayServer {
   public:
-    // `scope` runs the answers and is shared with the connections; it and `delegate` must outlive the server.
-    // `routine_limit`: with more routines in the scope, relays are dropped and time out at their sender.
-    RelayServer(PeerDelegate& delegate, Scope& scope, size_t routine_limit)
-        : delegate_(delegate), scope_(scope), routine_limit_(routine_limit) {}
+    // `tasks` runs the answers and is shared with the connections; it and `delegate` must outlive the server.
+    // `task_limit`: while more tasks run than this, relays are dropped and time out at their sender.
+    RelayServer(PeerDelegate& delegate, TaskGroup& tasks, size_t task_limit)
+        : delegate_(delegate), tasks_(tasks), task_limit_(task_limit) {}
 
     // Starts to answer a frame of kind kRelay on the link that it came from.
     void handle(std::shared_ptr<PeerLink> link, Frame frame);
@@ -21,8 +21,8 @@
     Task<void> answer(std::shared_ptr<PeerLink> link, Frame frame);
 
     PeerDelegate& delegate_;
-    Scope& scope_;
-    size_t routine_limit_;
+    TaskGroup& tasks_;
+    size_t task_limit_;
 };
 
 }  // namespace hareshore::peer
--- a/src/workers/command.h
+++ b/src/workers/command.h
@@ -5,6 +5,7 @@
 
 #include "base/clock.h"
 #include "model/task_name.h"
+#include "workers/command.h"
 
 namespace hareshore {
 
--- a/src/workers/worker_wire.h
+++ b/src/workers/worker_wire.h
@@ -8,6 +8,7 @@
 
 #include "workers/command.h"
 #include "workers/worker_heartbeat.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -220,7 +220,7 @@
 }
 
 std::string term_of(const std::string& node, uint64_t fencing_token) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(2).key("node").text(node).key("epoch").count(fencing_token);
     return packer.take();
 }
@@ -311,12 +311,12 @@
 TEST(ProductionBytes, RecordsOfFormat2AreRefusedByTheRuleOfTheVersionBefore) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        auto message = Message::parse(from_hex(stored.form2));
+        auto message = MsgpackDocument::parse(from_hex(stored.form2));
         ASSERT_TRUE(message);
         auto done = message->root()["done"].text();
         ASSERT_TRUE(done);
         EXPECT_FALSE(Ranges::parse(*done, stored.record.spec.tasks));
-        auto form1 = Message::parse(from_hex(stored.form1));
+        auto form1 = MsgpackDocument::parse(from_hex(stored.form1));
         ASSERT_TRUE(form1);
         EXPECT_TRUE(Ranges::parse(*form1->root()["done"].text(), stored.record.spec.tasks));
     }
@@ -371,7 +371,7 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto record = Message::parse(deployment.store.rows.at("j/job-1").data);
+    auto record = MsgpackDocument::parse(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
     EXPECT_EQ(record->root()["v"].count_or(0), 2u);
     EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
@@ -439,7 +439,7 @@
     Deployment deployment;
     lead_after(deployment, kStoredFencingToken - 1);
     std::string answer;
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     scope.spawn(
         exchange_frame(deployment.loop, deployment.configs[0].peer_listen, from_hex(kRelayFrame), answer),
         "relay");
@@ -453,7 +453,7 @@
     peer::RelayAnswerHeader head;
     std::memcpy(&head, frame.payload.data(), sizeof head);
     EXPECT_EQ(head.status, 200);
-    auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
+    auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof head));
     ASSERT_TRUE(body);
     EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredFencingToken);
 }
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -68,7 +68,7 @@
 
 // All workers report at the same time.
 void report_all(Deployment& deployment, std::vector<FakeWorker>& workers, int node) {
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     size_t answered = 0;
     for (auto& worker : workers) scope.spawn(report(deployment, worker, node, answered), "report");
     EXPECT_TRUE(deployment.until([&] { return answered == workers.size(); }, 20));
@@ -93,8 +93,8 @@
 }
 
 bool puts(const std::string& txn, const std::string& key) {
-    auto m = Message::parse(txn);
-    Node writes = m->root()["writes"];
+    auto m = MsgpackDocument::parse(txn);
+    MsgpackValue writes = m->root()["writes"];
     for (size_t i = 0; i < writes.size(); ++i)
         if (writes.at(i)["put"].text_or("") == key) return true;
     return false;
@@ -264,7 +264,8 @@
         EXPECT_EQ(stored_record(deployment, "job-1").live.size(), 100U);
         for (int i = 0; i < 2; ++i) report_all(deployment, workers, 0);
         EXPECT_EQ(exits_kept(workers), 0U);
-        deployment.run(constants::kRecordFormatEvery_s);  // until the second node has read the format, too
+        deployment.run(
+            constants::kRecordFormatPollInterval_s);  // until the second node has read the format, too
         EXPECT_EQ(phase_of(deployment.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(deployment.call(1, "POST", "/v2/runs", job_body("job-3")).status, 200)
             << "carried out, soon or late";
@@ -367,7 +368,7 @@
 }
 
 void submit_all(Deployment& deployment, std::vector<Submission*> list) {
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     size_t answered = 0;
     for (auto* x : list) scope.spawn(submit(deployment, *x, answered), "submission");
     ASSERT_TRUE(deployment.until([&] { return answered == list.size(); }, 10));
@@ -400,7 +401,7 @@
     // From here on the service keeps to the rate.
     TokenBucket rate(kLaterWriteRate, kLaterWriteRate);
     deployment.store.let_through = [&](const std::string& txn) {
-        auto m = Message::parse(txn);
+        auto m = MsgpackDocument::parse(txn);
         deployment.store.transactions_to_limit =
             rate.take(static_cast<double>(m->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
         return true;
@@ -463,7 +464,7 @@
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto hangs = [&](const std::string& txn) { return puts(txn, "j/job-1"); };
     deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
-    Scope scope(deployment.loop);
+    TaskGroup scope(deployment.loop);
     size_t answered = 0;
     scope.spawn(report(deployment, worker, 0, answered), "report");
     ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
--- a/tests/peer/relay_client_test.cc
+++ b/tests/peer/relay_client_test.cc
@@ -16,15 +16,15 @@
     Loop loop{clock};
     peer::RelayClient client{loop, kIncarnation};
     std::shared_ptr<peer::PeerLink> link;
-    std::unique_ptr<File> other_end;
+    std::unique_ptr<FileDescriptor> other_end;
     std::optional<peer::RelayResult> result;
-    Scope scope{loop};
+    TaskGroup scope{loop};
 
     RelayClientTest() {
         std::array<int, 2> sockets{};
         EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets.data()), 0);
         link = std::make_shared<peer::PeerLink>(loop, std::make_unique<Stream>(loop, sockets[0]), 1024);
-        other_end = std::make_unique<File>(loop, sockets[1]);
+        other_end = std::make_unique<FileDescriptor>(loop, sockets[1]);
     }
     ~RelayClientTest() override {
         scope.cancel();
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -77,7 +77,7 @@
             deployment.run(kDeadNodePause_s);
             continue;
         }
-        Answer answer = deployment.call(static_cast<int>(node), method, path, body);
+        CallResult answer = deployment.call(static_cast<int>(node), method, path, body);
         if (answer.status == 200 || answer.status == 201) return phase_of(answer);
         EXPECT_NE(answer.status, 400) << path;
         EXPECT_NE(answer.status, 422) << path;
--- a/tests/scenario/peer_link.h
+++ b/tests/scenario/peer_link.h
@@ -18,8 +18,8 @@
     bool old_peer = false;
     Loop& loop;
     Address to;
-    File listener;
-    Scope scope;
+    FileDescriptor listener;
+    TaskGroup scope;
 
   private:
     Task<void> accept_all();
--- a/tests/standins/job_bodies.cc
+++ b/tests/standins/job_bodies.cc
@@ -1,6 +1,6 @@
 #include "standins/job_bodies.h"
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "standins/messages.h"
 
 namespace hareshore::test {
@@ -18,7 +18,7 @@
         {"flush_s", packed_number(2)},
     };
     if (change) change(fields);
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(fields.size());
     for (const auto& [name, value] : fields) packer.key(name).raw(value);
     return packer.take();
--- a/tests/standins/messages.h
+++ b/tests/standins/messages.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "http/client.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "http/server.h"
 
 namespace hareshore::test {
@@ -13,7 +13,7 @@
 [[nodiscard]] std::string json_text(const std::string& packed);
 
 // The bytes of a part of a message.
-[[nodiscard]] std::string repack(const Node& node);
+[[nodiscard]] std::string repack(const MsgpackValue& node);
 
 // One packed value.
 [[nodiscard]] std::string packed_text(const std::string& text);
@@ -26,9 +26,9 @@
 [[nodiscard]] std::string query_value(const Request& request, const std::string& name);
 
 // A response that carries what the packer holds.
-[[nodiscard]] Response packed_response(int status, Packer& body);
+[[nodiscard]] Response packed_response(int status, MsgpackWriter& body);
 
 // The job's phase in an answer to a user, in the words of the wire; empty if it has none.
-[[nodiscard]] std::string phase_of(const Answer& answer);
+[[nodiscard]] std::string phase_of(const CallResult& answer);
 
 }  // namespace hareshore::test
--- a/tests/user_answers_test.cc
+++ b/tests/user_answers_test.cc
@@ -48,14 +48,14 @@
 
     Loop& loop_;
     FakeStore& state_;
-    Signal released_;
+    Condition released_;
     bool holding_ = false;
     std::string awaited_path_, awaited_part_;
     HttpServer server_;
 };
 
 struct PendingAnswer {
-    Answer answer;
+    CallResult answer;
     bool arrived = false;
 };
 
@@ -63,7 +63,7 @@
     Deployment deployment{1};
     std::unique_ptr<HeldState> held_state;
     PendingAnswer slow;
-    Scope users{deployment.loop};
+    TaskGroup users{deployment.loop};
 
     UserAnswers() {
         deployment.configs[0].state = address(20, 2379);
@@ -100,7 +100,7 @@
     ASSERT_EQ(submit(), 201);
     held_state->hold_next("/keys/" + live_key(kJob));
     ASSERT_TRUE(ask_slowly("GET", kQuery));
-    Answer cancelled = deployment.call(0, "POST", kQuery + "/withdraw");
+    CallResult cancelled = deployment.call(0, "POST", kQuery + "/withdraw");
     EXPECT_EQ(cancelled.status, 200);
     EXPECT_EQ(phase_of(cancelled), "withdrawn");
     ASSERT_TRUE(slow_answer_arrives());
