--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -51,15 +51,15 @@
     int other = 1 - leader;
     deployment.run(4);
     uint64_t fencing_token = deployment.node(leader).election().fencing_token();
-    peer::Heartbeat b{};
+    peer::ControllerHeartbeat b{};
     peer::set_label(b, deployment.config(other).label);
     b.incarnation = 7;
     b.fencing_token = 50;
     b.leads = 1;
-    b.asked_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
-    std::string frames = peer::pack(peer::Kind::kHeartbeat, 1000, 7, b) +
-                         peer::pack(peer::Kind::kHeartbeatAnswer, 1, 7, b) +
-                         peer::pack(peer::Kind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+    b.request_sent_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
+    std::string frames = peer::encode_frame(peer::FrameKind::kHeartbeat, 1000, 7, b) +
+                         peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, b) +
+                         peer::encode_frame(peer::FrameKind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
     TaskGroup scope(deployment.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -17,7 +17,7 @@
 struct ScriptedPeer {
     Deployment& deployment;
     uint64_t incarnation = 77;
-    uint8_t record_format = peer::kPeerFormat;  // 0: the version in production, which knows no cancellations
+    uint8_t record_format = peer::kAnnouncedRecordFormat;  // 0: the version in production, which knows no cancellations
     uint32_t announced = 0;                     // cancellations that it says it told users of
     std::vector<std::string> sends;  // and those that it sends ahead of its next answer, numbered from `from`
     uint32_t from = 0;
@@ -40,14 +40,14 @@
         scope.cancel();
         unwind(deployment.loop);
     }
-    peer::Heartbeat heartbeat() const {
-        peer::Heartbeat b{};
+    peer::ControllerHeartbeat heartbeat() const {
+        peer::ControllerHeartbeat b{};
         peer::set_label(b, deployment.configs[1].label);
         b.incarnation = incarnation;
         b.record_format = record_format;
         b.cancellations_announced = record_format ? announced : 0;
         b.store_age_ms = UINT32_MAX;
-        b.quiet_ms = static_cast<uint32_t>((deployment.loop.now() - announced_last) * 1000);
+        b.since_last_cancellation_ms = static_cast<uint32_t>((deployment.loop.now() - announced_last) * 1000);
         return b;
     }
     Task<void> accept() {
@@ -62,32 +62,32 @@
     }
     Task<void> serve(int fd) {
         Stream stream(deployment.loop, fd);
-        peer::Reader reader;
+        peer::FrameReader reader;
         while (true) {
             Stream::Read got = co_await stream.read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
             while (auto fields = reader.next()) {
-                if (fields->kind != peer::Kind::kHeartbeat || !answers) continue;
+                if (fields->kind != peer::FrameKind::kHeartbeat || !answers) continue;
                 std::string out;
                 if (!sends.empty())
-                    out = peer::pack(peer::Kind::kCancellationNotice, 0, incarnation,
-                                     peer::pack({incarnation, from, sends}));
+                    out = peer::encode_frame(peer::FrameKind::kCancellationNotice, 0, incarnation,
+                                     peer::encode_cancellation_notice({incarnation, from, sends}));
                 sends.clear();
-                peer::Heartbeat b = heartbeat();
-                b.asked_us = peer::unpack_heartbeat(fields->payload)->asked_us;
-                out += peer::pack(peer::Kind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
+                peer::ControllerHeartbeat b = heartbeat();
+                b.request_sent_us = peer::decode_controller_heartbeat(fields->payload)->request_sent_us;
+                out += peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
     }
     Task<void> count_unknown(std::shared_ptr<Stream> stream) {
-        peer::Reader reader;
+        peer::FrameReader reader;
         while (true) {
             Stream::Read got = co_await stream->read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
-            while (auto fields = reader.next()) unknown += fields->kind == peer::Kind::kCancellationNotice;
+            while (auto fields = reader.next()) unknown += fields->kind == peer::FrameKind::kCancellationNotice;
         }
     }
     Task<void> heartbeats() {
@@ -97,7 +97,7 @@
         while (stream) {
             co_await deployment.loop.sleep(0.93);
             co_await stream->write(
-                peer::pack(peer::Kind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
+                peer::encode_frame(peer::FrameKind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
         }
     }
 };
@@ -217,7 +217,7 @@
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
 TEST(CancellationNotices, AMissingNoticeEndsTheRightToRenewLeasesInTime) {
-    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    Pair pair(peer::kAnnouncedRecordFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
     pair.peer->announced_last = pair.deployment.loop.now();
@@ -229,7 +229,7 @@
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
 TEST(CancellationNotices, NoticesCountOnceAndInOrder) {
-    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    Pair pair(peer::kAnnouncedRecordFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     pair.deployment.run(2);
     pair.peer->announced_last = pair.deployment.loop.now();
@@ -274,7 +274,7 @@
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
 TEST(CancellationNotices, WhatAPeerConfirmedStaysKnown) {
-    Pair pair(peer::kPeerFormat);
+    Pair pair(peer::kAnnouncedRecordFormat);
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
     pair.peer->incarnation = 78;
--- /dev/null
+++ b/tests/peer/relay_client_test.cc
@@ -0,0 +1,85 @@
+#include "peer/relay_client.h"
+
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+
+#include <array>
+
+using namespace hareshore;
+
+namespace {
+
+constexpr uint64_t kIncarnation = 7;
+
+struct RelayClientTest : testing::Test {
+    FakeClock clock;
+    Loop loop{clock};
+    peer::RelayClient client{loop, kIncarnation};
+    std::shared_ptr<peer::PeerLink> link;
+    std::unique_ptr<FileDescriptor> other_end;
+    std::optional<peer::RelayResult> result;
+    TaskGroup scope{loop};
+
+    RelayClientTest() {
+        std::array<int, 2> sockets{};
+        EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets.data()), 0);
+        link = std::make_shared<peer::PeerLink>(loop, std::make_unique<Stream>(loop, sockets[0]), 1024);
+        other_end = std::make_unique<FileDescriptor>(loop, sockets[1]);
+    }
+    ~RelayClientTest() override {
+        scope.cancel();
+        loop.turn(0);
+    }
+
+    Task<void> relay(std::shared_ptr<peer::PeerLink> through) {
+        result = co_await client.relay(std::move(through), "heartbeat");
+    }
+    void start(std::shared_ptr<peer::PeerLink> through) {
+        scope.spawn(relay(std::move(through)), "relay");
+        loop.turn(0);
+    }
+    void answer(uint32_t id, uint64_t incarnation) {
+        client.receive_answer(
+            {peer::FrameKind::kRelayAnswer, id, incarnation, peer::encode_relay_answer(200, "commands")});
+        loop.turn(0);
+    }
+};
+
+}  // namespace
+
+TEST_F(RelayClientTest, ReturnsTheAnswer) {
+    start(link);
+    EXPECT_FALSE(result);
+    answer(1, kIncarnation);
+    ASSERT_TRUE(result && *result);
+    EXPECT_EQ((*result)->status, 200);
+    EXPECT_EQ((*result)->body, "commands");
+}
+
+TEST_F(RelayClientTest, NeedsAnOpenLink) {
+    start(nullptr);
+    ASSERT_TRUE(result && !*result);
+    EXPECT_EQ(result->error(), peer::RelayError::kNotConnected);
+    result.reset();
+    link->close();
+    start(link);
+    ASSERT_TRUE(result && !*result);
+    EXPECT_EQ(result->error(), peer::RelayError::kNotConnected);
+}
+
+TEST_F(RelayClientTest, IgnoresAnswersToOtherRelays) {
+    start(link);
+    answer(1, kIncarnation + 1);
+    answer(2, kIncarnation);
+    client.receive_answer({peer::FrameKind::kRelayAnswer, 1, kIncarnation, "x"});
+    loop.turn(0);
+    EXPECT_FALSE(result);
+}
+
+TEST_F(RelayClientTest, TimesOut) {
+    start(link);
+    ASSERT_TRUE(loop.run_until([&] { return result.has_value(); }, 4));
+    ASSERT_FALSE(*result);
+    EXPECT_EQ(result->error(), peer::RelayError::kTimedOut);
+    answer(1, kIncarnation);  // too late, and harmless
+}
