--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -24,7 +24,7 @@
     record.spec.id = "job-1";
     record.spec.tasks = 4;
     record.live[1] = {1, "vm-1", "a"};
-    peer::Heartbeat heartbeat{};
+    peer::ControllerHeartbeat heartbeat{};
     peer::set_label(heartbeat, "node-0");
     MsgpackWriter packer;
     packer.map(4).key("host").text("vm-1").key("tenure").count(1).key("tick").count(2).key("epoch").count(3);
@@ -32,8 +32,8 @@
         record.pack(1),
         record.pack(2),
         packer.take(),
-        peer::pack(peer::Kind::kHeartbeat, 1, 2, heartbeat),
-        peer::pack(peer::Kind::kCancellationNotice, 1, 2, peer::pack({7, 3, {"job-1", "job-22"}})),
+        peer::encode_frame(peer::FrameKind::kHeartbeat, 1, 2, heartbeat),
+        peer::encode_frame(peer::FrameKind::kCancellationNotice, 1, 2, peer::encode_cancellation_notice({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
         encode_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kSettingsText};
@@ -47,11 +47,11 @@
         taken += std::holds_alternative<JobSpec>(parse_submission(s));
         taken += FinalRecord::unpack(s).has_value();
         taken += decode_machine_types(s).has_value();
-        peer::Reader reader;
+        peer::FrameReader reader;
         reader.feed(s);
         while (auto fields = reader.next()) {
-            taken += peer::unpack_heartbeat(fields->payload).has_value();
-            taken += peer::unpack_cancellation_notice(fields->payload).has_value();
+            taken += peer::decode_controller_heartbeat(fields->payload).has_value();
+            taken += peer::decode_cancellation_notice(fields->payload).has_value();
         }
         try {
             Settings::parse(s);
--- a/tests/scenario/peer_link.cc
+++ b/tests/scenario/peer_link.cc
@@ -43,7 +43,7 @@
 
 Task<void> PeerLink::pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into,
                           std::shared_ptr<bool> open) {
-    peer::Reader reader;
+    peer::FrameReader reader;
     while (*open) {
         Stream::Read got = co_await from->read(loop.now() + kReadStep_s);
         if (got.outcome == Stream::Read::Outcome::kTimeout) continue;
@@ -56,18 +56,18 @@
     *open = false;
 }
 
-std::string PeerLink::as_old_peer(peer::Reader& reader, std::string_view bytes) {
+std::string PeerLink::as_old_peer(peer::FrameReader& reader, std::string_view bytes) {
     std::string out;
     reader.feed(bytes);
     while (auto frame = reader.next()) {
-        if (frame->kind == peer::Kind::kCancellationNotice) continue;
-        if (frame->kind == peer::Kind::kHeartbeat || frame->kind == peer::Kind::kHeartbeatAnswer) {
-            auto heartbeat = peer::unpack_heartbeat(frame->payload);
+        if (frame->kind == peer::FrameKind::kCancellationNotice) continue;
+        if (frame->kind == peer::FrameKind::kHeartbeat || frame->kind == peer::FrameKind::kHeartbeatAnswer) {
+            auto heartbeat = peer::decode_controller_heartbeat(frame->payload);
             heartbeat->record_format = 0;
             heartbeat->cancellations_announced = 0;
-            out += peer::pack(frame->kind, frame->id, frame->incarnation, *heartbeat);
+            out += peer::encode_frame(frame->kind, frame->id, frame->incarnation, *heartbeat);
         } else {
-            out += peer::pack(frame->kind, frame->id, frame->incarnation, frame->payload);
+            out += peer::encode_frame(frame->kind, frame->id, frame->incarnation, frame->payload);
         }
     }
     return out;
--- a/tests/scenario/peer_link.h
+++ b/tests/scenario/peer_link.h
@@ -27,7 +27,7 @@
     Task<void> pump(std::shared_ptr<Stream> from, std::shared_ptr<Stream> into, std::shared_ptr<bool> open);
     Task<void> wait_while_cut();
     // What of these bytes an old peer would send or take.
-    static std::string as_old_peer(peer::Reader& reader, std::string_view bytes);
+    static std::string as_old_peer(peer::FrameReader& reader, std::string_view bytes);
 };
 
 }  // namespace hareshore::test
