--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -25,6 +25,9 @@
     std::string team;
 };
 
+// How a worker's heartbeat reached the leader: on the worker's own connection, or relayed by a peer.
+enum class HeartbeatRoute : uint8_t { kDirect, kRelayed };
+
 struct Machine {
     std::string name, addr, machine_type, zone;
     bool spot = false;
@@ -45,8 +48,9 @@
     uint64_t answered_sequence = 0;  // the newest number seen of it by then; commands number reports, too
     bool answered_directly = false;  // on its own connection, and no command was sent to it since
     // Takes what a report that is newer than all before says of the answers to those; it has not been
-    // taken in yet. `direct`: it came on the worker's own connection.
-    void update_reachability(const WorkerHeartbeat& report, bool direct, Seconds lease_s, Seconds now);
+    // taken in yet.
+    void update_reachability(const WorkerHeartbeat& report, HeartbeatRoute route, Seconds lease_s,
+                             Seconds now);
     void answered(bool direct, Seconds now);
 
     // From the cloud.
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -44,11 +44,11 @@
     Seconds cancellations_known_until(Seconds since) const override {
         return controller_.cancellations_known_until(since);
     }
-    bool confirmed() const override { return is_current() && controller_.election_.confirmed(); }
+    bool lease_confirmed() const override { return is_current() && controller_.election_.lease_confirmed(); }
     bool no_other_leader() const override { return is_current() && controller_.no_other_leader(); }
     bool all_peers_upgraded() const override { return controller_.all_upgraded(); }
-    void deposed(const char* reason) override {
-        if (is_current()) controller_.election_.deposed(reason);
+    void step_down(LossReason reason) override {
+        if (is_current()) controller_.election_.step_down(reason);
     }
 
   private:
@@ -179,7 +179,7 @@
             if (loop_.now() - p.heard < constants::kHeartbeatFresh_s)
                 // One that does not lead confirms for the term all the same: the new leader itself may be
                 // behind a cut from here.
-                election_.heard(p.heartbeat.leads ? p.who.label : "", p.heartbeat.fencing_token);
+                election_.observe_peer_term(p.heartbeat.leads ? p.who.label : "", p.heartbeat.fencing_token);
         resign_if_isolated();
         if (leader_ && (!election_.leading() || leader_->fencing_token() != election_.fencing_token())) {
             leader_->stop();
@@ -233,7 +233,7 @@
         co_await learn_record_format(state_, record_format_);
         if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
-    if (record_format_.newer()) election_.stop_standing();
+    if (record_format_.newer()) election_.stop_campaigning();
 }
 
 Task<Response> Controller::handle_heartbeat(std::string body) {
@@ -245,7 +245,8 @@
            loop_.now() - worker_heartbeat_times_.front() > constants::kReportWindow_s)
         worker_heartbeat_times_.pop_front();
     if (auto leader = leader_) {
-        Response r = co_await leader->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
+        Response r = co_await leader->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s,
+                                                       HeartbeatRoute::kDirect);
         if (r.status == 200) co_return r;
         if (leader_ == leader && election_.leading()) co_return r;
     }
@@ -298,7 +299,8 @@
     auto report = WorkerHeartbeat::parse(body);
     auto leader = leader_;
     if (!report || !leader) co_return status(421);
-    co_return co_await leader->handle_heartbeat(std::move(*report), constants::kHoldRelayed_s, false);
+    co_return co_await leader->handle_heartbeat(std::move(*report), constants::kHoldRelayed_s,
+                                                HeartbeatRoute::kRelayed);
 }
 
 Response Controller::operator_page(const std::string& path) {
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -8,197 +8,228 @@
 
 namespace {
 
-std::string pack_leader(const std::string& label, uint64_t fencing_token) {
-    Packer p;
-    p.map(2).key("node").text(label).key("epoch").count(fencing_token);
-    return p.take();
+bool read_or_missing(const GetResult& result) {
+    return result.status == StoreStatus::kOk || result.status == StoreStatus::kNotFound;
+}
+
+uint64_t revision_or_missing(const GetResult& result) {
+    return result.status == StoreStatus::kOk ? result.entry.mod_revision : 0;
+}
+
+// How long a lease surely lasts on this controller's clock that was granted or renewed by a request sent
+// then.
+Seconds lease_lasts_until(Seconds requested_at) {
+    return requested_at + constants::kLeadTtl_s * (1 - constants::kDrift);
 }
 
 }  // namespace
 
-Election::Election(Loop& loop, StoreClient& state, std::string label, double spread)
-    : loop_(loop), state_(state), label_(std::move(label)), spread_(spread), changed_(loop) {}
+Election::Election(Loop& loop, StoreClient& store, std::string label, double campaign_delay)
+    : loop_(loop), store_(store), label_(std::move(label)), campaign_delay_(campaign_delay), changed_(loop) {}
 
-void Election::pause_longer() {
-    pause_ = std::clamp(pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+bool Election::lease_confirmed() const {
+    return leading_ && lease_confirmed_until_ && loop_.now() < *lease_confirmed_until_;
 }
 
-void Election::deposed(const char* why) {
+void Election::step_down(LossReason reason) {
     if (!leading_) return;
-    log::info("leadership_lost", {{"fencing_token", fencing_token_}, {"reason", why}});
+    log::info("leadership_lost", {{"fencing_token", fencing_token_}, {"reason", loss_reason_code(reason)}});
     leading_ = false;
-    leader_.clear();
-    changed_.notify();
+    set_leader("");
 }
 
-void Election::heard(const std::string& label, uint64_t fencing_token) {
-    bool names = fencing_token == known_fencing_token_ && !leading_ && leader_.empty() && !label.empty();
-    if (fencing_token <= known_fencing_token_ && !names) return;
+void Election::observe_peer_term(const std::string& label, uint64_t fencing_token) {
+    bool names_unknown_leader =
+        fencing_token == known_fencing_token_ && !leading_ && leader_.empty() && !label.empty();
+    if (fencing_token <= known_fencing_token_ && !names_unknown_leader) return;
     known_fencing_token_ = fencing_token;
-    if (leading_) deposed("a peer knows of a later epoch");
-    leader_ = label;
-    changed_.notify();
+    if (leading_) step_down(LossReason::kLaterTermSeenByPeer);
+    set_leader(label);
 }
 
-void Election::resign(Seconds stay_out) {
-    out_until_ = loop_.now() + stay_out;
-    resigning_ = true;
-    deposed("resigned");
+void Election::resign(Seconds stand_down) {
+    stand_down_until_ = loop_.now() + stand_down;
+    revoke_own_lease_ = true;
+    step_down(LossReason::kResigned);
 }
 
-void Election::stop_standing() {
-    if (standing_stopped_) return;
-    standing_stopped_ = true;
+void Election::stop_campaigning() {
+    if (campaigning_stopped_) return;
+    campaigning_stopped_ = true;
     if (!leading_) return;
-    resigning_ = true;
-    deposed("the records are of a format that this version does not know");
+    revoke_own_lease_ = true;
+    step_down(LossReason::kNewerRecordFormat);
 }
 
 Task<void> Election::run() {
     while (true) {
         if (leading_) {
-            co_await keep();
+            co_await renew_lease();
         } else {
             co_await follow();
         }
     }
 }
 
+// One round without leadership: until the leadership key changes, or until a campaign has ended.
 Task<void> Election::follow() {
-    if (resigning_) {
-        // Workers may be launched nothing by us any more; the key goes at once, so that others need not wait.
-        resigning_ = false;
-        co_await state_.revoke(lease_, constants::kStateCall_s);
-    }
-    // A list, since only that tells the revision from which to watch: the key's own mod revision may be so
-    // old that the service has forgotten the changes since.
-    ListResult got = co_await state_.list(kLeaderKey, "", constants::kRecordsPage, constants::kStateCall_s);
-    const Entry* held = nullptr;
-    for (const auto& e : got.entries)
-        if (e.key == kLeaderKey) held = &e;
-    if (got.status == StoreStatus::kOk && !held) {
-        pause_ = 0;
-        if (!leader_.empty()) {
-            leader_.clear();
-            changed_.notify();
-        }
-        if (standing_stopped_ || loop_.now() < out_until_) {
-            co_await loop_.sleep(constants::kLeadRenew_s);
-            co_return;
-        }
-        co_await loop_.sleep(spread_ * constants::kElectionSpread_s);
-        co_await stand();
+    if (revoke_own_lease_) co_await revoke_own_lease();
+    // A list, since only that returns the revision from which to watch: the key's own mod revision may be so
+    // old that the store has compacted the changes since.
+    ListResult listed =
+        co_await store_.list(kLeaderKey, "", constants::kRecordsPage, constants::kStateCall_s);
+    if (listed.status != StoreStatus::kOk) {
+        co_await back_off();
         co_return;
     }
-    if (got.status != StoreStatus::kOk) {
-        pause_longer();
-        co_await loop_.sleep(pause_);
+    retry_pause_ = 0;
+    const Entry* held = nullptr;
+    for (const auto& entry : listed.entries)
+        if (entry.key == kLeaderKey) held = &entry;
+    if (!held) {
+        if (!leader_.empty()) set_leader("");
+        co_await campaign_if_allowed();
         co_return;
     }
-    pause_ = 0;
-    auto m = Message::parse(held->data);
-    std::string node = m ? m->root()["node"].text_or("") : "";
-    uint64_t fencing_token = m ? m->root()["epoch"].count_or(0) : 0;
+    LeaderRecord record = unpack_leader_record(held->data);
+    uint64_t fencing_token = record.fencing_token.value_or(0);
     known_fencing_token_ = std::max(known_fencing_token_, fencing_token);
-    if (node == label_) {
-        // Left by this node's last process, which is gone: no need to wait for its lease.
-        log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
-        GetResult own = co_await state_.get(kLeaderKey, constants::kStateCall_s);
-        if (own.status == StoreStatus::kOk && own.entry.mod_revision == held->mod_revision)
-            co_await state_.revoke(own.entry.lease, constants::kStateCall_s);
+    if (record.label == label_) {
+        co_await revoke_earlier_process(held->mod_revision);
         co_return;
     }
-    if (leader_ != node) {
-        log::info("leader_known", {{"leader", node}, {"fencing_token", fencing_token}});
-        leader_ = node;
-        changed_.notify();
+    if (leader_ != record.label) {
+        log::info("leader_known", {{"leader", record.label}, {"fencing_token", fencing_token}});
+        set_leader(record.label);
     }
-    ChangesResult c = co_await state_.changes(kLeaderKey, got.revision, constants::kLeadWatch_s);
-    if (c.status != StoreStatus::kOk) {
-        pause_longer();
-        co_await loop_.sleep(pause_);
+    ChangesResult changes = co_await store_.changes(kLeaderKey, listed.revision, constants::kLeadWatch_s);
+    if (changes.status != StoreStatus::kOk) co_await back_off();
+}
+
+// This controller launches nothing any more: the key goes at once, so that others need not wait for the
+// lease.
+Task<void> Election::revoke_own_lease() {
+    revoke_own_lease_ = false;
+    co_await store_.revoke(lease_, constants::kStateCall_s);
+}
+
+// The key was left by this controller's last process, which is gone: no need to wait for its lease.
+Task<void> Election::revoke_earlier_process(uint64_t mod_revision) {
+    log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
+    GetResult own = co_await store_.get(kLeaderKey, constants::kStateCall_s);
+    if (own.status == StoreStatus::kOk && own.entry.mod_revision == mod_revision)
+        co_await store_.revoke(own.entry.lease, constants::kStateCall_s);
+}
+
+Task<void> Election::campaign_if_allowed() {
+    if (campaigning_stopped_ || (stand_down_until_ && loop_.now() < *stand_down_until_)) {
+        co_await loop_.sleep(constants::kLeadRenew_s);
+        co_return;
     }
+    co_await loop_.sleep(campaign_delay_ * constants::kElectionSpread_s);
+    co_await campaign();
 }
 
-Task<void> Election::stand() {
-    GetResult term = co_await state_.get(kTermKey, constants::kStateCall_s);
-    if (term.status != StoreStatus::kOk && term.status != StoreStatus::kNotFound) {
-        pause_longer();
-        co_await loop_.sleep(pause_);
+Task<void> Election::campaign() {
+    std::optional<CampaignBasis> basis = co_await read_campaign_basis();
+    if (!basis) co_return;
+    Seconds requested_at = loop_.now();
+    LeaseResult granted = co_await store_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
+    if (granted.status != StoreStatus::kOk) {
+        co_await back_off();
         co_return;
     }
-    GetResult record_format = co_await state_.get(kRecordFormatKey, constants::kStateCall_s);
-    if (record_format.status != StoreStatus::kOk && record_format.status != StoreStatus::kNotFound) {
-        pause_longer();
-        co_await loop_.sleep(pause_);
+    uint64_t fencing_token = std::max(basis->last_fencing_token, known_fencing_token_) + 1;
+    TransactionResult claimed = co_await claim_leadership(*basis, fencing_token, granted.lease);
+    if (claimed.status != StoreStatus::kOk) {
+        co_await store_.revoke(granted.lease, constants::kStateCall_s);
         co_return;
     }
+    lease_ = granted.lease;
+    fencing_token_ = fencing_token;
+    mod_revision_ = claimed.revision;
+    known_fencing_token_ = fencing_token;
+    leading_ = true;
+    lease_confirmed_until_ = lease_lasts_until(requested_at);
+    log::info("leadership_won", {{"fencing_token", fencing_token_}, {"took_s", loop_.now() - requested_at}});
+    set_leader(label_);
+}
+
+// Nothing if this controller cannot campaign now; it has waited then.
+Task<std::optional<Election::CampaignBasis>> Election::read_campaign_basis() {
+    GetResult term = co_await store_.get(kTermKey, constants::kStateCall_s);
+    if (!read_or_missing(term)) {
+        co_await back_off();
+        co_return std::nullopt;
+    }
+    GetResult record_format = co_await store_.get(kRecordFormatKey, constants::kStateCall_s);
+    if (!read_or_missing(record_format)) {
+        co_await back_off();
+        co_return std::nullopt;
+    }
     if (record_format.status == StoreStatus::kOk &&
         unpack_record_format(record_format.entry.data) > kNewestRecordFormat) {
         log::error("election_not_joined", {{"reason", "newer_record_format"}});
-        stop_standing();
-        co_return;
+        stop_campaigning();
+        co_return std::nullopt;
     }
-    uint64_t last = 0;
+    CampaignBasis basis;
+    basis.term_revision = revision_or_missing(term);
+    basis.record_format_revision = revision_or_missing(record_format);
     if (term.status == StoreStatus::kOk) {
-        auto m = Message::parse(term.entry.data);
-        last = m ? m->root()["epoch"].count_or(0) : 0;
-        if (last == 0) {
+        std::optional<uint64_t> last = unpack_leader_record(term.entry.data).fencing_token;
+        if (!last) {
             log::error("election_not_joined", {{"reason", "term_unreadable"}});
             co_await loop_.sleep(constants::kRetryPauseMax_s);
-            co_return;
+            co_return std::nullopt;
         }
+        basis.last_fencing_token = *last;
     }
-    Seconds asked = loop_.now();
-    LeaseResult lease = co_await state_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
-    if (lease.status != StoreStatus::kOk) {
-        pause_longer();
-        co_await loop_.sleep(pause_);
-        co_return;
-    }
-    uint64_t fencing_token = std::max(last, known_fencing_token_) + 1;
-    Transaction txn;
-    txn.expect(kLeaderKey, 0).expect(kTermKey, term.status == StoreStatus::kOk ? term.entry.mod_revision : 0);
-    txn.expect(kRecordFormatKey,
-               record_format.status == StoreStatus::kOk ? record_format.entry.mod_revision : 0);
-    std::string mine = pack_leader(label_, fencing_token);
-    txn.put(kLeaderKey, mine, lease.lease).put(kTermKey, mine);
-    TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
-    if (r.status == StoreStatus::kUnknown) {
-        // It may have been carried out: only the key can tell, and a late copy cannot win once the term
-        // has moved on.
-        GetResult now = co_await state_.get(kLeaderKey, constants::kStateCall_s);
-        if (now.status == StoreStatus::kOk && now.entry.lease == lease.lease) {
-            r.status = StoreStatus::kOk;
-            r.revision = now.entry.mod_revision;
+    co_return basis;
+}
+
+Task<TransactionResult> Election::claim_leadership(CampaignBasis basis, uint64_t fencing_token,
+                                                   uint64_t lease) {
+    Transaction transaction;
+    transaction.expect(kLeaderKey, 0)
+        .expect(kTermKey, basis.term_revision)
+        .expect(kRecordFormatKey, basis.record_format_revision);
+    std::string record = pack_leader_record(label_, fencing_token);
+    transaction.put(kLeaderKey, record, lease).put(kTermKey, record);
+    TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStateCall_s);
+    if (result.status == StoreStatus::kUnknown) {
+        // It may have been executed: only the key shows that, and a late copy cannot win once the term has
+        // moved on.
+        GetResult current = co_await store_.get(kLeaderKey, constants::kStateCall_s);
+        if (current.status == StoreStatus::kOk && current.entry.lease == lease) {
+            result.status = StoreStatus::kOk;
+            result.revision = current.entry.mod_revision;
         }
     }
-    if (r.status != StoreStatus::kOk) {
-        co_await state_.revoke(lease.lease, constants::kStateCall_s);
-        co_return;
-    }
-    lease_ = lease.lease;
-    fencing_token_ = fencing_token;
-    mod_revision_ = r.revision;
-    known_fencing_token_ = fencing_token;
-    leading_ = true;
-    confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
-    leader_ = label_;
-    log::info("leadership_won", {{"fencing_token", fencing_token_}, {"took_s", loop_.now() - asked}});
-    changed_.notify();
+    co_return result;
 }
 
-Task<void> Election::keep() {
+Task<void> Election::renew_lease() {
     Seconds pause = constants::kLeadRenew_s;
     while (leading_) {
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
-        Seconds asked = loop_.now();
-        StoreStatus r = co_await state_.renew(lease_, constants::kStateCall_s);
-        if (r == StoreStatus::kOk) confirmed_until_ = asked + constants::kLeadTtl_s * (1 - constants::kDrift);
-        if (r == StoreStatus::kNotFound) deposed("its lease ended");
-        pause = r == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
+        Seconds requested_at = loop_.now();
+        StoreStatus status = co_await store_.renew(lease_, constants::kStateCall_s);
+        if (status == StoreStatus::kOk) lease_confirmed_until_ = lease_lasts_until(requested_at);
+        if (status == StoreStatus::kNotFound) step_down(LossReason::kLeaseExpired);
+        pause = status == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
     }
 }
 
+Task<void> Election::back_off() {
+    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+    co_await loop_.sleep(retry_pause_);
+}
+
+void Election::set_leader(const std::string& label) {
+    leader_ = label;
+    changed_.notify();
+}
+
 }  // namespace hareshore
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -1,56 +1,86 @@
-// Leadership: a leased key in the state service. Its term is the workers' epoch and is never reused.
+// The election of one leader among the controllers, by a leased key in the key-value store. Each term of
+// leadership has a fencing token that is never reused; workers refuse commands with an older one.
 #pragma once
+#include <optional>
+
+#include "leader/election_wire.h"
+#include "leader/loss_reason.h"
 #include "state/store_client.h"
 
 namespace hareshore {
 
-inline const std::string kLeaderKey = "leader";
-inline const std::string kTermKey = "term";
-
+// One controller's part in the elections: it follows the leader, campaigns when there is none, and renews its
+// lease while it leads. Owned by the controller; all that it refers to must outlive it. run() must have ended
+// before it is destroyed.
 class Election {
   public:
-    Election(Loop& loop, StoreClient& state, std::string label, double spread);
+    // `label`: this controller's. `campaign_delay`: the share, 0 to 1, of the time over which the
+    // controllers' campaigns are spread that this one waits before its own.
+    Election(Loop& loop, StoreClient& store, std::string label, double campaign_delay);
+    // Takes part in elections until it is cancelled.
     Task<void> run();
 
-    bool leading() const { return leading_; }
-    // Whether the state service has said so within the lease. One that was cut off or stood still may have
-    // been followed by another without knowing.
-    bool confirmed() const { return leading_ && loop_.now() < confirmed_until_; }
-    uint64_t fencing_token() const { return fencing_token_; }  // our term, while leading
-    uint64_t mod_revision() const {
-        return mod_revision_;
-    }  // of the leadership key: the condition of every write
-    const std::string& leader() const { return leader_; }  // who is thought to lead; may be empty
-    uint64_t known_fencing_token() const { return known_fencing_token_; }  // highest term heard of
+    // Whether this controller leads as far as it has heard; another may have followed it by now.
+    [[nodiscard]] bool leading() const { return leading_; }
+    // Whether no other can lead now: the store has granted or renewed the lease within its time to live.
+    [[nodiscard]] bool lease_confirmed() const;
+    // Of the last term that this controller won; 0 before the first.
+    [[nodiscard]] uint64_t fencing_token() const { return fencing_token_; }
+    // Of the leadership key in that term: every write of a leader is conditioned on it.
+    [[nodiscard]] uint64_t mod_revision() const { return mod_revision_; }
+    // The label of the controller that leads as far as this one has heard; empty if none.
+    [[nodiscard]] const std::string& leader() const { return leader_; }
+    // The highest fencing token that this controller has seen.
+    [[nodiscard]] uint64_t known_fencing_token() const { return known_fencing_token_; }
+    // Notified when leading() or leader() changes.
     Signal& changed() { return changed_; }
 
-    // Proof that another leads in a later term.
-    void deposed(const char* why);
-    // A peer says that it leads, or, with an empty label, that it knows of this term.
-    void heard(const std::string& label, uint64_t fencing_token);
-    // Gives leadership up and stays out of the next elections for a while.
-    void resign(Seconds stay_out);
-    // This version does not understand what is kept: it neither leads nor stands any more.
-    void stop_standing();
+    // Ends this controller's term, if it leads. The lease stays until it expires or the next round revokes
+    // it.
+    void step_down(LossReason reason);
+    // A peer's heartbeat carried this fencing token; `label`: of the peer if it leads, else empty.
+    void observe_peer_term(const std::string& label, uint64_t fencing_token);
+    // Steps down, revokes the lease, and does not campaign for `stand_down` seconds.
+    void resign(Seconds stand_down);
+    // The records are of a format that this version does not read: it steps down and campaigns no more.
+    void stop_campaigning();
 
   private:
+    // What a campaign is based on, as read from the store. Its transaction is conditioned on these revisions;
+    // 0: the key does not exist.
+    struct CampaignBasis {
+        uint64_t last_fencing_token = 0;
+        uint64_t term_revision = 0;
+        uint64_t record_format_revision = 0;
+    };
+
     Task<void> follow();
-    Task<void> stand();
-    Task<void> keep();
-    void pause_longer();
+    Task<void> revoke_own_lease();
+    Task<void> revoke_earlier_process(uint64_t mod_revision);
+    Task<void> campaign_if_allowed();
+    Task<void> campaign();
+    Task<std::optional<CampaignBasis>> read_campaign_basis();
+    Task<TransactionResult> claim_leadership(CampaignBasis basis, uint64_t fencing_token,
+                                             uint64_t lease);
+    Task<void> renew_lease();
+    Task<void> back_off();
+    void set_leader(const std::string& label);
 
     Loop& loop_;
-    StoreClient& state_;
+    StoreClient& store_;
     std::string label_;
-    double spread_;  // 0 to 1: this node's place among the candidates
+    double campaign_delay_;
     bool leading_ = false;
-    bool resigning_ = false;
-    bool standing_stopped_ = false;
-    uint64_t fencing_token_ = 0, mod_revision_ = 0, lease_ = 0, known_fencing_token_ = 0;
+    bool revoke_own_lease_ = false;  // after a resignation
+    bool campaigning_stopped_ = false;
+    uint64_t fencing_token_ = 0;
+    uint64_t mod_revision_ = 0;
+    uint64_t lease_ = 0;
+    uint64_t known_fencing_token_ = 0;
     std::string leader_;
-    Seconds confirmed_until_ = -1;
-    Seconds out_until_ = -1;
-    Seconds pause_ = 0;
+    std::optional<Seconds> lease_confirmed_until_;
+    std::optional<Seconds> stand_down_until_;
+    Seconds retry_pause_ = 0;
     Signal changed_;
 };
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -23,8 +23,7 @@
 
     // A worker's report, and the answer to it. 421 means that another leads.
     // `hold`: how long the answer may be held for work that comes.
-    // `direct`: it came on the worker's own connection, not through a peer.
-    Task<Response> handle_heartbeat(WorkerHeartbeat report, Seconds hold, bool direct);
+    Task<Response> handle_heartbeat(WorkerHeartbeat report, Seconds hold, HeartbeatRoute route);
 
     // A user is being told that this job is cancelled, by this node or by a peer: its tasks must go, also
     // while the state service cannot say so.
--- a/src/leader/leadership.h
+++ b/src/leader/leadership.h
@@ -7,6 +7,7 @@
 #include "cloud/cloud.h"
 #include "config/config.h"
 #include "jobs/record_format.h"
+#include "leader/loss_reason.h"
 #include "state/store_client.h"
 
 namespace hareshore {
@@ -31,13 +32,13 @@
     // those confirmed before `since` are. At least `since`.
     [[nodiscard]] virtual Seconds cancellations_known_until(Seconds since) const = 0;
     // Whether the lease on the leadership is certain to be held now.
-    [[nodiscard]] virtual bool confirmed() const = 0;
+    [[nodiscard]] virtual bool lease_confirmed() const = 0;
     // Whether no other leader can exist, though the store may not confirm this one's lease.
     [[nodiscard]] virtual bool no_other_leader() const = 0;
     // Whether every peer reads the newest record format.
     [[nodiscard]] virtual bool all_peers_upgraded() const = 0;
-    // Ends the term: there is proof that it is over. `reason` is for the log.
-    virtual void deposed(const char* reason) = 0;
+    // Ends the term: there is proof that it is over. The leader is stopped by the controller soon after.
+    virtual void step_down(LossReason reason) = 0;
 };
 
 // The parts of the controller that a leader uses. All outlive it.
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -85,7 +85,7 @@
         // A leader that was cut off or stood still may have been followed by another: what it rents and
         // returns by its old view would undo the other's work. Cut off for 120 s, one returned the whole
         // fleet.
-        if (!leadership_->confirmed()) continue;
+        if (!leadership_->lease_confirmed()) continue;
         if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
         if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
@@ -144,7 +144,7 @@
 
 // Before anything is asked of the cloud.
 Task<void> Leader::confirmation() {
-    while (!leadership_->confirmed()) co_await loop_.sleep(constants::kRetryPause_s);
+    while (!leadership_->lease_confirmed()) co_await loop_.sleep(constants::kRetryPause_s);
 }
 
 Task<void> Leader::rent(ScaleOutRequest rental) {
@@ -201,7 +201,7 @@
             });
         if (names.empty()) co_return;
         std::vector<std::string> asked;
-        if (leadership_->confirmed()) {
+        if (leadership_->lease_confirmed()) {
             asked = names;
         } else if (leadership_->no_other_leader()) {
             for (const auto& name : names)
@@ -247,7 +247,7 @@
 // of no later leader there is none whose work could be undone; and no rule breaks if there were, since a
 // machine that is deleted runs nothing.
 void Leader::return_machines_holding_cancelled() {
-    if (!leadership_->confirmed() && !leadership_->no_other_leader()) return;
+    if (!leadership_->lease_confirmed() && !leadership_->no_other_leader()) return;
     ScalingPlan plan;
     plan.scale_in = machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
                                                std::max(loaded_at_, listening_since_));
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -182,7 +182,7 @@
             if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
         if (r.status == StoreStatus::kConflict) {
             if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
-                leadership_->deposed("the leadership key has changed");
+                leadership_->step_down(LossReason::kLeadershipKeyChanged);
                 co_return;
             }
             for (const auto& id : ids)
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -51,10 +51,10 @@
         if (co_await loop_.wait(pass_done_, until) == Wake::kTimeout) break;
 }
 
-Task<Response> Leader::handle_heartbeat(WorkerHeartbeat r, Seconds hold, bool direct) {
+Task<Response> Leader::handle_heartbeat(WorkerHeartbeat r, Seconds hold, HeartbeatRoute route) {
     Response no{503, "", 0, "application/msgpack"};
     if (r.fencing_token > term_.fencing_token) {
-        leadership_->deposed("a worker has seen a later epoch");
+        leadership_->step_down(LossReason::kLaterTermSeenByWorker);
         co_return no;
     }
     Seconds began = loop_.now();
@@ -67,7 +67,7 @@
     if (h->reported && !r.newer_than(h->incarnation, h->sequence)) co_return no;  // a late copy
     uint64_t mine = ++worker_connection(name).reports;
     bool heard = !h->unreachable_since;
-    h->update_reachability(r, direct, config_.lease_s, loop_.now());
+    h->update_reachability(r, route, config_.lease_s, loop_.now());
     bool first = !h->answered_at;
     h->reported = true;
     h->last_heartbeat = loop_.now();
@@ -127,7 +127,7 @@
                                     {"attempt", o.attempt},
                                     {"machine", name}});
     ok.body = pack_report_answer(term_.fencing_token, commands);
-    h->answered(direct && !worker_connection(name).command_in_flight, loop_.now());
+    h->answered(route == HeartbeatRoute::kDirect && !worker_connection(name).command_in_flight, loop_.now());
     co_return ok;
 }
 
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -51,7 +51,7 @@
     static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
         auto report = WorkerHeartbeat::parse(worker.report());
         Response answer =
-            co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, true);
+            co_await to->handle_heartbeat(std::move(*report), constants::kHoldHeartbeat_s, HeartbeatRoute::kDirect);
         if (answer.status != 200) co_return;
         worker.carry_out(answer.body);
         ++answered;
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -695,7 +695,8 @@
         WorkerHeartbeat r = report(h, {});
         r.incarnation = incarnation;
         r.sequence = sequence;
-        h.update_reachability(r, direct, config.lease_s, now += 3);
+        h.update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed, config.lease_s,
+                              now += 3);
         jobs.apply(cluster, h, r, true, now);
         h.answered(direct, now);
         return !h.unreachable_since;
