--- /dev/null
+++ b/src/leader/cloud_inventory.cc
@@ -0,0 +1,62 @@
+#include "leader/cloud_inventory.h"
+
+#include "base/constants.h"
+#include "base/log.h"
+
+namespace hareshore {
+
+Task<void> CloudInventory::follow_machine_types() {
+    while (true) {
+        auto machine_types = co_await parts_.cloud.machine_types();
+        if (!machine_types) {
+            co_await parts_.loop.sleep(constants::kRetryPauseMax_s);
+            continue;
+        }
+        parts_.cluster.machine_types = std::move(*machine_types);
+        if (!machine_types_stored_) co_await store_machine_types();
+        co_await parts_.loop.sleep(constants::kMachineTypesEvery_s);
+    }
+}
+
+// For controllers that start while the cloud is unavailable.
+Task<void> CloudInventory::store_machine_types() {
+    std::string data = Cloud::pack_machine_types(parts_.cluster.machine_types);
+    if (json_size(data) > parts_.config.value_limit(kNewestRecordFormat)) {
+        log::info("machine_types_not_stored", {{"reason", "too_large"}});
+        machine_types_stored_ = true;
+        co_return;
+    }
+    Transaction transaction;
+    transaction.expect(parts_.term.key, parts_.term.mod_revision).put(kMachineTypesKey, std::move(data));
+    TransactionResult result = co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
+    machine_types_stored_ = result.status == StoreStatus::kOk || result.status == StoreStatus::kInvalid;
+}
+
+Task<void> CloudInventory::follow_machines() {
+    while (true) {
+        Seconds requested_at = parts_.loop.now();
+        auto list = co_await parts_.cloud.list();
+        if (list)
+            for (const auto& listed : *list) add_listed(listed, requested_at);
+        co_await parts_.loop.sleep(list ? constants::kListEvery_s : constants::kRetryPauseMax_s);
+    }
+}
+
+void CloudInventory::add_listed(const ListedMachine& listed, Seconds requested_at) {
+    if (parts_.deleted_machines.contains(listed.name)) return;
+    Machine& machine = parts_.cluster.ensure(listed.name, parts_.loop.now());
+    if (!machine.listed) {
+        machine.listed = true;
+        machine.created_at = requested_at - listed.age_s;
+        if (!machine.reported) {
+            machine.addr = listed.addr;
+            machine.machine_type = listed.machine_type;
+            machine.zone = listed.zone;
+            machine.spot = listed.spot;
+        }
+    }
+    // Lists may be older than the one before: a machine goes forward only.
+    if (listed.phase > machine.phase) machine.phase = listed.phase;
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/command_sender.cc
@@ -0,0 +1,60 @@
+#include "leader/command_sender.h"
+
+namespace hareshore {
+
+void CommandSender::send_urgent_stops() {
+    for (const auto& name : parts_.jobs.take_urgent()) {
+        WorkerConnection& connection = parts_.connections.of(name);
+        if (connection.command_in_flight) {
+            connection.resend = true;
+            continue;
+        }
+        Machine* machine = parts_.cluster.machine(name);
+        if (!machine || machine->addr.empty()) continue;
+        connection.command_in_flight = true;
+        parts_.lifecycle.spawn(send_stops(name), "stop commands", Priority::kNormal);
+    }
+}
+
+Task<void> CommandSender::send_stops(std::string machine_name) {
+    do {
+        parts_.connections.of(machine_name).resend = false;
+        Machine* machine = parts_.cluster.machine(machine_name);
+        Address address;
+        if (!machine || !Address::parse(machine->addr, address)) break;
+        std::vector<Command> stops = stops_for(*machine);
+        if (stops.empty()) break;
+        const uint64_t incarnation = machine->incarnation;
+        // The worker numbers the command like a heartbeat, whether or not its answer arrives.
+        machine->answered_directly = false;
+        auto heartbeat =
+            co_await send_commands(parts_.loop, address, parts_.fencing_token, incarnation, std::move(stops));
+        machine = parts_.cluster.machine(machine_name);
+        if (heartbeat && machine && heartbeat->newer_than(machine->incarnation, machine->sequence)) {
+            parts_.jobs.apply(parts_.cluster, *machine, *heartbeat, false, parts_.loop.now());
+            parts_.pass_requests.request();
+            if (incarnation == 0) parts_.connections.of(machine_name).resend = true;
+        }
+    } while (parts_.connections.of(machine_name).resend);
+    if (parts_.cluster.machine(machine_name)) {
+        parts_.connections.of(machine_name).command_in_flight = false;
+    } else {
+        parts_.connections.erase(machine_name);
+    }
+}
+
+std::vector<Command> CommandSender::stops_for(Machine& machine) {
+    std::vector<Command> stops = parts_.jobs.commands(machine, false);
+    std::erase_if(stops, [](const Command& command) { return command.verb != CommandKind::kStop; });
+    if (machine.incarnation != 0) return stops;
+    // A machine that has not reported to this leader may still answer to an earlier one. Its incarnation is
+    // read from its refusal; a command that it accepts also carries this leader's fencing token to it, and
+    // through it to the earlier leader.
+    for (const auto& placed : parts_.jobs.on_machine(machine.name))
+        if (placed.job->cancelled)
+            stops.push_back(
+                {CommandKind::kStop, {placed.job->spec.id, placed.task}, placed.placement->attempt, 0});
+    return stops;
+}
+
+}  // namespace hareshore
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -60,8 +60,7 @@
     Task<void> campaign_if_allowed();
     Task<void> campaign();
     Task<std::optional<CampaignBasis>> read_campaign_basis();
-    Task<TransactionResult> claim_leadership(CampaignBasis basis, uint64_t fencing_token,
-                                             uint64_t lease);
+    Task<TransactionResult> claim_leadership(CampaignBasis basis, uint64_t fencing_token, uint64_t lease);
     Task<void> renew_lease();
     Task<void> back_off();
     void set_leader(const std::string& label);
--- /dev/null
+++ b/src/leader/fleet_report.h
@@ -0,0 +1,48 @@
+// The leader's periodic log lines: what waits, the state of the fleet, and how its GPU time is used.
+#pragma once
+#include <optional>
+
+#include "leader/scheduling_loop.h"
+
+namespace hareshore {
+
+class FleetReport {
+  public:
+    // The parts of the leader that this one uses; all outlive it.
+    struct Parts {
+        Loop& loop;
+        const JobTable& jobs;
+        const Cluster& cluster;
+        SchedulingLoop& scheduling;
+    };
+    explicit FleetReport(const Parts& parts) : parts_(parts) {}
+
+    // Adds `elapsed` seconds of each machine's GPUs to what they are used for now. The machines must have
+    // been recounted.
+    void account_gpu_time(Seconds elapsed);
+    // Logs each job that has waited for long, with the reason, and the fleet; each at most every
+    // kWaitLogInterval_s.
+    void log_all();
+
+  private:
+    // GPU seconds since this leader's term began.
+    struct GpuTime {
+        double booting = 0;
+        double idle = 0;      // on machines that hold no task
+        double unused = 0;    // free on machines that hold tasks
+        double starting = 0;  // of tasks that do not run yet, or no more
+        double running = 0;
+
+        [[nodiscard]] double total() const { return booting + idle + unused + starting + running; }
+    };
+
+    void log_waiting_jobs() const;
+    void log_fleet();
+    void log_gpu_time() const;
+
+    const Parts parts_;
+    GpuTime gpu_time_;
+    std::optional<Seconds> fleet_logged_at_;
+};
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/fleet_scaler.cc
@@ -0,0 +1,121 @@
+#include "leader/fleet_scaler.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "base/log.h"
+#include "leader/machine_drain.h"
+
+namespace hareshore {
+
+namespace {
+
+bool only_spot_jobs(const JobTable& jobs) {
+    const auto& all = jobs.all();
+    return !all.empty() &&
+           std::all_of(all.begin(), all.end(), [](const auto& entry) { return entry.second->spec.spot; });
+}
+
+}  // namespace
+
+Task<void> FleetScaler::run() {
+    while (true) {
+        const Seconds slept_at = parts_.loop.now();
+        co_await parts_.loop.sleep(constants::kFleetTick_s);
+        note_stall(parts_.loop.now() - slept_at - constants::kFleetTick_s);
+        parts_.pass_requests.request();  // time has passed: what was held may be bound
+        delete_machines_holding_cancelled();
+        repeat_stops();
+        if (may_scale()) scale();
+    }
+}
+
+// While this process stood still it received nothing: the machines were not silent.
+void FleetScaler::note_stall(Seconds stalled_s) {
+    if (stalled_s <= constants::kProcessStall_s) return;
+    log::info("process_stalled", {{"stalled_s", stalled_s}});
+    stalled_until_ = parts_.loop.now();
+}
+
+// Since when the silence of a machine shows that it does not report.
+Seconds FleetScaler::listening_since() const {
+    return stalled_until_.value_or(parts_.lifecycle.loaded_at());
+}
+
+void FleetScaler::repeat_stops() {
+    const Seconds now = parts_.loop.now();
+    const Seconds interval = parts_.config.heartbeat_interval_s;
+    if (stops_repeated_at_ && now - *stops_repeated_at_ < interval) return;
+    stops_repeated_at_ = now;
+    parts_.jobs.repeat_stops(now - interval);
+}
+
+// In an outage of the store for all this cannot wait for a confirmed lease. Where every peer has seen no
+// later term there is no other leader whose work could be undone; and no rule breaks if there were, since a
+// machine that is deleted runs nothing.
+void FleetScaler::delete_machines_holding_cancelled() {
+    if (!parts_.leadership.lease_confirmed() && !parts_.leadership.no_other_leader()) return;
+    ScalingPlan plan;
+    plan.scale_in = machines_holding_cancelled(parts_.cluster, parts_.jobs, parts_.config, parts_.loop.now(),
+                                               listening_since());
+    for (const auto& name : plan.scale_in) {
+        plan.silent.insert(name);
+        plan.reasons[name] = "it may hang with a task of a cancelled job";
+    }
+    parts_.deletion.start(plan);
+}
+
+// A leader that was partitioned or stood still may have been followed by another: what it rents and deletes
+// by its old view would undo the other's work. Partitioned for 120 s, one deleted the whole fleet.
+bool FleetScaler::may_scale() const {
+    if (!parts_.leadership.lease_confirmed() || parts_.cluster.machine_types.empty()) return false;
+    // The machine list lags: what an earlier leader rented shows up only after that.
+    const bool first_term = parts_.fencing_token <= 1;
+    return first_term || parts_.lifecycle.loaded_for() >= constants::kLeaderSettle_s;
+}
+
+void FleetScaler::scale() {
+    const Seconds now = parts_.loop.now();
+    parts_.jobs.find_stragglers(parts_.cluster, now);
+    parts_.jobs.move_replicas(parts_.cluster, now);
+    ScalingInput input{parts_.config,
+                       parts_.settings,
+                       now,
+                       listening_since(),
+                       parts_.rental.refused_until(),
+                       parts_.rental.on_order(),
+                       true,
+                       only_spot_jobs(parts_.jobs),
+                       partitioned_at_};
+    parts_.scheduling.recount_cluster();
+    parts_.report.account_gpu_time(constants::kFleetTick_s);
+    const ScalingPlan plan = plan_scaling(parts_.cluster, parts_.jobs, input);
+    log_partitions(plan);
+    for (const auto& request : plan.rent) parts_.rental.start(request);
+    parts_.deletion.start(plan);
+    drain_machines(plan);
+    parts_.report.log_all();
+}
+
+void FleetScaler::log_partitions(const ScalingPlan& plan) {
+    const Seconds now = parts_.loop.now();
+    for (const auto& zone : plan.cut) {
+        auto [it, first] = partitioned_at_.try_emplace(zone, now);
+        if (first || now - it->second > constants::kWaitLogInterval_s)
+            log::info("zone_partitioned", {{"zone", zone}});
+        it->second = now;
+    }
+}
+
+void FleetScaler::drain_machines(const ScalingPlan& plan) {
+    for (const auto& name : plan.drain) {
+        Machine* machine = parts_.cluster.machine(name);
+        if (!machine) continue;
+        log::info("machine_draining",
+                  {{"machine", name}, {"tasks", machine->placed_tasks}, {"reason", "consolidation"}});
+        machine->draining = true;
+        drain_machine(parts_.jobs, *machine, parts_.loop.now());
+    }
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/fleet_scaler.h
@@ -0,0 +1,52 @@
+// Decides every kFleetTick_s which machines to rent, to drain and to delete.
+#pragma once
+#include <map>
+#include <optional>
+#include <string>
+
+#include "leader/fleet_report.h"
+#include "leader/machine_deletion.h"
+#include "leader/machine_rental.h"
+
+namespace hareshore {
+
+class FleetScaler {
+  public:
+    // The parts of the leader that this one uses; all outlive it.
+    struct Parts {
+        Loop& loop;
+        const Config& config;
+        const Settings& settings;
+        uint64_t fencing_token;
+        const Leadership& leadership;
+        const TermLifecycle& lifecycle;
+        JobTable& jobs;
+        Cluster& cluster;
+        PassRequests& pass_requests;
+        SchedulingLoop& scheduling;
+        MachineRental& rental;
+        MachineDeletion& deletion;
+        FleetReport& report;
+    };
+    explicit FleetScaler(const Parts& parts) : parts_(parts) {}
+
+    // Runs until it is cancelled; the records must have been loaded.
+    Task<void> run();
+
+  private:
+    void note_stall(Seconds stalled_s);
+    void repeat_stops();
+    void delete_machines_holding_cancelled();
+    [[nodiscard]] bool may_scale() const;
+    void scale();
+    void log_partitions(const ScalingPlan& plan);
+    void drain_machines(const ScalingPlan& plan);
+    [[nodiscard]] Seconds listening_since() const;
+
+    const Parts parts_;
+    std::optional<Seconds> stalled_until_;           // the end of this process's last stall
+    std::optional<Seconds> stops_repeated_at_;       // of cancelled jobs
+    std::map<std::string, Seconds> partitioned_at_;  // by zone: when it was last taken to be partitioned
+};
+
+}  // namespace hareshore
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -4,64 +4,153 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "leader/operator_pages.h"
 
 namespace hareshore {
 
-namespace {
-
-// Keeps the leader alive while one of its routines runs.
-Task<void> holding(std::shared_ptr<Leader> self, Task<void> task) {
-    (void)self;
-    co_await task;
-}
-
-}  // namespace
-
 Leader::Leader(const LeaderEnvironment& environment, LeaderTerm term, std::unique_ptr<Leadership> leadership,
                std::vector<MachineType> machine_types)
-    : loop_(environment.loop),
-      config_(environment.config),
-      settings_(environment.settings),
-      state_(environment.store),
-      cloud_(environment.cloud),
-      record_format_(environment.record_format),
+    : environment_(environment),
       term_(std::move(term)),
       leadership_(std::move(leadership)),
-      writes_(config_.write_rps * constants::kLeaderWriteShare,
-              std::max(2.0, config_.write_rps * constants::kLeaderWriteShare)),
-      ready_(loop_),
-      dirty_(loop_),
-      ask_(loop_),
-      pass_done_(loop_),
-      scope_(loop_) {
+      lifecycle_(environment.loop),
+      pass_requests_(environment.loop),
+      connections_(environment.loop),
+      cancellations_({.loop = environment.loop,
+                      .config = environment.config,
+                      .leadership = *leadership_,
+                      .jobs = jobs_,
+                      .pass_requests = pass_requests_}),
+      record_watch_({.loop = environment.loop,
+                     .store = environment.store,
+                     .jobs = jobs_,
+                     .cluster = cluster_,
+                     .cancellations = cancellations_,
+                     .pass_requests = pass_requests_}),
+      record_writer_({.loop = environment.loop,
+                      .config = environment.config,
+                      .store = environment.store,
+                      .record_format = environment.record_format,
+                      .term = term_,
+                      .leadership = *leadership_,
+                      .jobs = jobs_,
+                      .record_watch = record_watch_,
+                      .connections = connections_,
+                      .pass_requests = pass_requests_}),
+      command_sender_({.loop = environment.loop,
+                       .fencing_token = term_.fencing_token,
+                       .lifecycle = lifecycle_,
+                       .jobs = jobs_,
+                       .cluster = cluster_,
+                       .connections = connections_,
+                       .pass_requests = pass_requests_}),
+      scheduling_({.loop = environment.loop,
+                   .config = environment.config,
+                   .settings = environment.settings,
+                   .record_format = environment.record_format,
+                   .lifecycle = lifecycle_,
+                   .jobs = jobs_,
+                   .cluster = cluster_,
+                   .pass_requests = pass_requests_,
+                   .command_sender = command_sender_,
+                   .record_writer = record_writer_}),
+      heartbeats_({.loop = environment.loop,
+                   .config = environment.config,
+                   .fencing_token = term_.fencing_token,
+                   .leadership = *leadership_,
+                   .lifecycle = lifecycle_,
+                   .jobs = jobs_,
+                   .cluster = cluster_,
+                   .connections = connections_,
+                   .deleted_machines = deleted_machines_,
+                   .pass_requests = pass_requests_,
+                   .scheduling = scheduling_,
+                   .cancellations = cancellations_}),
+      inventory_({.loop = environment.loop,
+                  .config = environment.config,
+                  .cloud = environment.cloud,
+                  .store = environment.store,
+                  .term = term_,
+                  .cluster = cluster_,
+                  .deleted_machines = deleted_machines_}),
+      rental_({.loop = environment.loop,
+               .cloud = environment.cloud,
+               .fencing_token = term_.fencing_token,
+               .leadership = *leadership_,
+               .lifecycle = lifecycle_,
+               .cluster = cluster_,
+               .deleted_machines = deleted_machines_}),
+      deletion_({.loop = environment.loop,
+                 .cloud = environment.cloud,
+                 .leadership = *leadership_,
+                 .lifecycle = lifecycle_,
+                 .jobs = jobs_,
+                 .cluster = cluster_,
+                 .connections = connections_,
+                 .deleted_machines = deleted_machines_,
+                 .pass_requests = pass_requests_}),
+      fleet_report_(
+          {.loop = environment.loop, .jobs = jobs_, .cluster = cluster_, .scheduling = scheduling_}),
+      fleet_scaler_({.loop = environment.loop,
+                     .config = environment.config,
+                     .settings = environment.settings,
+                     .fencing_token = term_.fencing_token,
+                     .leadership = *leadership_,
+                     .lifecycle = lifecycle_,
+                     .jobs = jobs_,
+                     .cluster = cluster_,
+                     .pass_requests = pass_requests_,
+                     .scheduling = scheduling_,
+                     .rental = rental_,
+                     .deletion = deletion_,
+                     .report = fleet_report_}) {
     cluster_.machine_types = std::move(machine_types);
 }
 
-void Leader::spawn(Task<void> task, const char* name, Priority priority) {
-    scope_.spawn(holding(shared_from_this(), std::move(task)), name, priority);
-}
-
 void Leader::start() {
-    spawn(load(), "load", Priority::kUrgent);
+    lifecycle_.begin(weak_from_this());
+    lifecycle_.spawn(load_records(), "load", Priority::kUrgent);
 }
 
 void Leader::stop() {
-    stopped_ = true;
-    scope_.cancel();
-    ready_.notify();
-    pass_done_.notify();
-    for (auto& [name, l] : worker_connections_) l->wake.notify();
+    lifecycle_.stop();
+    scheduling_.pass_done().notify();
+    connections_.wake_all();
+}
+
+Task<void> Leader::load_records() {
+    Loop& loop = environment_.loop;
+    const Seconds began = loop.now();
+    while (!co_await learn_record_format(environment_.store, environment_.record_format))
+        co_await loop.sleep(constants::kRetryPause_s * 2);
+    while (!co_await record_watch_.read_all()) co_await loop.sleep(constants::kRetryPause_s * 2);
+    lifecycle_.set_loaded();
+    log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", lifecycle_.loaded_at() - began}});
+    lifecycle_.notify_loaded();
+    start_loops();
+}
+
+void Leader::start_loops() {
+    lifecycle_.spawn(scheduling_.run(), "scheduling passes", Priority::kNormal);
+    lifecycle_.spawn(record_watch_.follow(), "watch", Priority::kUrgent);  // the right to renew rests on it
+    lifecycle_.spawn(record_writer_.run(), "commit", Priority::kUrgent);
+    lifecycle_.spawn(record_writer_.raise_record_format(), "record format", Priority::kNormal);
+    lifecycle_.spawn(inventory_.follow_machine_types(), "prices", Priority::kNormal);
+    lifecycle_.spawn(inventory_.follow_machines(), "machine list", Priority::kNormal);
+    lifecycle_.spawn(fleet_scaler_.run(), "fleet", Priority::kNormal);
+}
+
+size_t Leader::machines_seen() const {
+    return static_cast<size_t>(std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
+                                             [](const auto& entry) { return entry.second->reported; }));
 }
 
-Leader::WorkerConnection& Leader::worker_connection(const std::string& machine) {
-    auto& l = worker_connections_[machine];
-    if (!l) l = std::make_unique<WorkerConnection>(loop_);
-    return *l;
+std::string Leader::jobs_page() const {
+    return hareshore::jobs_page(jobs_, environment_.loop.now());
 }
 
-void Leader::wake(const std::string& machine) {
-    auto it = worker_connections_.find(machine);
-    if (it != worker_connections_.end()) it->second->wake.notify();
+std::string Leader::machines_page() const {
+    return hareshore::machines_page(cluster_, environment_.loop.now());
 }
 
 }  // namespace hareshore
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,138 +1,90 @@
-// What the leading controller does: it keeps the view of jobs and machines, binds tasks as reports
-// arrive, commits before it launches, and rents and returns machines.
+// One term of leadership: the view of jobs and machines, and the parts that act on it. The parts are wired
+// here and nowhere else; the header of each shows in its Parts what it may touch.
 #pragma once
 #include <memory>
+#include <string>
+#include <vector>
 
-#include "base/token_bucket.h"
-#include "fleet/scaling_plan.h"
-#include "jobs/record_format.h"
-#include "jobs/resource_accounting.h"
+#include "leader/cancellation_guard.h"
+#include "leader/cloud_inventory.h"
+#include "leader/deleted_machines.h"
+#include "leader/fleet_scaler.h"
+#include "leader/heartbeat_handler.h"
 #include "leader/leadership.h"
-#include "scheduler/scheduler.h"
+#include "leader/record_writer.h"
+#include "leader/scheduling_loop.h"
 
 namespace hareshore {
 
+// Made for each term that this controller wins, by std::make_shared, and stopped when the term is over.
+//
+// Ownership: the controller holds one reference. Each coroutine that the leader starts holds another until it
+// has ended (TermLifecycle), and whoever awaits handle_heartbeat() must hold one meanwhile. So a stopped
+// leader is destroyed in a later turn of the loop, when the last of them has unwound.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
+    // `machine_types`: as last known; the leader reads them anew.
     Leader(const LeaderEnvironment& environment, LeaderTerm term, std::unique_ptr<Leadership> leadership,
            std::vector<MachineType> machine_types);
+
+    // Begins to load the records. To be called once.
     void start();
+    // Ends the term: cancels all coroutines and releases the held heartbeats. Nothing is started after it.
     void stop();
-    bool stopped() const { return stopped_; }
-    uint64_t fencing_token() const { return term_.fencing_token; }
+    [[nodiscard]] bool stopped() const { return lifecycle_.stopped(); }
+    [[nodiscard]] uint64_t fencing_token() const { return term_.fencing_token; }
 
-    // A worker's report, and the answer to it. 421 means that another leads.
-    // `hold`: how long the answer may be held for work that comes.
-    Task<Response> handle_heartbeat(WorkerHeartbeat report, Seconds hold, HeartbeatRoute route);
+    // Takes in a worker's heartbeat and answers 200 with commands, or 503. The answer may be held for up to
+    // `hold` seconds for work that comes.
+    Task<Response> handle_heartbeat(WorkerHeartbeat&& heartbeat, Seconds hold, HeartbeatRoute route) {
+        return heartbeats_.handle(std::move(heartbeat), hold, route);
+    }
 
-    // A user is being told that this job is cancelled, by this node or by a peer: its tasks must go, also
-    // while the state service cannot say so.
-    void observe_cancellation(const std::string& id);
+    // A user's cancellation of this job is being confirmed, by this controller or by a peer. Its tasks are
+    // stopped, also while the store cannot confirm it.
+    void observe_cancellation(const std::string& job_id) { cancellations_.observe(job_id); }
 
-    // How many machines have reported to this leader, and for how long it has known its view.
-    size_t machines_seen() const;
-    uint64_t passes_done() const { return passes_; }  // of matching, so far
-    Seconds loaded_for() const { return loaded_ ? loop_.now() - loaded_at_ : 0; }
+    // How many machines have reported to this leader.
+    [[nodiscard]] size_t machines_seen() const;
+    // Scheduling passes so far.
+    [[nodiscard]] uint64_t passes_done() const { return scheduling_.passes_done(); }
+    // Seconds since the records had been loaded; 0 before.
+    [[nodiscard]] Seconds loaded_for() const { return lifecycle_.loaded_for(); }
 
-    std::string jobs_page() const;
-    std::string machines_page() const;
-    const JobTable& jobs() const { return jobs_; }
-    const Cluster& cluster() const { return cluster_; }
+    // The operators' pages, as plain text.
+    [[nodiscard]] std::string jobs_page() const;
+    [[nodiscard]] std::string machines_page() const;
+    [[nodiscard]] const JobTable& jobs() const { return jobs_; }
+    [[nodiscard]] const Cluster& cluster() const { return cluster_; }
 
   private:
-    // What belongs to a machine's connection rather than to the machine.
-    struct WorkerConnection {
-        explicit WorkerConnection(Loop& loop) : wake(loop) {}
-        Signal wake;
-        uint64_t reports = 0;            // how many came; an older one's answer is dropped by the worker
-        bool command_in_flight = false;  // a direct command is on its way
-        bool again = false;              // another is wanted after it
-    };
-
-    Task<void> load();
-    Task<bool> read_records();
-    Task<void> watch();
-    Task<void> commit();
-    Task<void> raise_record_format();
-    Task<bool> reread(std::string id);
-    void defer_write(Job& job, uint64_t version, uint64_t record_format, const char* why);
-    Task<void> read_machines();
-    Task<void> read_prices();
-    Task<void> run_fleet();
-    Task<void> rent(ScaleOutRequest rental);
-    Task<void> confirmation();
-    Task<void> remove(std::vector<std::string> names, std::set<std::string> silent);
-    void return_machines(const ScalingPlan& plan);
-    void return_machines_holding_cancelled();
-    bool holds_cancelled(const std::string& machine) const;
-    void gone(const std::vector<std::string>& names);
-    Task<void> send_stops(std::string machine);
-
-    void spawn(Task<void> task, const char* name, Priority priority = Priority::kNormal);
-    Task<void> run_passes();
-    void request_pass();
-    void step();  // matches, and sends off what came of it
-    void update_demand();
-    bool asks_for_work(Machine& machine);
-    struct Holding;
-    Task<void> join_pass(const std::string& machine, Seconds answer_by);
-    Seconds silent_after() const;  // an older report shows no room
-    void drain(Machine& machine);
-    void wake(const std::string& machine);
-    WorkerConnection& worker_connection(const std::string& machine);
-    bool may_renew();
-    void finished(const std::string& id, uint64_t revision);
-    void take_change(const Change& c);
-    void log_waiting();
-    void account(Seconds since);
-    void log_fleet();
-    bool kind_seen_spot_only() const;
+    Task<void> load_records();
+    void start_loops();
 
-    Loop& loop_;
-    const Config& config_;
-    const Settings& settings_;
-    StoreClient& state_;
-    Cloud& cloud_;
-    RecordFormat& record_format_;
-    LeaderTerm term_;
-    std::unique_ptr<Leadership> leadership_;
+    const LeaderEnvironment environment_;
+    const LeaderTerm term_;
+    const std::unique_ptr<Leadership> leadership_;
 
+    // What the parts share.
     JobTable jobs_;
     Cluster cluster_;
-    std::unordered_map<std::string, std::unique_ptr<WorkerConnection>> worker_connections_;
-    std::set<std::string> deleted_machines_;  // machines whose deletion was confirmed
-    std::deque<std::string> deleted_machines_order_;
-    std::unordered_map<std::string, uint64_t> finished_;  // jobs erased from the table, with the revision
-    std::deque<std::string> finished_order_;
-    std::map<MachineKind, Seconds> refused_until_;
-    std::vector<ScaleOutRequest> on_order_;
-    std::map<std::string, Seconds> cut_at_;  // when a zone was last taken for cut off
-    bool machine_types_kept_ = false;
+    TermLifecycle lifecycle_;
+    PassRequests pass_requests_;
+    WorkerConnections connections_;
+    DeletedMachines deleted_machines_;
 
-    bool loaded_ = false, stopped_ = false;
-    uint64_t revision_ = 0;                     // the watch has seen all changes up to this revision
-    Seconds watched_until_ = -1e9;              // no cancellation committed before this is missing
-    Seconds cancellations_known_until_ = -1e9;  // no cancellation told to a user before this is missing
-    std::map<std::string, Seconds>
-        cancellation_notices_;  // jobs known to be cancelled by telling, and since when
-    Seconds loaded_at_ = 0;
-    Seconds listening_since_ = 0;  // before this, that a machine was silent says nothing
-    uint64_t claims_ = 0;
-    Seconds fleet_logged_ = -1e9;
-    Seconds stops_repeated_at_ = -1e9;  // when stops of cancelled work were last repeated
-    // Where the GPU time that is paid for goes, in GPU seconds since this leader began; for the log.
-    struct Spent {
-        double booting = 0, idle = 0, unused = 0, starting = 0, running = 0;
-    } spent_;
-    TokenBucket writes_;
-    std::optional<Resources> replica_;  // what no replica of a service asks less than; none without services
-    std::optional<Resources> least_waiting_;  // what no waiting task asks less than; none if none waits
-    bool held_back_ = false;                  // a waiting task was held for a better machine in the last pass
-    bool wanted_ = false;                     // a scheduling pass is wanted
-    uint64_t passes_ = 0;
-    Seconds next_pass_ = -1e9, longest_pass_ = 0;
-    Signal ready_, dirty_, ask_, pass_done_;
-    Scope scope_;
+    // Each part uses only what is declared above it.
+    CancellationGuard cancellations_;
+    RecordWatch record_watch_;
+    RecordWriter record_writer_;
+    CommandSender command_sender_;
+    SchedulingLoop scheduling_;
+    HeartbeatHandler heartbeats_;
+    CloudInventory inventory_;
+    MachineRental rental_;
+    MachineDeletion deletion_;
+    FleetReport fleet_report_;
+    FleetScaler fleet_scaler_;
 };
 
 }  // namespace hareshore
--- /dev/null
+++ b/src/leader/machine_drain.cc
@@ -0,0 +1,14 @@
+#include "leader/machine_drain.h"
+
+namespace hareshore {
+
+void drain_machine(JobTable& jobs, const Machine& machine, Seconds now) {
+    const bool reclaimed = machine.spot_reclaim_at.has_value();
+    const std::vector<PlacedTask> tasks = jobs.on_machine(machine.name);  // a copy: stop() may change it
+    for (const auto& placed : tasks) {
+        const JobSpec& spec = placed.job->spec;
+        if (spec.service() ? reclaimed : spec.checkpoint_s > 0) jobs.stop(*placed.job, placed.task, now);
+    }
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/pass_requests.h
@@ -0,0 +1,27 @@
+// Requests for a scheduling pass. Any part of the leader may make one; the scheduling loop serves them.
+#pragma once
+#include "loop/loop.h"
+
+namespace hareshore {
+
+class PassRequests {
+  public:
+    explicit PassRequests(Loop& loop) : requested_(loop) {}
+
+    // Something has changed that a scheduling pass could act on.
+    void request() {
+        pending_ = true;
+        requested_.notify();
+    }
+    // A pass begins, which serves all requests made so far.
+    void clear() { pending_ = false; }
+    [[nodiscard]] bool pending() const { return pending_; }
+    // Notified at each request.
+    Signal& requested() { return requested_; }
+
+  private:
+    bool pending_ = false;
+    Signal requested_;
+};
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/record_watch.cc
@@ -0,0 +1,96 @@
+#include "leader/record_watch.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "base/log.h"
+
+namespace hareshore {
+
+Task<bool> RecordWatch::read_all() {
+    std::string from;
+    uint64_t revision = 0;
+    Seconds requested_at = parts_.loop.now();
+    while (true) {
+        ListResult page = co_await parts_.store.list(kLivePrefix, from, constants::kRecordsPage,
+                                                     constants::kStateCall_s * 2);
+        if (page.status != StoreStatus::kOk) co_return false;
+        if (revision == 0) revision = page.revision;  // changes since the first page are followed
+        for (auto& entry : page.entries) {
+            from = entry.key;
+            apply({entry.key, false, entry.mod_revision, std::move(entry.data)});
+        }
+        if (!page.more) break;
+    }
+    revision_ = revision;
+    parts_.cancellations.records_read(requested_at);
+    co_return true;
+}
+
+Task<void> RecordWatch::follow() {
+    Seconds pause = 0;
+    while (true) {
+        Seconds requested_at = parts_.loop.now();
+        ChangesResult result = co_await parts_.store.changes(kLivePrefix, revision_, constants::kWatchWait_s);
+        if (result.status == StoreStatus::kOk) {
+            pause = 0;
+            for (const auto& change : result.changes) apply(change);
+            revision_ = std::max(revision_, result.revision);
+            parts_.cancellations.changes_read(requested_at);
+            if (!result.changes.empty()) parts_.pass_requests.request();
+            continue;
+        }
+        if (result.status == StoreStatus::kNotFound && co_await read_all()) {
+            // Never at once again: a store that goes on answering so must not be overloaded.
+            parts_.pass_requests.request();
+            co_await parts_.loop.sleep(constants::kRetryPause_s);
+            continue;
+        }
+        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+        co_await parts_.loop.sleep(pause);
+    }
+}
+
+void RecordWatch::apply(const Change& change) {
+    if (change.dropped) return;  // only this leader drops records, and has taken that into account
+    auto record = JobRecord::unpack(change.data);
+    if (!record || live_key(record->spec.id) != change.key) {
+        quarantine(change);
+        return;
+    }
+    if (finished_.ended_after(record->spec.id, change.mod_revision)) return;
+    Seconds now = parts_.loop.now();
+    Job& job = parts_.jobs.load(*record, change.mod_revision, now, parts_.loop.wall());
+    // The record was read before the job was cancelled, and the cancellation has been confirmed since.
+    if (!job.cancelled && parts_.cancellations.observed(job.spec.id)) parts_.jobs.cancel(job, now);
+    for (const auto& [task, placement] : job.live) {
+        Machine& machine = parts_.cluster.ensure(placement.machine, now);
+        if (machine.zone.empty()) machine.zone = placement.zone;
+    }
+}
+
+void RecordWatch::quarantine(const Change& change) {
+    std::string job_id = change.key.substr(kLivePrefix.size());
+    if (!parts_.jobs.quarantined(job_id))
+        log::error("job_quarantined",
+                   {{"key", change.key},
+                    {"reason", newer_record_format(change.data) ? "newer_format" : "malformed"}});
+    parts_.jobs.quarantine(job_id);
+}
+
+Task<void> RecordWatch::reread(std::string job_id) {
+    GetResult live = co_await parts_.store.get(live_key(job_id), constants::kStateCall_s);
+    if (live.status == StoreStatus::kOk)
+        apply({live_key(job_id), false, live.entry.mod_revision, std::move(live.entry.data)});
+    if (live.status != StoreStatus::kNotFound) co_return;
+    GetResult final = co_await parts_.store.get(final_key(job_id), constants::kStateCall_s);
+    if (final.status == StoreStatus::kOk) finish(job_id, final.entry.mod_revision);
+    if (final.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", job_id}});
+}
+
+void RecordWatch::finish(const std::string& job_id, uint64_t revision) {
+    parts_.jobs.erase(job_id);
+    finished_.add(job_id, revision);
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/record_writer.cc
@@ -0,0 +1,197 @@
+#include "leader/record_writer.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "base/log.h"
+
+namespace hareshore {
+
+namespace {
+
+constexpr Seconds kNoTimeLimit = -1;  // for Loop::wait
+constexpr size_t kWritesPerFinish =
+    2;  // the writes of a job's end: the final record put, the live one dropped
+
+double write_rate(const Config& config) {
+    return config.write_rps * constants::kLeaderWriteShare;
+}
+
+bool has_ended(const Job& job) {
+    return job.cancelled ? job.live.empty() : job.finished();
+}
+
+bool contains(const std::vector<std::string>& keys, const std::string& key) {
+    return std::find(keys.begin(), keys.end(), key) != keys.end();
+}
+
+}  // namespace
+
+RecordWriter::RecordWriter(const Parts& parts)
+    : parts_(parts),
+      record_format_(parts.record_format.in_force()),
+      writes_(write_rate(parts.config), std::max<double>(kWritesPerFinish, write_rate(parts.config))),
+      changed_(parts.loop) {}
+
+Task<void> RecordWriter::run() {
+    record_format_ = parts_.record_format.in_force();
+    while (true) {
+        follow_record_format();
+        if (!parts_.jobs.any_dirty()) {
+            co_await parts_.loop.wait(changed_, kNoTimeLimit);
+            continue;
+        }
+        Seconds rate_pause = writes_.until(kWritesPerFinish, parts_.loop.now());
+        if (rate_pause > 0) {
+            co_await parts_.loop.sleep(rate_pause);
+            continue;
+        }
+        Batch batch = build_batch(choose_jobs());
+        if (batch.job_ids.empty()) continue;
+        writes_.take(static_cast<double>(batch.transaction.writes.size()), parts_.loop.now());
+        TransactionResult result =
+            co_await parts_.store.commit(std::move(batch.transaction), constants::kStateCall_s);
+        if (result.status == StoreStatus::kOk) {
+            accept_commit(batch, result.revision);
+            continue;
+        }
+        if (result.status == StoreStatus::kInvalid && batch.job_ids.size() == 1) {
+            defer_refused(batch.job_ids.front());
+            continue;
+        }
+        if (result.status == StoreStatus::kInvalid) singles_left_ = batch.job_ids.size();
+        requeue(batch);
+        if (result.status != StoreStatus::kConflict) {
+            co_await back_off(result.status);
+            continue;
+        }
+        if (contains(result.failed, parts_.term.key)) {
+            parts_.leadership.step_down(LossReason::kLeadershipKeyChanged);
+            co_return;
+        }
+        co_await reread_conflicts(batch, result);
+        parts_.pass_requests.request();
+    }
+}
+
+// What could not be written in the last format may fit in the new one.
+void RecordWriter::follow_record_format() {
+    if (record_format_ == parts_.record_format.in_force()) return;
+    record_format_ = parts_.record_format.in_force();
+    parts_.jobs.requeue_all();
+}
+
+std::vector<Job*> RecordWriter::choose_jobs() {
+    size_t writes = std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.left(parts_.loop.now())));
+    std::vector<Job*> jobs =
+        parts_.jobs.take_dirty(std::max(kWritesPerFinish, writes), constants::kTxnBytes, record_format_);
+    if (singles_left_ > 0 && !jobs.empty()) {
+        --singles_left_;
+        for (size_t i = 1; i < jobs.size(); ++i) parts_.jobs.requeue(*jobs[i]);
+        jobs.resize(1);
+    }
+    return jobs;
+}
+
+RecordWriter::Batch RecordWriter::build_batch(const std::vector<Job*>& jobs) {
+    Batch batch;
+    batch.transaction.expect(parts_.term.key, parts_.term.mod_revision);
+    for (Job* job : jobs) {
+        const std::string& id = job->spec.id;
+        if (has_ended(*job)) {
+            FinalRecord record{id, job->cancelled, job->spec.tasks, job->done.size()};
+            batch.transaction.expect(live_key(id), job->mod_revision)
+                .put(final_key(id), record.pack())
+                .drop(live_key(id));
+            batch.final_ids.insert(id);
+        } else if (!add_live_record(*job, batch.transaction)) {
+            continue;
+        }
+        batch.job_ids.push_back(id);
+        job->inflight = job->version;
+    }
+    return batch;
+}
+
+// False if the record is not to be written now.
+bool RecordWriter::add_live_record(Job& job, Transaction& transaction) {
+    if (job.write_deferred(record_format_)) return false;
+    std::string data = job.record().pack(record_format_);
+    // What the store would refuse is not sent. Until the job's next change the record shows tasks as live
+    // which are not, never the other way round: starts are bounded by its room.
+    if (json_size(data) > parts_.config.value_limit(record_format_)) {
+        defer(job, job.version, DeferReason::kTooLarge);
+        return false;
+    }
+    const std::string key = live_key(job.spec.id);
+    transaction.expect(key, job.mod_revision).put(key, std::move(data));
+    return true;
+}
+
+void RecordWriter::accept_commit(const Batch& batch, uint64_t revision) {
+    retry_pause_ = 0;
+    std::set<std::string> machines;
+    for (const auto& id : batch.job_ids) {
+        Job* job = parts_.jobs.find(id);
+        if (!job) continue;
+        job->mod_revision = revision;
+        job->committed = job->inflight;
+        for (const auto& [task, placement] : job->live) machines.insert(placement.machine);
+        if (batch.final_ids.contains(id)) parts_.record_watch.finish(id, revision);
+    }
+    for (const auto& machine : machines) parts_.connections.wake(machine);
+}
+
+void RecordWriter::defer_refused(const std::string& job_id) {
+    Job* job = parts_.jobs.find(job_id);
+    if (!job) return;
+    defer(*job, job->inflight, DeferReason::kRefused);
+    if (!job->write_deferred(record_format_)) parts_.jobs.requeue(*job);  // it has changed since
+}
+
+void RecordWriter::requeue(const Batch& batch) {
+    for (const auto& id : batch.job_ids)
+        if (Job* job = parts_.jobs.find(id)) parts_.jobs.requeue(*job);
+}
+
+Task<void> RecordWriter::reread_conflicts(const Batch& batch, const TransactionResult& result) {
+    for (const auto& id : batch.job_ids)
+        if (contains(result.failed, live_key(id))) co_await parts_.record_watch.reread(id);
+}
+
+Task<void> RecordWriter::back_off(StoreStatus status) {
+    if (status == StoreStatus::kNotExecuted || status == StoreStatus::kRateLimited)
+        writes_.drain(parts_.loop.now());
+    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+    co_await parts_.loop.sleep(retry_pause_);
+}
+
+void RecordWriter::defer(Job& job, uint64_t version, DeferReason reason) const {
+    if (job.deferred_format == 0)
+        log::error("record_write_deferred",
+                   {{"job", job.spec.id},
+                    {"bytes", job.record_bytes(record_format_)},
+                    {"reason", reason == DeferReason::kTooLarge ? "too_large" : "refused_by_store"}});
+    job.deferred_version = version;
+    job.deferred_format = record_format_;
+}
+
+Task<void> RecordWriter::raise_record_format() {
+    while (parts_.record_format.kept < kNewestRecordFormat) {
+        if (parts_.leadership.all_peers_upgraded()) {
+            Transaction transaction;
+            transaction.expect(parts_.term.key, parts_.term.mod_revision)
+                .expect(kRecordFormatKey, 0)
+                .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
+            writes_.take(1, parts_.loop.now());
+            co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
+            // Whatever became of it, the key shows.
+            co_await learn_record_format(parts_.store, parts_.record_format);
+        }
+        if (parts_.record_format.kept < kNewestRecordFormat)
+            co_await parts_.loop.sleep(constants::kRecordFormatEvery_s);
+    }
+    changed_.notify();
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/leader/term_lifecycle.cc
@@ -0,0 +1,25 @@
+#include "leader/term_lifecycle.h"
+
+namespace hareshore {
+
+namespace {
+
+// The frame holds `leader` until the coroutine has ended.
+Task<void> keep_alive(std::shared_ptr<void> leader, Task<void> coroutine) {
+    (void)leader;
+    co_await coroutine;
+}
+
+}  // namespace
+
+void TermLifecycle::spawn(Task<void> coroutine, const char* name, Priority priority) {
+    scope_.spawn(keep_alive(leader_.lock(), std::move(coroutine)), name, priority);
+}
+
+void TermLifecycle::stop() {
+    stopped_ = true;
+    scope_.cancel();
+    loaded_signal_.notify();
+}
+
+}  // namespace hareshore
