--- a/src/leader/cloud_inventory.cc
+++ b/src/leader/cloud_inventory.cc
@@ -2,6 +2,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
 
 namespace hareshore {
 
@@ -20,14 +21,15 @@
 
 // For controllers that start while the cloud is unavailable.
 Task<void> CloudInventory::store_machine_types() {
-    std::string data = Cloud::pack_machine_types(parts_.cluster.machine_types);
+    std::string data = encode_machine_types(parts_.cluster.machine_types);
     if (json_size(data) > parts_.config.value_limit(kNewestRecordFormat)) {
         log::info("machine_types_not_stored", {{"reason", "too_large"}});
         machine_types_stored_ = true;
         co_return;
     }
     Transaction transaction;
-    transaction.expect(parts_.term.key, parts_.term.mod_revision).put(kMachineTypesKey, std::move(data));
+    transaction.expect_revision(parts_.term.key, parts_.term.mod_revision)
+        .put(kMachineTypesKey, std::move(data));
     TransactionResult result = co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
     machine_types_stored_ = result.status == StoreStatus::kOk || result.status == StoreStatus::kInvalid;
 }
@@ -35,7 +37,7 @@
 Task<void> CloudInventory::follow_machines() {
     while (true) {
         Seconds requested_at = parts_.loop.now();
-        auto list = co_await parts_.cloud.list();
+        auto list = co_await parts_.cloud.list_machines();
         if (list)
             for (const auto& listed : *list) add_listed(listed, requested_at);
         co_await parts_.loop.sleep(list ? constants::kListEvery_s : constants::kRetryPauseMax_s);
--- a/src/leader/cloud_inventory.h
+++ b/src/leader/cloud_inventory.h
@@ -13,7 +13,7 @@
     struct Parts {
         Loop& loop;
         const Config& config;
-        Cloud& cloud;
+        CloudClient& cloud;
         StoreClient& store;
         const LeaderTerm& term;
         Cluster& cluster;
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -1,5 +1,7 @@
 #include "leader/command_sender.h"
 
+#include "workers/worker_client.h"
+
 namespace hareshore {
 
 void CommandSender::send_urgent_stops() {
@@ -45,7 +47,7 @@
 
 std::vector<Command> CommandSender::stops_for(Machine& machine) {
     std::vector<Command> stops = parts_.jobs.commands(machine, false);
-    std::erase_if(stops, [](const Command& command) { return command.verb != CommandKind::kStop; });
+    std::erase_if(stops, [](const Command& command) { return command.kind != CommandKind::kStop; });
     if (machine.incarnation != 0) return stops;
     // A machine that has not reported to this leader may still answer to an earlier one. Its incarnation is
     // read from its refusal; a command that it accepts also carries this leader's fencing token to it, and
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -12,8 +12,8 @@
     return result.status == StoreStatus::kOk || result.status == StoreStatus::kNotFound;
 }
 
-uint64_t revision_or_missing(const GetResult& result) {
-    return result.status == StoreStatus::kOk ? result.entry.mod_revision : 0;
+Revision revision_or_absent(const GetResult& result) {
+    return result.status == StoreStatus::kOk ? result.entry.mod_revision : kAbsentRevision;
 }
 
 // How long a lease surely lasts on this controller's clock that was granted or renewed by a request sent
@@ -102,23 +102,23 @@
         log::info("leader_known", {{"leader", record.label}, {"fencing_token", fencing_token}});
         set_leader(record.label);
     }
-    ChangesResult changes = co_await store_.changes(kLeaderKey, listed.revision, constants::kLeadWatch_s);
-    if (changes.status != StoreStatus::kOk) co_await back_off();
+    WatchResult watched = co_await store_.watch(kLeaderKey, listed.revision, constants::kLeadWatch_s);
+    if (watched.status != WatchStatus::kOk) co_await back_off();
 }
 
 // This controller launches nothing any more: the key goes at once, so that others need not wait for the
 // lease.
 Task<void> Election::revoke_own_lease() {
     revoke_own_lease_ = false;
-    co_await store_.revoke(lease_, constants::kStateCall_s);
+    co_await store_.revoke_lease(lease_, constants::kStateCall_s);
 }
 
 // The key was left by this controller's last process, which is gone: no need to wait for its lease.
-Task<void> Election::revoke_earlier_process(uint64_t mod_revision) {
+Task<void> Election::revoke_earlier_process(Revision mod_revision) {
     log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
     GetResult own = co_await store_.get(kLeaderKey, constants::kStateCall_s);
     if (own.status == StoreStatus::kOk && own.entry.mod_revision == mod_revision)
-        co_await store_.revoke(own.entry.lease, constants::kStateCall_s);
+        co_await store_.revoke_lease(own.entry.lease.value_or(0), constants::kStateCall_s);
 }
 
 Task<void> Election::campaign_if_allowed() {
@@ -134,7 +134,7 @@
     std::optional<CampaignBasis> basis = co_await read_campaign_basis();
     if (!basis) co_return;
     Seconds requested_at = loop_.now();
-    LeaseResult granted = co_await store_.grant(constants::kLeadTtl_s, constants::kStateCall_s);
+    LeaseResult granted = co_await store_.grant_lease(constants::kLeadTtl_s, constants::kStateCall_s);
     if (granted.status != StoreStatus::kOk) {
         co_await back_off();
         co_return;
@@ -142,7 +142,7 @@
     uint64_t fencing_token = std::max(basis->last_fencing_token, known_fencing_token_) + 1;
     TransactionResult claimed = co_await claim_leadership(*basis, fencing_token, granted.lease);
     if (claimed.status != StoreStatus::kOk) {
-        co_await store_.revoke(granted.lease, constants::kStateCall_s);
+        co_await store_.revoke_lease(granted.lease, constants::kStateCall_s);
         co_return;
     }
     lease_ = granted.lease;
@@ -174,8 +174,8 @@
         co_return std::nullopt;
     }
     CampaignBasis basis;
-    basis.term_revision = revision_or_missing(term);
-    basis.record_format_revision = revision_or_missing(record_format);
+    basis.term_revision = revision_or_absent(term);
+    basis.record_format_revision = revision_or_absent(record_format);
     if (term.status == StoreStatus::kOk) {
         std::optional<uint64_t> last = unpack_leader_record(term.entry.data).fencing_token;
         if (!last) {
@@ -189,11 +189,11 @@
 }
 
 Task<TransactionResult> Election::claim_leadership(CampaignBasis basis, uint64_t fencing_token,
-                                                   uint64_t lease) {
+                                                   LeaseId lease) {
     Transaction transaction;
-    transaction.expect(kLeaderKey, 0)
-        .expect(kTermKey, basis.term_revision)
-        .expect(kRecordFormatKey, basis.record_format_revision);
+    transaction.expect_absent(kLeaderKey)
+        .expect_revision(kTermKey, basis.term_revision)
+        .expect_revision(kRecordFormatKey, basis.record_format_revision);
     std::string record = pack_leader_record(label_, fencing_token);
     transaction.put(kLeaderKey, record, lease).put(kTermKey, record);
     TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStateCall_s);
@@ -215,7 +215,7 @@
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds requested_at = loop_.now();
-        StoreStatus status = co_await store_.renew(lease_, constants::kStateCall_s);
+        StoreStatus status = co_await store_.renew_lease(lease_, constants::kStateCall_s);
         if (status == StoreStatus::kOk) lease_confirmed_until_ = lease_lasts_until(requested_at);
         if (status == StoreStatus::kNotFound) step_down(LossReason::kLeaseExpired);
         pause = status == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -27,7 +27,7 @@
     // Of the last term that this controller won; 0 before the first.
     [[nodiscard]] uint64_t fencing_token() const { return fencing_token_; }
     // Of the leadership key in that term: every write of a leader is conditioned on it.
-    [[nodiscard]] uint64_t mod_revision() const { return mod_revision_; }
+    [[nodiscard]] Revision mod_revision() const { return mod_revision_; }
     // The label of the controller that leads as far as this one has heard; empty if none.
     [[nodiscard]] const std::string& leader() const { return leader_; }
     // The highest fencing token that this controller has seen.
@@ -46,21 +46,20 @@
     void stop_campaigning();
 
   private:
-    // What a campaign is based on, as read from the store. Its transaction is conditioned on these revisions;
-    // 0: the key does not exist.
+    // What a campaign is based on, as read from the store. Its transaction is conditioned on these revisions.
     struct CampaignBasis {
         uint64_t last_fencing_token = 0;
-        uint64_t term_revision = 0;
-        uint64_t record_format_revision = 0;
+        Revision term_revision = kAbsentRevision;
+        Revision record_format_revision = kAbsentRevision;
     };
 
     Task<void> follow();
     Task<void> revoke_own_lease();
-    Task<void> revoke_earlier_process(uint64_t mod_revision);
+    Task<void> revoke_earlier_process(Revision mod_revision);
     Task<void> campaign_if_allowed();
     Task<void> campaign();
     Task<std::optional<CampaignBasis>> read_campaign_basis();
-    Task<TransactionResult> claim_leadership(CampaignBasis basis, uint64_t fencing_token, uint64_t lease);
+    Task<TransactionResult> claim_leadership(CampaignBasis basis, uint64_t fencing_token, LeaseId lease);
     Task<void> renew_lease();
     Task<void> back_off();
     void set_leader(const std::string& label);
@@ -73,8 +72,8 @@
     bool revoke_own_lease_ = false;  // after a resignation
     bool campaigning_stopped_ = false;
     uint64_t fencing_token_ = 0;
-    uint64_t mod_revision_ = 0;
-    uint64_t lease_ = 0;
+    Revision mod_revision_ = kAbsentRevision;
+    LeaseId lease_ = 0;
     uint64_t known_fencing_token_ = 0;
     std::string leader_;
     std::optional<Seconds> lease_confirmed_until_;
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -5,6 +5,7 @@
 #include "base/constants.h"
 #include "base/log.h"
 #include "leader/machine_drain.h"
+#include "workers/worker_wire.h"
 
 namespace hareshore {
 
@@ -145,12 +146,12 @@
     }
     const std::vector<Command> commands = parts_.jobs.commands(machine, machine.current);
     for (const auto& command : commands)
-        log::debug("command_sent", {{"command", command_name(command.verb)},
+        log::debug("command_sent", {{"command", command_name(command.kind)},
                                     {"task", command.name.text()},
                                     {"attempt", command.attempt},
                                     {"machine", machine.name}});
     Response response;
-    response.body = pack_report_answer(parts_.fencing_token, commands);
+    response.body = encode_heartbeat_answer(parts_.fencing_token, commands);
     // A command on its way numbers a heartbeat as well, so that the next one's number would show nothing.
     const bool next_number_known = !parts_.connections.of(machine.name).command_in_flight;
     machine.answered(route == HeartbeatRoute::kDirect && next_number_known, parts_.loop.now());
--- a/src/leader/machine_deletion.cc
+++ b/src/leader/machine_deletion.cc
@@ -47,14 +47,14 @@
             co_await parts_.loop.sleep(constants::kRetryPause_s);
             continue;
         }
-        const Removal result = co_await parts_.cloud.remove(allowed);
-        if (result == Removal::kDone) {
+        const DeleteOutcome result = co_await parts_.cloud.delete_machines(allowed);
+        if (result == DeleteOutcome::kDeleted) {
             confirm_deleted(allowed);
             std::erase_if(names,
                           [&](const std::string& name) { return parts_.deleted_machines.contains(name); });
             continue;
         }
-        maybe_executed = maybe_executed || result == Removal::kUnknown;
+        maybe_executed = maybe_executed || result == DeleteOutcome::kUnknown;
         co_await parts_.loop.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryPauseMax_s);
     }
--- a/src/leader/machine_deletion.h
+++ b/src/leader/machine_deletion.h
@@ -18,7 +18,7 @@
     // The parts of the leader that this one uses; all outlive it.
     struct Parts {
         Loop& loop;
-        Cloud& cloud;
+        CloudClient& cloud;
         const Leadership& leadership;
         TermLifecycle& lifecycle;
         JobTable& jobs;
@@ -35,8 +35,8 @@
 
   private:
     Task<void> delete_machines(std::vector<std::string> names, std::set<std::string> silent);
-    bool reported_again(const std::string& name, Seconds decided_at) const;
-    std::vector<std::string> allowed_now(const std::vector<std::string>& names) const;
+    [[nodiscard]] bool reported_again(const std::string& name, Seconds decided_at) const;
+    [[nodiscard]] std::vector<std::string> allowed_now(const std::vector<std::string>& names) const;
     void confirm_deleted(const std::vector<std::string>& names);
     [[nodiscard]] bool holds_cancelled_task(const std::string& name) const;
 
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -23,9 +23,10 @@
     Seconds pause = constants::kRetryPause_s;
     while (true) {
         co_await wait_for_confirmed_lease();
-        RentResult result =
-            co_await parts_.cloud.rent(key, kind.machine_type, kind.zone, kind.spot, portion.number);
-        if (result.result == Rent::kRented || result.result == Rent::kNoCapacity) {
+        // Named: GCC 12 destroys an aggregate twice that is made within a co_await expression.
+        CreateMachinesRequest request{key, kind.machine_type, kind.zone, kind.spot, portion.number};
+        CreateMachinesResult result = co_await parts_.cloud.create_machines(std::move(request));
+        if (result.outcome == CreateOutcome::kCreated || result.outcome == CreateOutcome::kNoCapacity) {
             add_rented(portion, result.machines);
             break;
         }
--- a/src/leader/machine_rental.h
+++ b/src/leader/machine_rental.h
@@ -15,7 +15,7 @@
     // The parts of the leader that this one uses; all outlive it.
     struct Parts {
         Loop& loop;
-        Cloud& cloud;
+        CloudClient& cloud;
         uint64_t fencing_token;
         const Leadership& leadership;
         TermLifecycle& lifecycle;
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -9,13 +9,14 @@
 
 Task<bool> RecordWatch::read_all() {
     std::string from;
-    uint64_t revision = 0;
+    Revision revision = kAbsentRevision;
     Seconds requested_at = parts_.loop.now();
     while (true) {
         ListResult page = co_await parts_.store.list(kLivePrefix, from, constants::kRecordsPage,
                                                      constants::kStateCall_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
-        if (revision == 0) revision = page.revision;  // changes since the first page are followed
+        if (revision == kAbsentRevision)
+            revision = page.revision;  // changes since the first page are followed
         for (auto& entry : page.entries) {
             from = entry.key;
             apply({entry.key, false, entry.mod_revision, std::move(entry.data)});
@@ -31,8 +32,8 @@
     Seconds pause = 0;
     while (true) {
         Seconds requested_at = parts_.loop.now();
-        ChangesResult result = co_await parts_.store.changes(kLivePrefix, revision_, constants::kWatchWait_s);
-        if (result.status == StoreStatus::kOk) {
+        WatchResult result = co_await parts_.store.watch(kLivePrefix, revision_, constants::kWatchWait_s);
+        if (result.status == WatchStatus::kOk) {
             pause = 0;
             for (const auto& change : result.changes) apply(change);
             revision_ = std::max(revision_, result.revision);
@@ -40,7 +41,7 @@
             if (!result.changes.empty()) parts_.pass_requests.request();
             continue;
         }
-        if (result.status == StoreStatus::kNotFound && co_await read_all()) {
+        if (result.status == WatchStatus::kCompacted && co_await read_all()) {
             // Never at once again: a store that goes on answering so must not be overloaded.
             parts_.pass_requests.request();
             co_await parts_.loop.sleep(constants::kRetryPause_s);
@@ -51,8 +52,8 @@
     }
 }
 
-void RecordWatch::apply(const Change& change) {
-    if (change.dropped) return;  // only this leader drops records, and has taken that into account
+void RecordWatch::apply(const KeyChange& change) {
+    if (change.deleted) return;  // only this leader deletes records, and has taken that into account
     auto record = JobRecord::unpack(change.data);
     if (!record || live_key(record->spec.id) != change.key) {
         quarantine(change);
@@ -69,7 +70,7 @@
     }
 }
 
-void RecordWatch::quarantine(const Change& change) {
+void RecordWatch::quarantine(const KeyChange& change) {
     std::string job_id = change.key.substr(kLivePrefix.size());
     if (!parts_.jobs.quarantined(job_id))
         log::error("job_quarantined",
--- a/src/leader/record_watch.h
+++ b/src/leader/record_watch.h
@@ -34,11 +34,11 @@
     void finish(const std::string& job_id, uint64_t revision);
 
   private:
-    void apply(const Change& change);
-    void quarantine(const Change& change);
+    void apply(const KeyChange& change);
+    void quarantine(const KeyChange& change);
 
     const Parts parts_;
-    uint64_t revision_ = 0;  // all changes up to it have been read
+    Revision revision_ = kAbsentRevision;  // all changes up to it have been read
     FinishedJobs finished_;
 };
 
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -11,7 +11,7 @@
 
 constexpr Seconds kNoTimeLimit = -1;  // for Loop::wait
 constexpr size_t kWritesPerFinish =
-    2;  // the writes of a job's end: the final record put, the live one dropped
+    2;  // the writes of a job's end: the final record put, the live one deleted
 
 double write_rate(const Config& config) {
     return config.write_rps * constants::kLeaderWriteShare;
@@ -65,7 +65,7 @@
             co_await back_off(result.status);
             continue;
         }
-        if (contains(result.failed, parts_.term.key)) {
+        if (contains(result.failed_keys, parts_.term.key)) {
             parts_.leadership.step_down(LossReason::kLeadershipKeyChanged);
             co_return;
         }
@@ -95,14 +95,14 @@
 
 RecordWriter::Batch RecordWriter::build_batch(const std::vector<Job*>& jobs) {
     Batch batch;
-    batch.transaction.expect(parts_.term.key, parts_.term.mod_revision);
+    batch.transaction.expect_revision(parts_.term.key, parts_.term.mod_revision);
     for (Job* job : jobs) {
         const std::string& id = job->spec.id;
         if (has_ended(*job)) {
             FinalRecord record{id, job->cancelled, job->spec.tasks, job->done.size()};
-            batch.transaction.expect(live_key(id), job->mod_revision)
+            batch.transaction.expect_revision(live_key(id), job->mod_revision)
                 .put(final_key(id), record.pack())
-                .drop(live_key(id));
+                .delete_key(live_key(id));
             batch.final_ids.insert(id);
         } else if (!add_live_record(*job, batch.transaction)) {
             continue;
@@ -124,7 +124,7 @@
         return false;
     }
     const std::string key = live_key(job.spec.id);
-    transaction.expect(key, job.mod_revision).put(key, std::move(data));
+    transaction.expect_revision(key, job.mod_revision).put(key, std::move(data));
     return true;
 }
 
@@ -156,7 +156,7 @@
 
 Task<void> RecordWriter::reread_conflicts(const Batch& batch, const TransactionResult& result) {
     for (const auto& id : batch.job_ids)
-        if (contains(result.failed, live_key(id))) co_await parts_.record_watch.reread(id);
+        if (contains(result.failed_keys, live_key(id))) co_await parts_.record_watch.reread(id);
 }
 
 Task<void> RecordWriter::back_off(StoreStatus status) {
@@ -180,8 +180,8 @@
     while (parts_.record_format.kept < kNewestRecordFormat) {
         if (parts_.leadership.all_peers_upgraded()) {
             Transaction transaction;
-            transaction.expect(parts_.term.key, parts_.term.mod_revision)
-                .expect(kRecordFormatKey, 0)
+            transaction.expect_revision(parts_.term.key, parts_.term.mod_revision)
+                .expect_absent(kRecordFormatKey)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, parts_.loop.now());
             co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -5,8 +5,9 @@
 // lacking, and no room was kept meanwhile. On a full fleet the two took turns until the gang starved.
 #include <gtest/gtest.h>
 
+#include "jobs/resource_accounting.h"
 #include "scheduler/scheduler.h"
-#include "standins.h"
+#include "standins/deployment.h"
 
 using namespace hareshore;
 
