--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -112,7 +112,7 @@
         // Also a peer that does not lead proves that there was such a term: the new leader itself may be cut
         // off from here.
         const auto& heartbeat = peer.last_heartbeat();
-        election_.heard(heartbeat.leads ? peer.label() : "", heartbeat.fencing_token);
+        election_.observe_peer_term(heartbeat.leads ? peer.label() : "", heartbeat.fencing_token);
     }
 }
 
@@ -151,7 +151,7 @@
         if (record_format_.kept < kNewestRecordFormat)
             co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
-    if (record_format_.newer()) election_.stop_standing();
+    if (record_format_.newer()) election_.stop_campaigning();
 }
 
 Task<Response> Controller::handle(Request request) {
@@ -192,14 +192,14 @@
     const HeartbeatHeader header = heartbeat->header();  // the heartbeat itself goes to the leader
     worker_heartbeats_.record(loop_.now());
     if (const auto leader = leader_runner_.leader()) {
-        Response response =
-            co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kIdleHeartbeatHold_s, true);
+        Response response = co_await leader->handle_heartbeat(
+            std::move(*heartbeat), constants::kIdleHeartbeatHold_s, HeartbeatRoute::kDirect);
         const bool leads_still = leader_runner_.leader() == leader && election_.leading();
         if (response.status == static_cast<int>(HttpStatus::kOk) || leads_still) co_return response;
     }
     const std::string& leader_label = election_.leader();
     if (leader_label.empty() || leader_label == config_.label) co_return redirect_response(std::nullopt);
-    if (router_.route(header, leader_label, loop_.now()) == HeartbeatRoute::kRedirect)
+    if (router_.route(header, leader_label, loop_.now()) == HeartbeatRouting::kRedirect)
         co_return redirect_response(leader_label);
     auto answer = co_await peers_.relay(leader_label, std::move(body));
     if (!answer || answer->status != static_cast<int>(HttpStatus::kOk))
@@ -212,7 +212,7 @@
     const auto leader = leader_runner_.leader();
     if (!heartbeat || !leader) co_return empty_response(HttpStatus::kMisdirectedRequest);
     co_return co_await leader->handle_heartbeat(std::move(*heartbeat), constants::kRelayedHeartbeatHold_s,
-                                                false);
+                                                HeartbeatRoute::kRelayed);
 }
 
 }  // namespace hareshore
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -10,7 +10,7 @@
 
 namespace hareshore {
 
-enum class HeartbeatRoute : uint8_t {
+enum class HeartbeatRouting : uint8_t {
     kRedirect,  // the worker is told to send to the leader
     kRelay,     // the worker cannot reach the leader: this controller sends the heartbeat on
 };
@@ -20,7 +20,7 @@
 class HeartbeatRouter {
   public:
     // `leader`: the label of the leader, which is another controller.
-    [[nodiscard]] HeartbeatRoute route(const HeartbeatHeader& heartbeat, const std::string& leader,
+    [[nodiscard]] HeartbeatRouting route(const HeartbeatHeader& heartbeat, const std::string& leader,
                                        Seconds now);
 
   private:
--- a/src/controller/term_checks.h
+++ b/src/controller/term_checks.h
@@ -16,10 +16,10 @@
         : loop_(loop), election_(election), peers_(peers), fencing_token_(fencing_token) {}
 
     [[nodiscard]] Seconds cancellations_known_until(Seconds since) const override;
-    [[nodiscard]] bool confirmed() const override;
+    [[nodiscard]] bool lease_confirmed() const override;
     [[nodiscard]] bool no_other_leader() const override;
     [[nodiscard]] bool all_peers_upgraded() const override;
-    void deposed(const char* reason) override;
+    void step_down(LossReason reason) override;
 
   private:
     bool is_current() const { return election_.fencing_token() == fencing_token_; }
--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -33,7 +33,8 @@
         record.pack(2),
         packer.take(),
         peer::encode_frame(peer::FrameKind::kHeartbeat, 1, 2, heartbeat),
-        peer::encode_frame(peer::FrameKind::kCancellationNotice, 1, 2, peer::encode_cancellation_notice({7, 3, {"job-1", "job-22"}})),
+        peer::encode_frame(peer::FrameKind::kCancellationNotice, 1, 2,
+                           peer::encode_cancellation_notice({7, 3, {"job-1", "job-22"}})),
         "(hold-s 4)(min-machines 1)",
         encode_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kSettingsText};
@@ -44,7 +45,7 @@
         mutate(s, rng);
         taken += JobRecord::unpack(s).has_value();
         taken += decode_heartbeat(s).has_value();
-        taken += std::holds_alternative<JobSpec>(parse_submission(s));
+        taken += parse_submission(s).has_value();
         taken += FinalRecord::unpack(s).has_value();
         taken += decode_machine_types(s).has_value();
         peer::FrameReader reader;
--- a/tests/workers/worker_wire_test.cc
+++ b/tests/workers/worker_wire_test.cc
@@ -8,6 +8,7 @@
 
 #include "base/constants.h"
 #include "http/msgpack.h"
+#include "workers/command.h"
 
 namespace hareshore {
 namespace {
