--- a/src/controller/heartbeat_router.cc
+++ b/src/controller/heartbeat_router.cc
@@ -4,8 +4,8 @@
 
 namespace hareshore {
 
-HeartbeatRoute HeartbeatRouter::route(const HeartbeatHeader& heartbeat, const std::string& leader,
-                                      Seconds now) {
+HeartbeatRouting HeartbeatRouter::route(const HeartbeatHeader& heartbeat, const std::string& leader,
+                                        Seconds now) {
     if (workers_.size() > constants::kRedirectionsKept) workers_.clear();
     WorkerState& worker = workers_[heartbeat.machine];
     const bool is_new = heartbeat.newer_than(worker.incarnation, worker.sequence);
@@ -31,7 +31,7 @@
     }
     worker.leader = leader;
     worker.routed_at = now;
-    return relay ? HeartbeatRoute::kRelay : HeartbeatRoute::kRedirect;
+    return relay ? HeartbeatRouting::kRelay : HeartbeatRouting::kRedirect;
 }
 
 }  // namespace hareshore
--- a/src/controller/term_checks.cc
+++ b/src/controller/term_checks.cc
@@ -8,8 +8,8 @@
     return hareshore::cancellations_known_until(peers_.statuses(), since, loop_.now());
 }
 
-bool TermChecks::confirmed() const {
-    return is_current() && election_.confirmed();
+bool TermChecks::lease_confirmed() const {
+    return is_current() && election_.lease_confirmed();
 }
 
 bool TermChecks::no_other_leader() const {
@@ -21,8 +21,8 @@
     return hareshore::all_peers_upgraded(peers_.statuses());
 }
 
-void TermChecks::deposed(const char* reason) {
-    if (is_current()) election_.deposed(reason);
+void TermChecks::step_down(LossReason reason) {
+    if (is_current()) election_.step_down(reason);
 }
 
 }  // namespace hareshore
--- a/tests/jobs/machine_health_test.cc
+++ b/tests/jobs/machine_health_test.cc
@@ -111,7 +111,8 @@
         WorkerHeartbeat r = heartbeat(machine, {});
         r.incarnation = incarnation;
         r.sequence = sequence;
-        machine.update_reachability(r, direct, config.lease_s, now += 3);
+        machine.update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed,
+                                    config.lease_s, now += 3);
         jobs.apply(cluster, machine, r, true, now);
         machine.answered(direct, now);
         return !machine.unreachable_since;
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -17,8 +17,9 @@
 struct ScriptedPeer {
     Deployment& deployment;
     uint64_t incarnation = 77;
-    uint8_t record_format = peer::kAnnouncedRecordFormat;  // 0: the version in production, which knows no cancellations
-    uint32_t announced = 0;                     // cancellations that it says it told users of
+    uint8_t record_format =
+        peer::kAnnouncedRecordFormat;  // 0: the version in production, which knows no cancellations
+    uint32_t announced = 0;            // cancellations that it says it told users of
     std::vector<std::string> sends;  // and those that it sends ahead of its next answer, numbered from `from`
     uint32_t from = 0;
     Seconds announced_last = 0;  // when it told a user of one
@@ -72,11 +73,12 @@
                 std::string out;
                 if (!sends.empty())
                     out = peer::encode_frame(peer::FrameKind::kCancellationNotice, 0, incarnation,
-                                     peer::encode_cancellation_notice({incarnation, from, sends}));
+                                             peer::encode_cancellation_notice({incarnation, from, sends}));
                 sends.clear();
                 peer::ControllerHeartbeat b = heartbeat();
                 b.request_sent_us = peer::decode_controller_heartbeat(fields->payload)->request_sent_us;
-                out += peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
+                out +=
+                    peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
@@ -87,7 +89,8 @@
             Stream::Read got = co_await stream->read(-1);
             if (!got.ok()) co_return;
             reader.feed(got.bytes);
-            while (auto fields = reader.next()) unknown += fields->kind == peer::FrameKind::kCancellationNotice;
+            while (auto fields = reader.next())
+                unknown += fields->kind == peer::FrameKind::kCancellationNotice;
         }
     }
     Task<void> heartbeats() {
@@ -97,7 +100,8 @@
         while (stream) {
             co_await deployment.loop.sleep(0.93);
             co_await stream->write(
-                peer::encode_frame(peer::FrameKind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()), -1);
+                peer::encode_frame(peer::FrameKind::kHeartbeat, next_heartbeat++, incarnation, heartbeat()),
+                -1);
         }
     }
 };
