--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -47,6 +47,8 @@
 inline constexpr double kSendTimeout_s = 10.0;
 // Seconds for a connection attempt: far above any healthy round trip.
 inline constexpr double kConnectTimeout_s = 1.5;
+// Sockets that the process may open if the platform's settings do not state it.
+inline constexpr size_t kDefaultSockets = 512;
 // Share of the process's sockets that is reserved for outgoing calls.
 inline constexpr double kReservedSocketShare = 0.15;
 // Open connections to the key-value store and to the cloud, each.
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -1,110 +1,155 @@
+#include "config/settings.h"
+
 #include <sexp.h>
 
+#include <cctype>
 #include <charconv>
-#include <cstring>
-#include <fstream>
-#include <sstream>
+#include <optional>
+#include <string_view>
+#include <utility>
 
-#include "config/config.h"
+#include "config/config_error.h"
+#include "config/text_file.h"
 
 namespace hareshore {
 
 namespace {
 
-std::string slurp(const std::string& path) {
-    std::ifstream in(path, std::ios::binary);
-    if (!in) throw ConfigError("cannot read " + path);
-    std::ostringstream s;
-    s << in.rdbuf();
-    return s.str();
-}
+enum class NumberKind : uint8_t { kDecimal, kWhole };
 
-struct Field {
+// One setting: its name, its range and how it is set.
+struct SettingRule {
     const char* name = nullptr;
-    double low = 0;
-    double high = 0;
+    double least = 0;
+    double most = 0;
     void (*set)(Settings&, double) = nullptr;
-    bool whole = false;
+    NumberKind kind = NumberKind::kDecimal;
 };
 
-const Field kFields[] = {
+const SettingRule kSettingRules[] = {
     {"hold-s", 0, 600, [](Settings& s, double v) { s.hold_s = v; }},
     {"similar-age-s", 0, 3600, [](Settings& s, double v) { s.similar_age_s = v; }},
     {"begin-bound-s", 0, 86400, [](Settings& s, double v) { s.begin_bound_s = v; }},
     {"age-bound-s", 0, 86400, [](Settings& s, double v) { s.age_bound_s = v; }},
-    {"min-machines", 0, 10000, [](Settings& s, double v) { s.min_machines = static_cast<int>(v); }, true},
-    {"max-machines", 0, 10000, [](Settings& s, double v) { s.max_machines = static_cast<int>(v); }, true},
+    {"min-machines", 0, 10000, [](Settings& s, double v) { s.min_machines = static_cast<int>(v); },
+     NumberKind::kWhole},
+    {"max-machines", 0, 10000, [](Settings& s, double v) { s.max_machines = static_cast<int>(v); },
+     NumberKind::kWhole},
     {"min-idle-machines", 0, 1000, [](Settings& s, double v) { s.min_idle_machines = static_cast<int>(v); },
-     true},
+     NumberKind::kWhole},
     {"idle-return-s", 5, 86400, [](Settings& s, double v) { s.idle_return_s = v; }},
     {"calm-s", 0, 86400, [](Settings& s, double v) { s.calm_s = v; }},
     {"preempt-after-s", 0, 3600, [](Settings& s, double v) { s.preempt_after_s = v; }},
 };
 
-void apply(Settings& s, const char* name, const char* value, const std::string& where) {
-    for (const auto& f : kFields) {
-        if (std::strcmp(f.name, name) != 0) continue;
-        double v = 0;
-        const char* end = value + std::strlen(value);
-        auto got = std::from_chars(value, end, v);
-        if (got.ec != std::errc{} || got.ptr != end)
-            throw ConfigError(where + f.name + ": a number is needed");
-        if (!(v >= f.low && v <= f.high) || (f.whole && v != static_cast<int>(v)))
-            throw ConfigError(where + f.name + ": must be from " + std::to_string(static_cast<int>(f.low)) +
-                              " to " + std::to_string(static_cast<int>(f.high)) + (f.whole ? ", whole" : ""));
-        f.set(s, v);
-        return;
+std::string at_line(size_t line) {
+    return "line " + std::to_string(line) + ": ";
+}
+
+[[noreturn]] void fail_syntax(size_t line) {
+    throw ConfigError(ConfigError::Kind::kSyntax, at_line(line) + "expected (name value)");
+}
+
+// "(name value)" as it stands in the file.
+struct Expression {
+    std::string text;
+    size_t line = 1;  // where it begins
+};
+
+// Cuts the file into its expressions, so that an error can name the line; a semicolon begins a comment.
+class ExpressionScanner {
+  public:
+    explicit ExpressionScanner(const std::string& text) : text_(text) {}
+
+    // The next expression; empty at the end of the file. Throws ConfigError if anything else follows.
+    std::optional<Expression> next() {
+        skip_blanks_and_comments();
+        if (position_ == text_.size()) return std::nullopt;
+        size_t close = text_.find(')', position_);
+        if (text_[position_] != '(' || close == std::string::npos) fail_syntax(line_);
+        Expression expression{text_.substr(position_, close - position_ + 1), line_};
+        bool nested = expression.text.find('(', 1) != std::string::npos;
+        if (nested || expression.text.find_first_of(";\"'`,[]{}|") != std::string::npos) fail_syntax(line_);
+        for (; position_ <= close; ++position_) count_line();
+        return expression;
+    }
+
+  private:
+    void count_line() {
+        if (text_[position_] == '\n') ++line_;
+    }
+    void skip_blanks_and_comments() {
+        bool in_comment = false;
+        for (; position_ < text_.size(); ++position_) {
+            char c = text_[position_];
+            if (c == ';') in_comment = true;
+            if (c == '\n') in_comment = false;
+            if (!in_comment && !std::isspace(static_cast<unsigned char>(c))) return;
+            count_line();
+        }
     }
-    throw ConfigError(where + "unknown setting " + name);
+
+    const std::string& text_;
+    size_t position_ = 0;
+    size_t line_ = 1;
+};
+
+struct NameAndValue {
+    std::string name;
+    std::string value;
+};
+
+NameAndValue parse_expression(const Expression& expression) {
+    std::string text = expression.text;  // the parser wants it writable
+    sexp_t* parsed = parse_sexp(text.data(), text.size());
+    const sexp_t* name = parsed && parsed->ty == SEXP_LIST ? parsed->list : nullptr;
+    const sexp_t* value = name && name->ty == SEXP_VALUE ? name->next : nullptr;
+    bool is_pair = value && value->ty == SEXP_VALUE && !value->next;
+    NameAndValue result;
+    if (is_pair) result = {name->val, value->val};
+    if (parsed) destroy_sexp(parsed);
+    if (!is_pair) fail_syntax(expression.line);
+    return result;
 }
 
-}  // namespace
+double parse_value(const SettingRule& rule, const std::string& text, const std::string& where) {
+    auto fail = [&](const std::string& what) {
+        throw ConfigError(ConfigError::Kind::kInvalidValue, where + rule.name + ": " + what);
+    };
+    double value = 0;
+    const char* end = text.data() + text.size();
+    auto parsed = std::from_chars(text.data(), end, value);
+    if (parsed.ec != std::errc{} || parsed.ptr != end) fail("a number is needed");
+    bool whole = rule.kind == NumberKind::kWhole;
+    bool in_range = value >= rule.least && value <= rule.most;
+    if (!in_range || (whole && value != static_cast<int>(value)))
+        fail("must be from " + std::to_string(static_cast<int>(rule.least)) + " to " +
+             std::to_string(static_cast<int>(rule.most)) + (whole ? ", whole" : ""));
+    return value;
+}
 
-Config Config::load(const std::string& path) {
-    return parse(slurp(path));
+void apply(Settings& settings, const NameAndValue& setting, const std::string& where) {
+    for (const SettingRule& rule : kSettingRules) {
+        if (rule.name != setting.name) continue;
+        rule.set(settings, parse_value(rule, setting.value, where));
+        return;
+    }
+    throw ConfigError(ConfigError::Kind::kUnknownName, where + "unknown setting " + setting.name);
 }
 
+}  // namespace
+
 Settings Settings::load(const std::string& path) {
-    return parse(slurp(path));
+    return parse(read_text_file(path));
 }
 
-// One format a setting, "(hold-s 10)"; a semicolon begins a comment. Formats are cut out here, so that an
-// error can name its line, and each is read by sfsexp.
 Settings Settings::parse(const std::string& text) {
-    Settings s;
-    size_t line = 1;
-    size_t i = 0;
-    while (i < text.size()) {
-        char c = text[i];
-        if (c == '\n') ++line;
-        if (c == ';') {
-            while (i < text.size() && text[i] != '\n') ++i;
-            continue;
-        }
-        if (std::isspace(static_cast<unsigned char>(c))) {
-            ++i;
-            continue;
-        }
-        std::string where = "line " + std::to_string(line) + ": ";
-        size_t close = text.find(')', i);
-        if (c != '(' || close == std::string::npos) throw ConfigError(where + "expected (name value)");
-        std::string record_format = text.substr(i, close - i + 1);
-        if (record_format.find_first_of(";\"'`,[]{}|") != std::string::npos ||
-            record_format.find('(', 1) != std::string::npos)
-            throw ConfigError(where + "expected (name value)");
-        sexp_t* e = parse_sexp(record_format.data(), record_format.size());
-        bool pair = e && e->ty == SEXP_LIST && e->list && e->list->ty == SEXP_VALUE && e->list->next &&
-                    e->list->next->ty == SEXP_VALUE && !e->list->next->next;
-        std::string name = pair ? e->list->val : "";
-        std::string value = pair ? e->list->next->val : "";
-        if (e) destroy_sexp(e);
-        if (!pair) throw ConfigError(where + "expected (name value)");
-        apply(s, name.c_str(), value.c_str(), where);
-        for (; i <= close; ++i)
-            if (text[i] == '\n') ++line;
-    }
+    Settings settings;
+    ExpressionScanner scanner(text);
+    while (std::optional<Expression> expression = scanner.next())
+        apply(settings, parse_expression(*expression), at_line(expression->line));
     sexp_cleanup();
-    return s;
+    return settings;
 }
 
 }  // namespace hareshore
--- /dev/null
+++ b/src/config/text_file.h
@@ -0,0 +1,10 @@
+// Reading configuration files.
+#pragma once
+#include <string>
+
+namespace hareshore {
+
+// The whole content of a file. Throws ConfigError if it cannot be read.
+[[nodiscard]] std::string read_text_file(const std::string& path);
+
+}  // namespace hareshore
--- a/src/users/record_reader.cc
+++ b/src/users/record_reader.cc
@@ -7,16 +7,16 @@
 
 namespace hareshore {
 
-bool RecordReader::rate_exceeded_lately() const {
-    return rate_exceeded_at_ >= 0 && loop_.now() - rate_exceeded_at_ < constants::kBatchReadsAfterRateLimit_s;
+bool RecordReader::rate_limited_lately() const {
+    return rate_limited_at_ && loop_.now() - *rate_limited_at_ < constants::kBatchReadsAfterRateLimit_s;
 }
 
 Task<GetResult> RecordReader::read(std::string job_id, Seconds until) {
     std::string key = live_key(job_id);
-    if (!rate_exceeded_lately()) {
-        GetResult result = co_await state_.get(key, until - loop_.now());
+    if (!rate_limited_lately()) {
+        GetResult result = co_await store_.get(key, until - loop_.now());
         if (result.status != StoreStatus::kRateLimited) co_return result;
-        rate_exceeded_at_ = loop_.now();
+        rate_limited_at_ = loop_.now();
     }
     co_return co_await read_from_listing(std::move(key), until);
 }
@@ -27,7 +27,7 @@
     listing->wanted.insert(key);
     if (!running_) {
         running_ = true;
-        scope_.spawn(run_listings(), "record listings");
+        listing_tasks_.spawn(run_listings(), "record listings");
     }
     GetResult result;
     while (!listing->is_done)
@@ -35,17 +35,20 @@
     result.status = listing->status;
     if (result.status != StoreStatus::kOk) co_return result;
     auto found = listing->found.find(key);
-    if (found == listing->found.end())
+    if (found == listing->found.end()) {
         result.status = StoreStatus::kNotFound;
-    else
+    } else {
         result.entry = found->second;
+    }
     co_return result;
 }
 
 Task<void> RecordReader::run_listings() {
     while (next_) {
-        Seconds earliest = last_listing_at_ + constants::kJobListingInterval_s;
-        if (last_listing_at_ >= 0 && earliest > loop_.now()) co_await loop_.sleep(earliest - loop_.now());
+        if (last_listing_at_) {
+            Seconds pause = *last_listing_at_ + constants::kJobListingInterval_s - loop_.now();
+            if (pause > 0) co_await loop_.sleep(pause);
+        }
         last_listing_at_ = loop_.now();
         std::shared_ptr<Listing> listing = std::exchange(next_, nullptr);
         co_await run(*listing);
@@ -58,7 +61,7 @@
 Task<void> RecordReader::run(Listing& listing) {
     std::string from;
     while (true) {
-        ListResult page = co_await state_.list(kLivePrefix, from, constants::kJobListingPageSize,
+        ListResult page = co_await store_.list(kLivePrefix, from, constants::kJobListingPageSize,
                                                constants::kStoreCallTimeout_s);
         listing.status = page.status;
         if (page.status != StoreStatus::kOk) co_return;
--- a/src/users/record_reader.h
+++ b/src/users/record_reader.h
@@ -1,9 +1,11 @@
-// Reads records of unfinished jobs for users' requests. Usually each is read by itself. While the state
-// service refuses reads for its rate, those that wait are answered together from one listing.
+// Reads records of unfinished jobs for users' requests. Usually each is read by itself. While the key-value
+// store refuses reads for its rate limit, the waiting ones are answered together from one listing.
 #pragma once
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
+#include <string>
 
 #include "loop/loop.h"
 #include "state/store_client.h"
@@ -12,16 +14,19 @@
 
 class RecordReader {
   public:
-    RecordReader(Loop& loop, StoreClient& state) : loop_(loop), state_(state), scope_(loop) {}
-    // The job's record as it was at some moment after the call, so that no answer is older than one that was
-    // given before.
+    // Both must outlive the reader.
+    RecordReader(Loop& loop, StoreClient& store) : loop_(loop), store_(store), listing_tasks_(loop) {}
+
+    // The record of the job as it was at some moment after the call, so that no answer is older than one that
+    // was given before. kNotFound if the job is not unfinished; kNotExecuted if `until` on the loop's clock
+    // passed.
     Task<GetResult> read(std::string job_id, Seconds until);
 
-    // Cancels what is under way; the loop unwinds it in its next turns.
-    void stop() { scope_.cancel(); }
+    // Cancels the listing in progress; its coroutine unwinds in the loop's next turns.
+    void stop() { listing_tasks_.cancel(); }
 
   private:
-    // One listing of all unfinished jobs, and the reads that it answers. It begins after they came.
+    // One listing of all unfinished jobs, and the reads that it answers. It begins after they were requested.
     struct Listing {
         explicit Listing(Loop& loop) : done(loop) {}
         std::set<std::string> wanted;  // keys
@@ -31,18 +36,18 @@
         Condition done;
     };
 
-    bool rate_exceeded_lately() const;
+    [[nodiscard]] bool rate_limited_lately() const;
     Task<GetResult> read_from_listing(std::string key, Seconds until);
     Task<void> run_listings();
     Task<void> run(Listing& listing);
 
     Loop& loop_;
-    StoreClient& state_;
-    Seconds rate_exceeded_at_ = -1;  // when a read was last refused for the rate; -1: never
-    Seconds last_listing_at_ = -1;
+    StoreClient& store_;
+    std::optional<Seconds> rate_limited_at_;  // when a read was last refused for the rate limit
+    std::optional<Seconds> last_listing_at_;
     std::shared_ptr<Listing> next_;  // has not begun; null if no read waits for it
-    bool running_ = false;
-    TaskGroup scope_;
+    bool running_ = false;           // run_listings() is in progress
+    TaskGroup listing_tasks_;
 };
 
 }  // namespace hareshore
--- /dev/null
+++ b/src/users/submission.cc
@@ -0,0 +1,88 @@
+#include "users/submission.h"
+
+#include <utility>
+
+#include "base/constants.h"
+#include "base/log.h"
+#include "users/user_wire.h"
+
+namespace hareshore {
+
+SubmissionHandler::SubmissionHandler(Loop& loop, const Config& config, StoreClient& store,
+                                     const std::vector<MachineType>& machine_types,
+                                     const RecordFormat& record_format, JobReader& reader,
+                                     AnswerHistory& history, JobResponder& responder)
+    : loop_(loop),
+      config_(config),
+      store_(store),
+      machine_types_(machine_types),
+      record_format_(record_format),
+      reader_(reader),
+      history_(history),
+      responder_(responder) {}
+
+Task<Response> SubmissionHandler::submit(std::string body) {
+    tl::expected<JobSpec, SubmissionError> job = parse_submission(body);
+    if (!job) {
+        std::string reason = describe(job.error());
+        log::info("submission_refused", {{"reason", reason}});
+        co_return error_response(400, reason);
+    }
+    Seconds until = loop_.now() + constants::kUserWriteTimeout_s;
+    if (record_format_.newer())
+        co_return retry_response(RetryCause::kFailure);  // records are not ours to write
+    JobRecord record;
+    record.spec = std::move(*job);
+    record.accepted_wall = loop_.wall();
+    if (machine_types_.empty()) co_return co_await answer_unless_accepted(record.spec, std::nullopt, until);
+    std::optional<JobRefusal> refusal = never_runnable(record.spec, config_, machine_types_);
+    if (!refusal) refusal = never_recordable(record, config_, record_format_);
+    if (refusal) co_return co_await answer_unless_accepted(record.spec, refusal, until);
+    if (reader_.store_unavailable()) co_return retry_response(RetryCause::kStoreOutage);
+    co_return co_await commit(std::move(record), until);
+}
+
+Task<Response> SubmissionHandler::answer_unless_accepted(JobSpec job, std::optional<JobRefusal> refusal,
+                                                         Seconds until) {
+    JobStateResult state = co_await reader_.read(job.id, until);
+    if (state) co_return responder_.respond(job.id, *state, JobDetail::kPhase);
+    bool certain = refusal && state.error() == JobReadError::kUnknownJob;
+    if (!certain) co_return retry_response(RetryCause::kFailure);
+    co_return error_response(status_of(*refusal), describe(*refusal, job));
+}
+
+Task<Response> SubmissionHandler::commit(JobRecord record, Seconds until) {
+    const JobSpec& job = record.spec;
+    Transaction transaction;
+    transaction.expect(live_key(job.id), 0).expect(final_key(job.id), 0);
+    transaction.put(live_key(job.id), record.pack(record_format_.in_force()));
+    TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
+    switch (result.status) {
+        case StoreStatus::kOk: {
+            log::debug("job_accepted", {{"job", job.id},
+                                        {"class", job.job_class},
+                                        {"tasks", job.tasks},
+                                        {"image", job.image},
+                                        {"team", job.team}});
+            // The commit's response may have been slow, and the job may have been cancelled meanwhile.
+            JobStateResult state = history_.no_older_than_answered(job.id, JobState{});
+            Response response = responder_.respond(job.id, *state, JobDetail::kPhase);
+            response.status = 201;
+            co_return response;
+        }
+        case StoreStatus::kConflict: {
+            JobStateResult state = co_await reader_.read(job.id, until);
+            if (state) co_return responder_.respond(job.id, *state, JobDetail::kPhase);
+            co_return retry_response(RetryCause::kFailure);
+        }
+        // The user is told at once when to come back, rather than held.
+        case StoreStatus::kRateLimited:
+            co_return retry_response(RetryCause::kOverload);
+        case StoreStatus::kNotExecuted:
+            co_return retry_response(RetryCause::kStoreOutage);
+        default:
+            co_return retry_response(RetryCause::kFailure);
+    }
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/users/submission_check.cc
@@ -0,0 +1,67 @@
+#include "users/submission_check.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "http/json_size.h"
+
+namespace hareshore {
+
+namespace {
+
+bool names_type(const JobSpec& job, const MachineType& type) {
+    return job.machine_types.empty() || std::find(job.machine_types.begin(), job.machine_types.end(),
+                                                  type.name) != job.machine_types.end();
+}
+
+}  // namespace
+
+std::optional<JobRefusal> never_runnable(const JobSpec& job, const Config& config,
+                                         const std::vector<MachineType>& machine_types) {
+    const Team* team = config.team(job.team);
+    if (!team) return JobRefusal::kUnknownTeam;
+    bool fits = std::any_of(machine_types.begin(), machine_types.end(), [&](const MachineType& type) {
+        return type.fits(job.cpus, job.gpus, job.memory_gb) && names_type(job, type);
+    });
+    if (!fits) return JobRefusal::kNoMachineTypeFits;
+    double tasks_at_once = job.gang() || job.service() ? job.tasks : 1;
+    if (team->cpus_max > 0 && job.cpus * tasks_at_once > team->cpus_max)
+        return JobRefusal::kCpusAboveTeamLimit;
+    if (team->gpus_max > 0 && job.gpus * tasks_at_once > team->gpus_max)
+        return JobRefusal::kGpusAboveTeamLimit;
+    return std::nullopt;
+}
+
+std::optional<JobRefusal> never_recordable(const JobRecord& record, const Config& config,
+                                           const RecordFormat& record_format) {
+    // All tasks of a gang are in its record at once. An array's or a service's start as its record has room,
+    // one at a time if need be.
+    size_t reserve = constants::kRecordReserveBytes;
+    if (record.spec.gang()) reserve += (record.spec.tasks - 1) * constants::kMinPlacementBytes;
+    for (uint64_t format = record_format.in_force(); format <= kNewestRecordFormat; ++format)
+        if (json_size(record.pack(format)) + reserve > config.value_limit(format))
+            return JobRefusal::kRecordTooLarge;
+    return std::nullopt;
+}
+
+int status_of(JobRefusal refusal) {
+    return refusal == JobRefusal::kRecordTooLarge ? 400 : 422;
+}
+
+std::string describe(JobRefusal refusal, const JobSpec& job) {
+    switch (refusal) {
+        case JobRefusal::kUnknownTeam:
+            return "unknown team " + job.team;
+        case JobRefusal::kNoMachineTypeFits:
+            return "a task fits no allowed machine type";
+        case JobRefusal::kCpusAboveTeamLimit:
+            return "more CPUs than the team's limit";
+        case JobRefusal::kGpusAboveTeamLimit:
+            return "more GPUs than the team's limit";
+        case JobRefusal::kRecordTooLarge:
+            break;
+    }
+    return "the job's description is too long to be kept, or its gang too large";
+}
+
+}  // namespace hareshore
--- a/src/users/user_wire.cc
+++ b/src/users/user_wire.cc
@@ -1,13 +1,28 @@
 #include "users/user_wire.h"
 
+#include <optional>
+#include <utility>
+#include <vector>
+
 #include "base/constants.h"
+#include "http/msgpack.h"
 
 namespace hareshore {
 
 namespace {
 
-const char* phase_name(JobPhase p) {
-    switch (p) {
+constexpr std::string_view kJobsPath = "/v2/runs";
+constexpr std::string_view kCancelOperation = "withdraw";
+constexpr std::string_view kJobIdPrefix = "job-";
+
+constexpr size_t kJobIdLimit = 64;       // bytes of a job id
+constexpr size_t kNameLimit = 128;       // bytes of any other name
+constexpr size_t kEnumeratorLimit = 16;  // bytes of a text with enumerated values
+constexpr size_t kNameListLimit = 64;    // names in a list
+constexpr double kLargestAmount = 1e12;  // far above any machine or duration, far below overflow
+
+const char* phase_name(JobPhase phase) {
+    switch (phase) {
         case JobPhase::kPending:
             return "pending";
         case JobPhase::kRunning:
@@ -20,160 +35,213 @@
     return "pending";
 }
 
-// Reads fields one by one and remembers the first that is missing or invalid.
-class Fields {
+std::optional<JobKind> parse_kind(std::string_view text) {
+    if (text == "sweep") return JobKind::kArray;
+    if (text == "ensemble") return JobKind::kGang;
+    if (text == "standing") return JobKind::kService;
+    return std::nullopt;
+}
+
+std::optional<PriorityClass> parse_priority(std::string_view text) {
+    if (text == "production") return PriorityClass::kProduction;
+    if (text == "high") return PriorityClass::kHigh;
+    if (text == "standard") return PriorityClass::kStandard;
+    if (text == "idle") return PriorityClass::kIdle;
+    return std::nullopt;
+}
+
+// Reads a map's fields one after the other and remembers the first that is missing or invalid.
+class FieldReader {
   public:
-    explicit Fields(MsgpackValue n) : n_(n) {}
-    const std::string& error() const { return error_; }
+    explicit FieldReader(MsgpackValue map) : map_(map) {}
+    // The first invalid field; empty if all are valid.
+    [[nodiscard]] const std::string& first_invalid() const { return first_invalid_; }
 
-    std::string text(const char* f, size_t most) {
-        auto v = n_[f].text();
-        if (!v || v->empty() || v->size() > most) bad(f);
-        return v.value_or("");
+    std::string text(const char* field, size_t max_size) {
+        std::optional<std::string> value = map_[field].text();
+        if (!value || value->empty() || value->size() > max_size) mark_invalid(field);
+        return value.value_or("");
+    }
+    std::string optional_text(const char* field, size_t max_size) {
+        return map_[field].null() ? "" : text(field, max_size);
     }
-    double amount(const char* f) {
-        auto v = n_[f].number();
-        if (!v || *v < 0 || *v > kLargest) bad(f);
-        return v.value_or(0);
+    double amount(const char* field) {
+        std::optional<double> value = map_[field].number();
+        if (!value || *value < 0 || *value > kLargestAmount) mark_invalid(field);
+        return value.value_or(0);
     }
-    bool flag(const char* f) {
-        auto v = n_[f].flag();
-        if (!v) bad(f);
-        return v.value_or(false);
+    std::optional<double> optional_amount(const char* field) {
+        if (map_[field].null()) return std::nullopt;
+        return amount(field);
     }
-    uint64_t count(const char* f, uint64_t low, uint64_t high) {
-        auto v = n_[f].count();
-        if (!v || *v < low || *v > high) bad(f);
-        return v.value_or(0);
+    bool flag(const char* field) {
+        std::optional<bool> value = map_[field].flag();
+        if (!value) mark_invalid(field);
+        return value.value_or(false);
     }
-    std::string optional_text(const char* f, size_t most) { return n_[f].null() ? "" : text(f, most); }
-    std::vector<std::string> optional_list(const char* f) {
-        std::vector<std::string> out;
-        MsgpackValue l = n_[f];
-        if (l.null()) return out;
-        if (!l.is_list() || l.size() == 0 || l.size() > 64) bad(f);
-        for (size_t i = 0; i < l.size(); ++i) {
-            auto v = l.at(i).text();
-            if (!v || v->empty() || v->size() > 128) {
-                bad(f);
+    uint64_t count(const char* field, uint64_t least, uint64_t most) {
+        std::optional<uint64_t> value = map_[field].count();
+        if (!value || *value < least || *value > most) mark_invalid(field);
+        return value.value_or(0);
+    }
+    std::vector<std::string> optional_names(const char* field) {
+        std::vector<std::string> names;
+        MsgpackValue list = map_[field];
+        if (list.null()) return names;
+        if (!list.is_list() || list.size() == 0 || list.size() > kNameListLimit) mark_invalid(field);
+        for (size_t i = 0; i < list.size(); ++i) {
+            std::optional<std::string> name = list.at(i).text();
+            if (!name || name->empty() || name->size() > kNameLimit) {
+                mark_invalid(field);
                 break;
             }
-            out.push_back(*v);
+            names.push_back(std::move(*name));
         }
-        return out;
+        return names;
     }
-    std::optional<double> optional_amount(const char* f) {
-        if (n_[f].null()) return std::nullopt;
-        return amount(f);
+    template <class Enum>
+    Enum enumerator(const char* field, std::optional<Enum> (*parse)(std::string_view), Enum otherwise) {
+        std::optional<Enum> value = parse(text(field, kEnumeratorLimit));
+        if (!value) mark_invalid(field);
+        return value.value_or(otherwise);
     }
-    void bad(const char* f) {
-        if (error_.empty()) error_ = std::string(f) + " is missing or invalid";
+    void mark_invalid(const char* field) {
+        if (first_invalid_.empty()) first_invalid_ = field;
     }
 
   private:
-    static constexpr double kLargest = 1e12;  // far above any machine or duration, far below overflow
-    MsgpackValue n_;
-    std::string error_;
+    MsgpackValue map_;
+    std::string first_invalid_;
 };
 
 }  // namespace
 
-bool valid_job_id(std::string_view id) {
-    if (id.size() < 5 || id.size() > 64 || id.substr(0, 4) != "job-") return false;
-    for (char c : id.substr(4))
-        if (c < '0' || c > '9') return false;
-    return true;
+tl::expected<UserRoute, RouteError> parse_route(std::string_view method, std::string_view path) {
+    if (path == kJobsPath) {
+        if (method != "POST") return tl::unexpected(RouteError::kSubmitNeedsPost);
+        return UserRoute{UserOperation::kSubmit, ""};
+    }
+    if (!path.starts_with(kJobsPath) || path[kJobsPath.size()] != '/')
+        return tl::unexpected(RouteError::kUnknownPath);
+    std::string_view rest = path.substr(kJobsPath.size() + 1);
+    size_t slash = rest.find('/');
+    std::string_view id = rest.substr(0, slash);
+    UserOperation operation = UserOperation::kQuery;
+    if (slash != std::string_view::npos) {
+        if (rest.substr(slash + 1) != kCancelOperation) return tl::unexpected(RouteError::kUnknownJobPath);
+        operation = UserOperation::kCancel;
+    }
+    if (operation == UserOperation::kQuery && method != "GET")
+        return tl::unexpected(RouteError::kQueryNeedsGet);
+    if (operation == UserOperation::kCancel && method != "POST")
+        return tl::unexpected(RouteError::kCancelNeedsPost);
+    if (!valid_job_id(id)) return tl::unexpected(RouteError::kInvalidJobId);
+    return UserRoute{operation, std::string(id)};
 }
 
-std::variant<JobSpec, std::string> parse_submission(std::string_view body) {
-    auto m = MsgpackDocument::parse(body);
-    if (!m) return "not MessagePack";
-    if (!m->root().is_map()) return "not a map";
-    Fields f(m->root());
-    JobSpec s;
-    s.id = f.text("ref", 64);
-    if (!valid_job_id(s.id)) f.bad("ref");
-    s.job_class = f.text("jobclass", 128);
-    s.team = f.text("owner", 128);
-    std::string shape = f.text("shape", 16);
-    if (shape == "sweep") {
-        s.kind = JobKind::kArray;
-    } else if (shape == "ensemble") {
-        s.kind = JobKind::kGang;
-    } else if (shape == "standing") {
-        s.kind = JobKind::kService;
-    } else {
-        f.bad("shape");
+int status_of(RouteError error) {
+    switch (error) {
+        case RouteError::kSubmitNeedsPost:
+        case RouteError::kQueryNeedsGet:
+        case RouteError::kCancelNeedsPost:
+            return 405;
+        case RouteError::kUnknownPath:
+        case RouteError::kUnknownJobPath:
+        case RouteError::kInvalidJobId:
+            return 404;
     }
-    std::string rank = f.text("rank", 16);
-    if (rank == "production") {
-        s.priority = PriorityClass::kProduction;
-    } else if (rank == "high") {
-        s.priority = PriorityClass::kHigh;
-    } else if (rank == "standard") {
-        s.priority = PriorityClass::kStandard;
-    } else if (rank == "idle") {
-        s.priority = PriorityClass::kIdle;
-    } else {
-        f.bad("rank");
+    return 404;
+}
+
+std::string describe(RouteError error) {
+    switch (error) {
+        case RouteError::kSubmitNeedsPost:
+        case RouteError::kCancelNeedsPost:
+            return "use POST";
+        case RouteError::kQueryNeedsGet:
+            return "use GET";
+        case RouteError::kUnknownPath:
+        case RouteError::kUnknownJobPath:
+            return "unknown path";
+        case RouteError::kInvalidJobId:
+            return "unknown job";
     }
-    s.tasks = static_cast<uint32_t>(f.count("pieces", 1, constants::kMaxTasksPerJob));
-    s.cpus = f.amount("vcpus");
-    s.gpus = f.amount("cards");
-    s.memory_gb = f.amount("memory_gb");
-    s.image = f.text("bundle", 128);
-    s.image_gb = f.amount("size_gb");
-    s.machine_types = f.optional_list("flavors");
-    s.zone = f.optional_text("cove", 128);
-    s.single_zone = f.flag("one_zone");
-    s.spread_across_zones = f.flag("apart");
-    s.spot = f.flag("driftwood");
-    s.estimate_s = f.amount("expect_s");
-    s.checkpoint_s = f.amount("snapshot_s");
-    s.save_s = f.amount("flush_s");
-    s.due_s = f.optional_amount("due_s");
-    if (!f.error().empty()) return f.error();
-    return s;
+    return "unknown path";
 }
 
-std::string never_runnable(const JobSpec& job, const Config& config,
-                           const std::vector<MachineType>& machine_types) {
-    const Team* team = config.team(job.team);
-    if (!team) return "unknown team " + job.team;
-    bool fits = false;
-    for (const auto& f : machine_types) {
-        if (!f.fits(job.cpus, job.gpus, job.memory_gb)) continue;
-        if (!job.machine_types.empty()) {
-            bool named = false;
-            for (const auto& name : job.machine_types) named |= name == f.name;
-            if (!named) continue;
-        }
-        fits = true;
+bool valid_job_id(std::string_view id) {
+    if (id.size() <= kJobIdPrefix.size() || id.size() > kJobIdLimit) return false;
+    if (!id.starts_with(kJobIdPrefix)) return false;
+    return id.find_first_not_of("0123456789", kJobIdPrefix.size()) == std::string_view::npos;
+}
+
+tl::expected<JobSpec, SubmissionError> parse_submission(std::string_view body) {
+    std::optional<MsgpackDocument> document = MsgpackDocument::parse(body);
+    if (!document) return tl::unexpected(SubmissionError{SubmissionError::Kind::kNotMessagePack, ""});
+    if (!document->root().is_map())
+        return tl::unexpected(SubmissionError{SubmissionError::Kind::kNotMap, ""});
+    FieldReader fields(document->root());
+    JobSpec spec;
+    spec.id = fields.text("ref", kJobIdLimit);
+    if (!valid_job_id(spec.id)) fields.mark_invalid("ref");
+    spec.job_class = fields.text("jobclass", kNameLimit);
+    spec.team = fields.text("owner", kNameLimit);
+    spec.kind = fields.enumerator("shape", parse_kind, spec.kind);
+    spec.priority = fields.enumerator("rank", parse_priority, spec.priority);
+    spec.tasks = static_cast<uint32_t>(fields.count("pieces", 1, constants::kMaxTasksPerJob));
+    spec.cpus = fields.amount("vcpus");
+    spec.gpus = fields.amount("cards");
+    spec.memory_gb = fields.amount("memory_gb");
+    spec.image = fields.text("bundle", kNameLimit);
+    spec.image_gb = fields.amount("size_gb");
+    spec.machine_types = fields.optional_names("flavors");
+    spec.zone = fields.optional_text("cove", kNameLimit);
+    spec.single_zone = fields.flag("one_zone");
+    spec.spread_across_zones = fields.flag("apart");
+    spec.spot = fields.flag("driftwood");
+    spec.estimate_s = fields.amount("expect_s");
+    spec.checkpoint_s = fields.amount("snapshot_s");
+    spec.save_s = fields.amount("flush_s");
+    spec.due_s = fields.optional_amount("due_s");
+    if (!fields.first_invalid().empty())
+        return tl::unexpected(SubmissionError{SubmissionError::Kind::kInvalidField, fields.first_invalid()});
+    return spec;
+}
+
+std::string describe(const SubmissionError& error) {
+    switch (error.kind) {
+        case SubmissionError::Kind::kNotMessagePack:
+            return "not MessagePack";
+        case SubmissionError::Kind::kNotMap:
+            return "not a map";
+        case SubmissionError::Kind::kInvalidField:
+            break;
     }
-    if (!fits) return "a task fits no allowed machine type";
-    double at_once = job.gang() || job.service() ? job.tasks : 1;
-    if (team->cpus_max > 0 && job.cpus * at_once > team->cpus_max) return "more CPUs than the team's limit";
-    if (team->gpus_max > 0 && job.gpus * at_once > team->gpus_max) return "more GPUs than the team's limit";
-    return "";
+    return error.field + " is missing or invalid";
 }
 
 std::string pack_phase(const std::string& id, JobPhase phase) {
-    MsgpackWriter p;
-    p.map(2).key("ref").text(id).key("phase").text(phase_name(phase));
-    return p.take();
+    MsgpackWriter writer;
+    writer.map(2);
+    writer.key("ref").text(id);
+    writer.key("phase").text(phase_name(phase));
+    return writer.take();
 }
 
-std::string pack_job(const std::string& id, JobPhase phase, uint32_t done, uint32_t running) {
-    MsgpackWriter p;
-    p.map(4).key("ref").text(id).key("phase").text(phase_name(phase)).key("done").count(done);
-    p.key("running").count(running);
-    return p.take();
+std::string pack_status(const std::string& id, JobPhase phase, uint32_t done, uint32_t running) {
+    MsgpackWriter writer;
+    writer.map(4);
+    writer.key("ref").text(id);
+    writer.key("phase").text(phase_name(phase));
+    writer.key("done").count(done);
+    writer.key("running").count(running);
+    return writer.take();
 }
 
-std::string pack_error(const std::string& what) {
-    MsgpackWriter p;
-    p.map(1).key("error").text(what);
-    return p.take();
+std::string pack_error(const std::string& text) {
+    MsgpackWriter writer;
+    writer.map(1).key("error").text(text);
+    return writer.take();
 }
 
 }  // namespace hareshore
--- a/src/users/user_wire.h
+++ b/src/users/user_wire.h
@@ -1,24 +1,56 @@
-// The users' protocol: reading submissions and writing answers.
+// The users' protocol: the only file pair that has its paths, field names and enumerated texts.
 #pragma once
+#include <cstdint>
 #include <string>
-#include <variant>
+#include <string_view>
+#include <tl/expected.hpp>
 
-#include "cloud/cloud.h"
-#include "config/config.h"
 #include "model/job_spec.h"
 
 namespace hareshore {
 
-// The job, or why the message is malformed.
-std::variant<JobSpec, std::string> parse_submission(std::string_view body);
-bool valid_job_id(std::string_view id);
+// What a user requests.
+enum class UserOperation : uint8_t { kSubmit, kQuery, kCancel };
 
-// Empty if the job can run; else why it never can.
-std::string never_runnable(const JobSpec& job, const Config& config,
-                           const std::vector<MachineType>& machine_types);
+struct UserRoute {
+    UserOperation operation = UserOperation::kSubmit;
+    std::string job_id;  // empty for kSubmit
+};
 
-std::string pack_phase(const std::string& id, JobPhase phase);
-std::string pack_job(const std::string& id, JobPhase phase, uint32_t done, uint32_t running);
-std::string pack_error(const std::string& what);
+// Why method and path of a request are refused.
+enum class RouteError : uint8_t {
+    kUnknownPath,      // outside of the users' paths
+    kSubmitNeedsPost,  // wrong method
+    kUnknownJobPath,   // below the jobs' path, but no operation on a job
+    kQueryNeedsGet,    // wrong method
+    kCancelNeedsPost,  // wrong method
+    kInvalidJobId,     // answered as an unknown job
+};
+
+// The route of a request from its method and its path without query.
+[[nodiscard]] tl::expected<UserRoute, RouteError> parse_route(std::string_view method, std::string_view path);
+// Status and text of the refusal.
+[[nodiscard]] int status_of(RouteError error);
+[[nodiscard]] std::string describe(RouteError error);
+
+// Why a submission is malformed.
+struct SubmissionError {
+    enum class Kind : uint8_t { kNotMessagePack, kNotMap, kInvalidField };
+    Kind kind = Kind::kInvalidField;
+    std::string field;  // kInvalidField: the name on the wire of the first missing or invalid field
+};
+
+// The job of a submission's body.
+[[nodiscard]] tl::expected<JobSpec, SubmissionError> parse_submission(std::string_view body);
+// One line for the user.
+[[nodiscard]] std::string describe(const SubmissionError& error);
+
+// Whether `id` has the form of a job id: "job-" and digits.
+[[nodiscard]] bool valid_job_id(std::string_view id);
+
+// The bodies of responses: a job's phase, its phase with its numbers of tasks, and an error.
+[[nodiscard]] std::string pack_phase(const std::string& id, JobPhase phase);
+[[nodiscard]] std::string pack_status(const std::string& id, JobPhase phase, uint32_t done, uint32_t running);
+[[nodiscard]] std::string pack_error(const std::string& text);
 
 }  // namespace hareshore
--- a/tests/base_test.cc
+++ b/tests/base_test.cc
@@ -212,7 +212,7 @@
         mutate(s, rng);
         taken += JobRecord::unpack(s).has_value();
         taken += WorkerHeartbeat::parse(s).has_value();
-        taken += std::holds_alternative<JobSpec>(parse_submission(s));
+        taken += parse_submission(s).has_value();
         taken += FinalRecord::unpack(s).has_value();
         taken += Cloud::unpack_machine_types(s).has_value();
         peer::Reader reader;
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -345,12 +345,12 @@
 TEST_F(Service, IsRefusedIfItsReplicasCannotAllRun) {
     config.teams[0].cpus_max = 6;
     JobSpec spec = service_spec("job-1", 6);
-    EXPECT_EQ(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_EQ(never_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 7;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 1;
     spec.cpus = 17;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), "");
+    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
 }
 
 // What its user sees, from the submission to the cancellation, also through another node.
