--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -8,6 +8,13 @@
 
 namespace hareshore {
 
+namespace {
+
+constexpr double kLongestWait_ms = 60'000.0;  // the loop then turns without an event
+constexpr int kWaitWithoutDeadline_ms = 50;   // of the fake clock: no time passes for it
+
+}  // namespace
+
 Seconds SystemClock::now() const {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
@@ -16,16 +23,16 @@
     return {std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count()};
 }
 
-int SystemClock::wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) {
+int SystemClock::wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) {
     // Rounded up, so that a timer that is due in a fraction of a millisecond does not spin.
-    int ms = timeout < 0 ? -1 : static_cast<int>(std::min(60'000.0, std::ceil(timeout * 1000.0)));
-    return epoll_wait(epoll_fd, events, most, ms);
+    int ms = timeout < 0 ? -1 : static_cast<int>(std::min(kLongestWait_ms, std::ceil(timeout * 1000.0)));
+    return epoll_wait(epoll_fd, events, max_events, ms);
 }
 
-int FakeClock::wait(int epoll_fd, epoll_event* events, int most, Seconds timeout) {
-    int n = epoll_wait(epoll_fd, events, most, 0);
-    if (n != 0 || timeout == 0) return n;
-    if (timeout < 0) return epoll_wait(epoll_fd, events, most, 50);
+int FakeClock::wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) {
+    int count = epoll_wait(epoll_fd, events, max_events, 0);
+    if (count != 0 || timeout == 0) return count;
+    if (timeout < 0) return epoll_wait(epoll_fd, events, max_events, kWaitWithoutDeadline_ms);
     now_ += timeout;
     return 0;
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -23,8 +23,8 @@
     template <class T>
     Field(std::string_view key, const T& value) : key_(key), value_(to_value(value)) {}
 
-    std::string_view key() const { return key_; }
-    const Value& value() const { return value_; }
+    [[nodiscard]] std::string_view key() const { return key_; }
+    [[nodiscard]] const Value& value() const { return value_; }
 
   private:
     template <class T>
--- a/src/base/ranges.cc
+++ b/src/base/ranges.cc
@@ -1,109 +1,108 @@
 #include "base/ranges.h"
 
 #include <charconv>
+#include <iterator>
 
 namespace hareshore {
 
 Ranges Ranges::whole(uint32_t count) {
-    Ranges r;
-    if (count > 0) {
-        r.map_[0] = count - 1;
-        r.size_ = count;
-    }
-    return r;
+    Ranges ranges;
+    if (count > 0) ranges.append(0, count - 1);
+    return ranges;
 }
 
 std::optional<Ranges> Ranges::parse(std::string_view text, uint32_t limit) {
-    Ranges r;
-    const char* p = text.data();
-    const char* end = p + text.size();
-    uint64_t next = 0;  // smallest number that may follow
-    while (p != end) {
-        uint32_t a = 0;
-        auto got = std::from_chars(p, end, a);
-        if (got.ec != std::errc{} || a < next) return std::nullopt;
-        uint32_t b = a;
-        p = got.ptr;
-        if (p != end && *p == '-') {
-            got = std::from_chars(p + 1, end, b);
-            if (got.ec != std::errc{} || b < a) return std::nullopt;
-            p = got.ptr;
+    Ranges ranges;
+    const char* position = text.data();
+    const char* end = position + text.size();
+    uint64_t least = 0;  // smallest number that may follow
+    while (position != end) {
+        uint32_t first = 0;
+        auto parsed = std::from_chars(position, end, first);
+        if (parsed.ec != std::errc{} || first < least) return std::nullopt;
+        uint32_t last = first;
+        position = parsed.ptr;
+        if (position != end && *position == '-') {
+            parsed = std::from_chars(position + 1, end, last);
+            if (parsed.ec != std::errc{} || last < first) return std::nullopt;
+            position = parsed.ptr;
         }
-        if (b >= limit) return std::nullopt;
-        r.map_[a] = b;
-        r.size_ += b - a + 1;
-        next = uint64_t{b} + 2;  // adjacent ranges are written as one
-        if (p != end) {
-            if (*p != ',' || p + 1 == end) return std::nullopt;
-            ++p;
+        if (last >= limit) return std::nullopt;
+        ranges.append(first, last);
+        least = uint64_t{last} + 2;  // adjacent ranges are written as one
+        if (position != end) {
+            if (*position != ',' || position + 1 == end) return std::nullopt;
+            ++position;
         }
     }
-    return r;
+    return ranges;
 }
 
-bool Ranges::has(uint32_t n) const {
-    auto it = map_.upper_bound(n);
-    return it != map_.begin() && (--it)->second >= n;
+bool Ranges::has(uint32_t number) const {
+    auto behind = last_by_first_.upper_bound(number);
+    return behind != last_by_first_.begin() && std::prev(behind)->second >= number;
 }
 
-bool Ranges::add(uint32_t n) {
-    if (has(n)) return false;
-    auto next = map_.upper_bound(n);
-    uint32_t a = n;
-    uint32_t b = n;
-    if (next != map_.begin()) {
-        auto before = std::prev(next);
-        if (before->second + 1 == n) {
-            a = before->first;
-            map_.erase(before);
+bool Ranges::add(uint32_t number) {
+    if (has(number)) return false;
+    auto behind = last_by_first_.upper_bound(number);
+    uint32_t first = number;
+    uint32_t last = number;
+    if (behind != last_by_first_.begin()) {
+        auto before = std::prev(behind);
+        if (before->second + 1 == number) {
+            first = before->first;
+            last_by_first_.erase(before);
         }
     }
-    if (next != map_.end() && next->first == n + 1) {
-        b = next->second;
-        map_.erase(next);
+    if (behind != last_by_first_.end() && behind->first == number + 1) {
+        last = behind->second;
+        last_by_first_.erase(behind);
     }
-    map_[a] = b;
+    last_by_first_[first] = last;
     ++size_;
     return true;
 }
 
-bool Ranges::remove(uint32_t n) {
-    auto it = map_.upper_bound(n);
-    if (it == map_.begin() || (--it)->second < n) return false;
-    auto [a, b] = *it;
-    map_.erase(it);
-    if (a < n) map_[a] = n - 1;
-    if (n < b) map_[n + 1] = b;
+bool Ranges::remove(uint32_t number) {
+    auto behind = last_by_first_.upper_bound(number);
+    if (behind == last_by_first_.begin()) return false;
+    auto containing = std::prev(behind);
+    if (containing->second < number) return false;
+    auto [first, last] = *containing;
+    last_by_first_.erase(containing);
+    if (first < number) last_by_first_[first] = number - 1;
+    if (number < last) last_by_first_[number + 1] = last;
     --size_;
     return true;
 }
 
 void Ranges::append(uint32_t first, uint32_t last) {
-    map_[first] = last;
+    last_by_first_[first] = last;
     size_ += last - first + 1;
 }
 
 bool Ranges::covers(const Ranges& other) const {
-    for (const auto& [first, last] : other.map_) {
-        auto it = map_.upper_bound(first);
-        if (it == map_.begin() || std::prev(it)->second < last) return false;
+    for (const auto& [first, last] : other.last_by_first_) {
+        auto behind = last_by_first_.upper_bound(first);
+        if (behind == last_by_first_.begin() || std::prev(behind)->second < last) return false;
     }
     return true;
 }
 
 std::optional<uint32_t> Ranges::first() const {
-    if (map_.empty()) return std::nullopt;
-    return map_.begin()->first;
+    if (last_by_first_.empty()) return std::nullopt;
+    return last_by_first_.begin()->first;
 }
 
 std::string Ranges::text() const {
-    std::string s;
-    for (auto [a, b] : map_) {
-        if (!s.empty()) s += ',';
-        s += std::to_string(a);
-        if (b > a) s += '-' + std::to_string(b);
+    std::string text;
+    for (auto [first, last] : last_by_first_) {
+        if (!text.empty()) text += ',';
+        text += std::to_string(first);
+        if (last > first) text += '-' + std::to_string(last);
     }
-    return s;
+    return text;
 }
 
 }  // namespace hareshore
--- a/src/cloud/cloud.cc
+++ b/src/cloud/cloud.cc
@@ -11,7 +11,7 @@
       bucket_(rps * constants::kCloudRateShare, std::max(1.0, 2 * rps / static_cast<double>(nodes))) {}
 
 Task<CallResult> Cloud::call(std::string method, std::string path, std::string body) {
-    while (!bucket_.take(1, loop_.now())) co_await loop_.sleep(bucket_.until(1, loop_.now()) + 0.001);
+    while (!bucket_.take(1, loop_.now())) co_await loop_.sleep(bucket_.wait_time(1, loop_.now()) + 0.001);
     CallResult a = co_await http_.call(std::move(method), std::move(path), std::move(body),
                                        constants::kCloudCallTimeout_s);
     if (a.status == 429) bucket_.mark_exhausted(loop_.now());
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -2,112 +2,160 @@
 
 #include <http_parser.h>
 
+#include <algorithm>
+#include <utility>
+
 #include "base/constants.h"
 
 namespace hareshore {
 
 namespace {
 
-struct AnswerCollector {
-    http_parser parser{};
-    http_parser_settings settings{};
-    CallResult answer;
-    bool complete = false;
-    size_t limit;
-
-    explicit AnswerCollector(size_t most) : limit(most) {
-        http_parser_init(&parser, HTTP_RESPONSE);
-        parser.data = this;
-        http_parser_settings_init(&settings);
-        settings.on_body = [](http_parser* p, const char* at, size_t n) {
-            auto& a = self(p).answer;
-            a.response_too_large = a.body.size() + n > self(p).limit;
-            if (a.response_too_large) return 1;
-            a.body.append(at, n);
-            return 0;
+// Collects one response; http_parser calls back into it.
+class ResponseParser {
+  public:
+    explicit ResponseParser(size_t body_limit) : body_limit_(body_limit) {
+        http_parser_init(&parser_, HTTP_RESPONSE);
+        parser_.data = this;
+        http_parser_settings_init(&callbacks_);
+        callbacks_.on_body = [](http_parser* parser, const char* data, size_t size) {
+            return of(parser).append_body(data, size);
         };
-        settings.on_message_complete = [](http_parser* p) {
-            self(p).complete = true;
-            http_parser_pause(p, 1);
+        callbacks_.on_message_complete = [](http_parser* parser) {
+            of(parser).complete_ = true;
+            http_parser_pause(parser, 1);
             return 0;
         };
     }
-    static AnswerCollector& self(http_parser* p) { return *static_cast<AnswerCollector*>(p->data); }
+    ResponseParser(const ResponseParser&) = delete;  // the parser points to it
+    ResponseParser& operator=(const ResponseParser&) = delete;
+
+    // Takes received bytes; none mean the end of the stream, which completes a response without a length.
+    // False if they are not a response within the limit.
+    bool parse(std::string_view bytes) {
+        http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
+        auto error = HTTP_PARSER_ERRNO(&parser_);
+        return error == HPE_OK || error == HPE_PAUSED;
+    }
+    [[nodiscard]] bool complete() const { return complete_; }
+    [[nodiscard]] bool too_large() const { return too_large_; }
+    [[nodiscard]] int status() const { return static_cast<int>(parser_.status_code); }
+    [[nodiscard]] bool keep_alive() const { return http_should_keep_alive(&parser_) != 0; }
+    std::string take_body() { return std::move(body_); }
+
+  private:
+    static ResponseParser& of(http_parser* parser) { return *static_cast<ResponseParser*>(parser->data); }
+
+    int append_body(const char* data, size_t size) {
+        too_large_ = body_.size() + size > body_limit_;
+        if (too_large_) return 1;
+        body_.append(data, size);
+        return 0;
+    }
+
+    http_parser parser_{};
+    http_parser_settings callbacks_{};
+    size_t body_limit_;
+    std::string body_;
+    bool complete_ = false;
+    bool too_large_ = false;
+};
+
+// Counts a call that waits for a connection, until it is destroyed or ended.
+class WaitingCall {
+  public:
+    explicit WaitingCall(size_t& count) : count_(&count) { ++count; }
+    WaitingCall(const WaitingCall&) = delete;
+    WaitingCall& operator=(const WaitingCall&) = delete;
+    ~WaitingCall() { end(); }
+    void end() {
+        if (count_) --*count_;
+        count_ = nullptr;
+    }
+
+  private:
+    size_t* count_;
 };
 
-// Counts the open connection, whichever way the call ends.
-struct Slot {
-    size_t& open;
-    Condition& freed;
-    ~Slot() {
-        --open;
-        freed.notify();
+// Counts a connection in use, whichever way the call ends.
+class OpenConnection {
+  public:
+    OpenConnection(size_t& count, Condition& freed) : count_(count), freed_(freed) { ++count_; }
+    OpenConnection(const OpenConnection&) = delete;
+    OpenConnection& operator=(const OpenConnection&) = delete;
+    ~OpenConnection() {
+        --count_;
+        freed_.notify();
     }
+
+  private:
+    size_t& count_;
+    Condition& freed_;
 };
 
+std::string render_request(const std::string& method, const std::string& path, const std::string& body) {
+    std::string request = method + ' ' + path + " HTTP/1.1\r\nHost: hareshore\r\n";
+    if (!body.empty()) request += "Content-Type: application/msgpack\r\n";
+    if (!body.empty() || method != "GET")
+        request += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    request += "\r\n" + body;
+    return request;
+}
+
 }  // namespace
 
-Task<CallResult> HttpClient::exchange(Stream& stream, const std::string& out, Seconds until,
-                                      bool& keep) const {
-    AnswerCollector c(answer_limit_);
-    keep = false;
-    bool written = co_await stream.write(out, until);
-    c.answer.maybe_executed = true;
-    if (!written) co_return CallResult{0, true, false, ""};
-    while (!c.complete) {
+Task<HttpClient::Exchange> HttpClient::exchange(Stream& stream, const std::string& request,
+                                                Seconds until) const {
+    ResponseParser parser(response_limit_);
+    Exchange failed;
+    failed.result.maybe_executed = true;
+    if (!co_await stream.write(request, until)) co_return failed;
+    while (!parser.complete()) {
         Stream::Read got = co_await stream.read(until);
         bool ended = got.outcome == Stream::Read::Outcome::kEnd;
-        if (!got.ok() && !ended) co_return CallResult{0, true, false, ""};
-        // No bytes tell the parser that the stream has ended, which completes an answer without a length.
-        http_parser_execute(&c.parser, &c.settings, got.bytes.data(), got.bytes.size());
-        auto error = HTTP_PARSER_ERRNO(&c.parser);
-        if (error != HPE_OK && error != HPE_PAUSED)
-            co_return CallResult{0, true, c.answer.response_too_large, ""};
-        if (ended && !c.complete) co_return CallResult{0, true, false, ""};
+        if (!got.ok() && !ended) co_return failed;
+        if (!parser.parse(got.bytes)) {
+            failed.result.response_too_large = parser.too_large();
+            co_return failed;
+        }
+        if (ended && !parser.complete()) co_return failed;
     }
-    keep = http_should_keep_alive(&c.parser) != 0;
-    c.answer.status = static_cast<int>(c.parser.status_code);
-    co_return std::move(c.answer);
+    Exchange done;
+    done.result.status = parser.status();
+    done.result.maybe_executed = true;
+    done.result.body = parser.take_body();
+    done.keep_alive = parser.keep_alive();
+    co_return done;
 }
 
-Task<CallResult> HttpClient::call(std::string method, std::string path, std::string body, Seconds timeout) {
-    Seconds until = loop_.now() + timeout;
-    if (open_ >= most_ && waiting_ >= constants::kConnectionPoolQueueLimit) co_return CallResult{};
-    ++waiting_;
-    struct Leave {
-        size_t& n;
-        bool left = false;
-        void now() {
-            if (!left) --n;
-            left = true;
-        }
-        ~Leave() { now(); }
-    } leave{waiting_};
-    while (open_ >= most_) {
-        if (co_await loop_.wait(freed_, until) == WakeReason::kTimeout) co_return CallResult{};
-    }
-    leave.now();
-    ++open_;
-    Slot slot{open_, freed_};
-    std::unique_ptr<Stream> stream;
-    while (!stream && !idle_.empty()) {
-        stream = std::move(idle_.front());
+std::unique_ptr<Stream> HttpClient::take_idle_connection() {
+    while (!idle_.empty()) {
+        std::unique_ptr<Stream> stream = std::move(idle_.front());
         idle_.pop_front();
-        if (stream->stale()) stream.reset();
+        if (!stream->stale()) return stream;
     }
+    return nullptr;
+}
+
+Task<CallResult> HttpClient::call(std::string method, std::string path, std::string body, Seconds timeout) {
+    Seconds until = loop_.now() + timeout;
+    bool all_used = open_ >= max_connections_;
+    if (all_used && waiting_ >= constants::kConnectionPoolQueueLimit) co_return CallResult{};
+    WaitingCall waiting(waiting_);
+    while (open_ >= max_connections_)
+        if (co_await loop_.wait(connection_freed_, until) == WakeReason::kTimeout) co_return CallResult{};
+    waiting.end();
+    OpenConnection open(open_, connection_freed_);
+    std::unique_ptr<Stream> stream = take_idle_connection();
     if (!stream) {
-        Seconds by = std::min(until, loop_.now() + constants::kConnectTimeout_s);
-        stream = co_await connect_to(loop_, to_, by);
+        Seconds connect_until = std::min(until, loop_.now() + constants::kConnectTimeout_s);
+        stream = co_await connect_to(loop_, server_, connect_until);
         if (!stream) co_return CallResult{};
     }
-    std::string out = method + ' ' + path + " HTTP/1.1\r\nHost: hareshore\r\n";
-    if (!body.empty()) out += "Content-Type: application/msgpack\r\n";
-    if (!body.empty() || method != "GET") out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-    out += "\r\n" + body;
-    bool keep = false;
-    CallResult answer = co_await exchange(*stream, out, until, keep);
-    if (keep && idle_.size() < most_) idle_.push_back(std::move(stream));
-    co_return answer;
+    std::string request = render_request(method, path, body);
+    Exchange done = co_await exchange(*stream, request, until);
+    if (done.keep_alive && idle_.size() < max_connections_) idle_.push_back(std::move(stream));
+    co_return std::move(done.result);
 }
 
 }  // namespace hareshore
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -15,7 +15,6 @@
     std::string body;
     bool oversized = false;  // the body exceeded constants::kRequestBodyLimit and was dropped
     bool abandoned = false;  // the sender has closed the connection: nobody waits for the response
-    std::string peer;
 };
 
 // What a handler answers.
--- a/src/http/msgpack.cc
+++ b/src/http/msgpack.cc
@@ -1,112 +1,118 @@
 #include "http/msgpack.h"
 
-#include <algorithm>
-#include <charconv>
-
 #include "base/constants.h"
 
 namespace hareshore {
 
-using msgpack::type::object_type;
-
 MsgpackValue MsgpackValue::operator[](std::string_view key) const {
     if (!is_map()) return {};
-    const auto& m = o_->via.map;
-    for (uint32_t i = 0; i < m.size; ++i) {
-        const auto& k = m.ptr[i].key;
-        if (k.type == msgpack::type::STR && std::string_view(k.via.str.ptr, k.via.str.size) == key)
-            return MsgpackValue(m.ptr[i].val);
+    const msgpack::object_map& map = object_->via.map;
+    for (uint32_t i = 0; i < map.size; ++i) {
+        const msgpack::object& candidate = map.ptr[i].key;
+        if (candidate.type == msgpack::type::STR &&
+            std::string_view(candidate.via.str.ptr, candidate.via.str.size) == key)
+            return MsgpackValue(map.ptr[i].val);
     }
     return {};
 }
 
 std::optional<std::string> MsgpackValue::text() const {
-    if (!o_ || o_->type != msgpack::type::STR) return std::nullopt;
-    return std::string(o_->via.str.ptr, o_->via.str.size);
+    if (!object_ || object_->type != msgpack::type::STR) return std::nullopt;
+    return std::string(object_->via.str.ptr, object_->via.str.size);
 }
 
 std::optional<double> MsgpackValue::number() const {
-    if (!o_) return std::nullopt;
-    switch (o_->type) {
+    if (!object_) return std::nullopt;
+    switch (object_->type) {
         case msgpack::type::POSITIVE_INTEGER:
-            return static_cast<double>(o_->via.u64);
+            return static_cast<double>(object_->via.u64);
         case msgpack::type::NEGATIVE_INTEGER:
-            return static_cast<double>(o_->via.i64);
+            return static_cast<double>(object_->via.i64);
         case msgpack::type::FLOAT32:
         case msgpack::type::FLOAT64:
-            if (!std::isfinite(o_->via.f64)) return std::nullopt;
-            return o_->via.f64;
+            if (!std::isfinite(object_->via.f64)) return std::nullopt;
+            return object_->via.f64;
         default:
             return std::nullopt;
     }
 }
 
 std::optional<uint64_t> MsgpackValue::count() const {
-    if (!o_) return std::nullopt;
-    if (o_->type == msgpack::type::POSITIVE_INTEGER) return o_->via.u64;
-    auto d = number();
-    if (!d || *d < 0 || *d > static_cast<double>(constants::kMaxExactInteger) || *d != std::floor(*d))
-        return std::nullopt;
-    return static_cast<uint64_t>(*d);
+    if (!object_) return std::nullopt;
+    if (object_->type == msgpack::type::POSITIVE_INTEGER) return object_->via.u64;
+    std::optional<double> decimal = number();
+    if (!decimal || *decimal < 0) return std::nullopt;
+    if (*decimal > static_cast<double>(constants::kMaxExactInteger)) return std::nullopt;
+    if (*decimal != std::floor(*decimal)) return std::nullopt;
+    return static_cast<uint64_t>(*decimal);
 }
 
 std::optional<bool> MsgpackValue::flag() const {
-    if (!o_ || o_->type != msgpack::type::BOOLEAN) return std::nullopt;
-    return o_->via.boolean;
+    if (!object_ || object_->type != msgpack::type::BOOLEAN) return std::nullopt;
+    return object_->via.boolean;
 }
 
 std::optional<MsgpackDocument> MsgpackDocument::parse(std::string_view bytes) {
-    // The limits keep a short message from asking for much memory.
-    size_t n = bytes.size();
-    msgpack::unpack_limit limit(n, n, n, n, n, constants::kMessagePackNestingLimit);
+    // No list, map, text or extension can have more entries than the message has bytes: a short message
+    // cannot ask for much memory.
+    size_t size = bytes.size();
+    msgpack::unpack_limit limit(size, size, size, size, size, constants::kMessagePackNestingLimit);
     try {
-        MsgpackDocument m;
+        MsgpackDocument document;
         size_t used = 0;
-        m.handle_ = msgpack::unpack(bytes.data(), n, used, nullptr, nullptr, limit);
-        if (used != n) return std::nullopt;
-        return m;
+        document.handle_ = msgpack::unpack(bytes.data(), size, used, nullptr, nullptr, limit);
+        if (used != size) return std::nullopt;
+        return document;
     } catch (const std::exception&) {
         return std::nullopt;
     }
 }
 
-MsgpackWriter& MsgpackWriter::map(size_t n) {
-    packer_.pack_map(static_cast<uint32_t>(n));
+MsgpackWriter& MsgpackWriter::map(size_t entries) {
+    packer_.pack_map(static_cast<uint32_t>(entries));
     return *this;
 }
-MsgpackWriter& MsgpackWriter::list(size_t n) {
-    packer_.pack_array(static_cast<uint32_t>(n));
+
+MsgpackWriter& MsgpackWriter::list(size_t entries) {
+    packer_.pack_array(static_cast<uint32_t>(entries));
     return *this;
 }
-MsgpackWriter& MsgpackWriter::text(std::string_view s) {
-    packer_.pack_str(static_cast<uint32_t>(s.size()));
-    packer_.pack_str_body(s.data(), static_cast<uint32_t>(s.size()));
+
+MsgpackWriter& MsgpackWriter::text(std::string_view value) {
+    packer_.pack_str(static_cast<uint32_t>(value.size()));
+    packer_.pack_str_body(value.data(), static_cast<uint32_t>(value.size()));
     return *this;
 }
-MsgpackWriter& MsgpackWriter::count(uint64_t n) {
-    packer_.pack_uint64(n);
+
+MsgpackWriter& MsgpackWriter::count(uint64_t value) {
+    packer_.pack_uint64(value);
     return *this;
 }
-MsgpackWriter& MsgpackWriter::number(double d) {
-    packer_.pack_double(d);
+
+MsgpackWriter& MsgpackWriter::number(double value) {
+    packer_.pack_double(value);
     return *this;
 }
-MsgpackWriter& MsgpackWriter::flag(bool b) {
-    b ? packer_.pack_true() : packer_.pack_false();
+
+MsgpackWriter& MsgpackWriter::flag(bool value) {
+    value ? packer_.pack_true() : packer_.pack_false();
     return *this;
 }
+
 MsgpackWriter& MsgpackWriter::null() {
     packer_.pack_nil();
     return *this;
 }
+
 MsgpackWriter& MsgpackWriter::raw(std::string_view packed) {
     buffer_.write(packed.data(), packed.size());
     return *this;
 }
+
 std::string MsgpackWriter::take() {
-    std::string s(buffer_.data(), buffer_.size());
+    std::string packed(buffer_.data(), buffer_.size());
     buffer_.clear();
-    return s;
+    return packed;
 }
 
 }  // namespace hareshore
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -3,6 +3,10 @@
 #include <http_parser.h>
 #include <unistd.h>
 
+#include <algorithm>
+#include <climits>
+#include <utility>
+
 #include "base/constants.h"
 #include "base/log.h"
 
@@ -10,68 +14,105 @@
 
 namespace {
 
-// Collects one request; http_parser calls back into it.
-struct Collector {
-    http_parser parser{};
-    http_parser_settings settings{};
-    Request request;
-    std::string url;
-    size_t head = 0;
-    size_t body = 0;
-    bool complete = false;
-    bool refused = false;  // the request was answered before it had come whole
-
-    Collector() {
-        http_parser_init(&parser, HTTP_REQUEST);
-        parser.data = this;
-        http_parser_settings_init(&settings);
-        settings.on_url = [](http_parser* p, const char* at, size_t n) {
-            return self(p).on_head(at, n, true);
+// Collects one request after the other; http_parser calls back into it.
+class RequestParser {
+  public:
+    RequestParser() {
+        http_parser_init(&parser_, HTTP_REQUEST);
+        parser_.data = this;
+        http_parser_settings_init(&callbacks_);
+        callbacks_.on_url = [](http_parser* parser, const char* data, size_t size) {
+            return of(parser).append_url(data, size);
         };
-        settings.on_header_field = [](http_parser* p, const char* at, size_t n) {
-            return self(p).on_head(at, n, false);
+        callbacks_.on_header_field = [](http_parser* parser, const char*, size_t size) {
+            return of(parser).count_head(size);
         };
-        settings.on_header_value = settings.on_header_field;
-        settings.on_headers_complete = [](http_parser* p) {
-            auto& c = self(p);
-            bool sized = p->content_length != ULLONG_MAX;
-            if (sized && p->content_length > constants::kRequestBodyLimit) c.request.oversized = true;
+        callbacks_.on_header_value = callbacks_.on_header_field;
+        callbacks_.on_headers_complete = [](http_parser* parser) {
+            bool has_length = parser->content_length != ULLONG_MAX;
+            if (has_length && parser->content_length > constants::kRequestBodyLimit)
+                of(parser).request_.oversized = true;
             return 0;
         };
-        settings.on_body = [](http_parser* p, const char* at, size_t n) {
-            auto& c = self(p);
-            c.body += n;
-            if (c.body > constants::kRequestBodyLimit) c.request.oversized = true;
-            if (c.body > constants::kOversizedBodyReadLimit) return 1;
-            if (c.request.oversized) {
-                c.request.body.clear();
-            } else {
-                c.request.body.append(at, n);
-            }
-            return 0;
+        callbacks_.on_body = [](http_parser* parser, const char* data, size_t size) {
+            return of(parser).append_body(data, size);
         };
-        settings.on_message_complete = [](http_parser* p) {
-            self(p).complete = true;
-            http_parser_pause(p, 1);
+        callbacks_.on_message_complete = [](http_parser* parser) {
+            of(parser).complete_ = true;
+            http_parser_pause(parser, 1);
             return 0;
         };
     }
-    static Collector& self(http_parser* p) { return *static_cast<Collector*>(p->data); }
-    int on_head(const char* at, size_t n, bool is_url) {
-        head += n;
-        if (head > constants::kRequestHeadLimit) return 1;
-        if (is_url) url.append(at, n);
-        return 0;
+    RequestParser(const RequestParser&) = delete;  // the parser points to it
+    RequestParser& operator=(const RequestParser&) = delete;
+
+    // Takes received bytes up to the end of the request; returns how many it took.
+    size_t parse(std::string_view bytes) {
+        size_t taken = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
+        return std::min(taken, bytes.size());
+    }
+    // Whether the bytes are no request within the limits; nothing more can be read then.
+    [[nodiscard]] bool malformed() const {
+        auto error = HTTP_PARSER_ERRNO(&parser_);
+        return parser_.upgrade || (error != HPE_OK && error != HPE_PAUSED);
+    }
+    // Whether the body exceeds the limit: the request can be refused before it has been received whole.
+    [[nodiscard]] bool oversized() const { return request_.oversized; }
+    [[nodiscard]] bool complete() const { return complete_; }
+    [[nodiscard]] bool keep_alive() const { return http_should_keep_alive(&parser_) != 0; }
+
+    // The complete request; reset() must follow before the next is parsed.
+    Request take_request() {
+        request_.method = http_method_str(static_cast<http_method>(parser_.method));
+        size_t mark = url_.find('?');
+        request_.path = url_.substr(0, mark);
+        if (mark != std::string::npos) request_.query = url_.substr(mark + 1);
+        return std::move(request_);
     }
     void reset() {
-        request = {};
-        url.clear();
-        head = body = 0;
-        complete = refused = false;
+        request_ = {};
+        url_.clear();
+        head_size_ = 0;
+        body_size_ = 0;
+        complete_ = false;
+        http_parser_pause(&parser_, 0);
+    }
+
+  private:
+    static RequestParser& of(http_parser* parser) { return *static_cast<RequestParser*>(parser->data); }
+
+    // The callbacks' results: 0 to go on, else the request is malformed.
+    int count_head(size_t size) {
+        head_size_ += size;
+        return head_size_ > constants::kRequestHeadLimit ? 1 : 0;
     }
+    int append_url(const char* data, size_t size) {
+        if (count_head(size) != 0) return 1;
+        url_.append(data, size);
+        return 0;
+    }
+    int append_body(const char* data, size_t size) {
+        body_size_ += size;
+        if (body_size_ > constants::kRequestBodyLimit) request_.oversized = true;
+        if (body_size_ > constants::kOversizedBodyReadLimit) return 1;
+        if (request_.oversized) {
+            request_.body.clear();
+        } else {
+            request_.body.append(data, size);
+        }
+        return 0;
+    }
+
+    http_parser parser_{};
+    http_parser_settings callbacks_{};
+    Request request_;
+    std::string url_;
+    size_t head_size_ = 0;  // bytes of URL and headers
+    size_t body_size_ = 0;  // bytes, kept or not
+    bool complete_ = false;
 };
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -98,20 +139,30 @@
     }
 }
 
-std::string render(const Response& r, bool keep) {
-    std::string s = "HTTP/1.1 " + std::to_string(r.status) + ' ' + reason(r.status) +
-                    "\r\nContent-Type: " + r.type + "\r\nContent-Length: " + std::to_string(r.body.size()) +
-                    "\r\n";
-    if (r.retry_after > 0) s += "Retry-After: " + std::to_string(r.retry_after) + "\r\n";
-    if (!keep) s += "Connection: close\r\n";
-    return s + "\r\n" + r.body;
+enum class AfterResponse : uint8_t { kKeepAlive, kClose };
+
+std::string render(const Response& response, AfterResponse after) {
+    std::string text = "HTTP/1.1 " + std::to_string(response.status) + ' ' + reason_phrase(response.status) +
+                       "\r\nContent-Type: " + response.type +
+                       "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
+    if (response.retry_after > 0) text += "Retry-After: " + std::to_string(response.retry_after) + "\r\n";
+    if (after == AfterResponse::kClose) text += "Connection: close\r\n";
+    return text + "\r\n" + response.body;
+}
+
+std::string render_bad_request(AfterResponse after) {
+    return render({.status = 400, .body = ""}, after);
 }
 
 }  // namespace
 
-HttpServer::HttpServer(Loop& loop, Address at, size_t most, Handler handler)
-    : loop_(loop), most_(most), handler_(std::move(handler)), listener_(loop, listen_on(at)), scope_(loop) {
-    scope_.spawn(accept_all(), "http accept");
+HttpServer::HttpServer(Loop& loop, Address address, size_t max_connections, Handler handler)
+    : loop_(loop),
+      max_connections_(max_connections),
+      handler_(std::move(handler)),
+      listener_(loop, listen_on(address)),
+      tasks_(loop) {
+    tasks_.spawn(accept_all(), "http accept");
 }
 
 Task<void> HttpServer::accept_all() {
@@ -119,25 +170,26 @@
         if (accepted % constants::kAcceptsPerTurn == 0) co_await loop_.yield();
         tl::expected<int, AcceptError> fd = accept_connection(listener_.fd());
         if (!fd && fd.error() == AcceptError::kNoneWaiting) {
-            co_await loop_.readable(listener_, -1);
+            co_await loop_.readable(listener_, kNoTimeLimit);
         } else if (!fd) {
             co_await loop_.sleep(constants::kAcceptRetryPause_s);
-        } else if (scope_.size() > most_) {
-            close(*fd);  // a refused connection sends the peer to another node at once
+        } else if (tasks_.size() > max_connections_) {
+            close(*fd);
         } else {
-            scope_.spawn(serve(*fd), "http connection");
+            tasks_.spawn(serve(*fd), "http connection");
         }
     }
 }
 
 Task<void> HttpServer::serve(int fd) {
     Stream stream(loop_, fd);
-    Collector c;
-    std::string behind;  // bytes that came behind a complete request
+    RequestParser parser;
+    std::string pipelined;  // bytes received behind a complete request
     Seconds until = loop_.now() + constants::kIdleConnectionTimeout_s;
-    bool started = false;
+    bool started = false;  // the first byte of the current request was received
+    bool refused = false;  // the current request was answered before it was complete
     while (true) {
-        std::string_view input = behind;
+        std::string_view input = pipelined;
         if (input.empty()) {
             Stream::Read got = co_await stream.read(until);
             if (!got.ok()) co_return;
@@ -147,44 +199,32 @@
                 until = loop_.now() + constants::kRequestReadTimeout_s;
             }
         }
-        size_t used = http_parser_execute(&c.parser, &c.settings, input.data(), input.size());
-        behind = std::string(input.substr(std::min(used, input.size())));
-        auto error = HTTP_PARSER_ERRNO(&c.parser);
-        bool bad = c.parser.upgrade || (error != HPE_OK && error != HPE_PAUSED);
-        // Too large is said at once; what remains of the body is read and dropped.
-        if (bad) {
-            Response r{400, "", 0, "application/msgpack"};
-            std::string out = render(r, false);
+        size_t taken = parser.parse(input);
+        pipelined = std::string(input.substr(taken));
+        if (parser.malformed()) {
+            std::string out = render_bad_request(AfterResponse::kClose);
             co_await stream.write(out, loop_.now() + constants::kSendTimeout_s);
             co_return;
         }
-        if (c.request.oversized && !c.refused) {
-            c.refused = true;
-            std::string out = render(Response{400, "", 0, "application/msgpack"}, true);
+        // Refused at once; what remains of the body is read and dropped.
+        if (parser.oversized() && !refused) {
+            refused = true;
+            std::string out = render_bad_request(AfterResponse::kKeepAlive);
             if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s)) co_return;
         }
-        if (!c.complete) continue;
-        bool keep = http_should_keep_alive(&c.parser) != 0;
-        if (c.refused) {
-            if (!keep) co_return;
-            c.reset();
-            http_parser_pause(&c.parser, 0);
-            started = false;
-            until = loop_.now() + constants::kIdleConnectionTimeout_s;
-            continue;
+        if (!parser.complete()) continue;
+        bool keep_alive = parser.keep_alive();
+        if (!refused) {
+            Request request = parser.take_request();
+            request.abandoned = stream.hung_up();
+            Response response = co_await handler_(std::move(request));
+            std::string out =
+                render(response, keep_alive ? AfterResponse::kKeepAlive : AfterResponse::kClose);
+            if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s)) co_return;
         }
-        c.request.method = http_method_str(static_cast<http_method>(c.parser.method));
-        auto mark = c.url.find('?');
-        c.request.path = c.url.substr(0, mark);
-        if (mark != std::string::npos) c.request.query = c.url.substr(mark + 1);
-        Request request = std::move(c.request);
-        request.abandoned = stream.hung_up();
-        Response answer = co_await handler_(std::move(request));
-        std::string out = render(answer, keep);
-        if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s) || !keep) co_return;
-        c.reset();
-        http_parser_pause(&c.parser, 0);
-        started = false;
+        if (!keep_alive) co_return;
+        parser.reset();
+        started = refused = false;
         until = loop_.now() + constants::kIdleConnectionTimeout_s;
     }
 }
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -111,12 +111,12 @@
             co_await loop_.wait(dirty_, -1);
             continue;
         }
-        Seconds wait = writes_.until(2, loop_.now());
+        Seconds wait = writes_.wait_time(2, loop_.now());
         if (wait > 0) {
             co_await loop_.sleep(wait);
             continue;
         }
-        size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.left(loop_.now())));
+        size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.available(loop_.now())));
         std::vector<Job*> batch =
             jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTransactionBytes, record_format);
         if (alone > 0 && !batch.empty()) {
--- a/src/loop/loop.cc
+++ b/src/loop/loop.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <cerrno>
 #include <system_error>
+#include <utility>
 
 #include "base/constants.h"
-#include "base/log.h"
 
 namespace hareshore {
 
@@ -20,12 +20,12 @@
     outcome = why;
     if (slot) *slot = nullptr;
     slot = nullptr;
-    if (signal) signal->waiters_.erase(place);
-    signal = nullptr;
+    if (condition) condition->waiters_.erase(place);
+    condition = nullptr;
     if (timed) loop.timers_.erase(timer);
     timed = false;
-    if (routine) routine->pending = nullptr;
-    loop.post(handle, routine);
+    if (spawned_task) spawned_task->pending = nullptr;
+    loop.post(handle, spawned_task);
 }
 
 void Condition::notify() {
@@ -33,10 +33,10 @@
 }
 
 FileDescriptor::FileDescriptor(Loop& loop, int fd) : loop_(loop), fd_(fd) {
-    epoll_event ev{};
-    ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-    ev.data.fd = fd;
-    epoll_ctl(loop.epoll_, EPOLL_CTL_ADD, fd, &ev);
+    epoll_event event{};
+    event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+    event.data.fd = fd;
+    epoll_ctl(loop.epoll_, EPOLL_CTL_ADD, fd, &event);
     loop.files_[fd] = this;
 }
 
@@ -47,51 +47,6 @@
     close(fd_);
 }
 
-namespace {
-
-// The outermost coroutine of a routine; it frees itself.
-struct Root {
-    struct promise_type {
-        SpawnedTask* routine = nullptr;
-        Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
-        std::suspend_always initial_suspend() noexcept { return {}; }
-        std::suspend_never final_suspend() noexcept { return {}; }
-        void return_void() {}
-        void unhandled_exception() { std::terminate(); }
-    };
-    std::coroutine_handle<promise_type> handle;
-};
-
-template <class State>
-Root run_root(Task<void> task, std::string name, std::shared_ptr<State> state,
-              std::unique_ptr<SpawnedTask> routine) {
-    try {
-        if (!routine->cancelled) co_await task;
-    } catch (const Cancelled&) {
-    } catch (const std::exception& e) {
-        log::error("routine_failed", {{"routine", name}, {"error", e.what()}});
-    }
-    state->routines.erase(routine->place);
-}
-
-}  // namespace
-
-void TaskGroup::spawn(Task<void> task, std::string name, Priority priority) {
-    if (state_->cancelled) return;
-    auto routine = std::make_unique<SpawnedTask>();
-    SpawnedTask* raw = routine.get();
-    raw->priority = priority;
-    raw->place = state_->routines.insert(state_->routines.end(), raw);
-    Root root = run_root(std::move(task), std::move(name), state_, std::move(routine));
-    root.handle.promise().routine = raw;
-    loop_.post(root.handle, raw);
-}
-
-void TaskGroup::cancel() {
-    state_->cancelled = true;
-    for (SpawnedTask* r : state_->routines) r->cancel();
-}
-
 Loop::Loop(Clock& clock)
     : clock_(clock), epoll_(epoll_create1(EPOLL_CLOEXEC)), read_buffer_(constants::kReadBufferSize) {
     if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
@@ -103,33 +58,33 @@
 
 bool Loop::Await::await_ready() {
     if (!file) return false;
-    bool& edge = writing ? file->writable_ : file->readable_;
+    bool& edge = direction == Direction::kWrite ? file->writable_ : file->readable_;
     return std::exchange(edge, false);
 }
 
 void Loop::Await::enter() {
-    if (routine && routine->cancelled) {
+    if (spawned_task && spawned_task->cancelled) {
         outcome = WakeReason::kCancelled;
-        loop.post(handle, routine);
+        loop.post(handle, spawned_task);
         return;
     }
     if (file) {
-        slot = writing ? &file->writer_ : &file->reader_;
+        slot = direction == Direction::kWrite ? &file->writer_ : &file->reader_;
         *slot = this;
     }
     if (on) {
-        signal = on;
+        condition = on;
         place = on->waiters_.insert(on->waiters_.end(), this);
     }
     if (until >= 0) {
         timer = loop.timers_.emplace(until, this);
         timed = true;
     }
-    if (routine) routine->pending = this;
+    if (spawned_task) spawned_task->pending = this;
 }
 
 WakeReason Loop::Await::await_resume() {
-    if (outcome == WakeReason::kCancelled || (routine && routine->cancelled)) throw Cancelled{};
+    if (outcome == WakeReason::kCancelled || (spawned_task && spawned_task->cancelled)) throw Cancelled{};
     return outcome;
 }
 
@@ -143,50 +98,53 @@
     }
     // As many as there are: what is urgent among them must not wait until the others have been worked off.
     epoll_event events[constants::kEventsPerTurn];
-    int n = clock_.wait(epoll_, events, constants::kEventsPerTurn, timeout);
-    for (int i = 0; i < n; ++i) {
-        auto it = files_.find(events[i].data.fd);
-        if (it == files_.end()) continue;
-        FileDescriptor& f = *it->second;
-        uint32_t bits = events[i].events;
-        if (bits & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-            if (bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) f.hung_up_ = true;
-            if (f.reader_) {
-                f.reader_->wake(WakeReason::kEvent);
-            } else {
-                f.readable_ = true;
-            }
+    int count = clock_.wait(epoll_, events, constants::kEventsPerTurn, timeout);
+    for (int i = 0; i < count; ++i) dispatch(events[i]);
+    Seconds time = now();
+    while (!timers_.empty() && timers_.begin()->first <= time)
+        timers_.begin()->second->wake(WakeReason::kTimeout);
+    size_t resumed = resume_ready();
+    return count > 0 || resumed > 0;
+}
+
+// An edge that nobody waits for is remembered: epoll does not report it again.
+void Loop::dispatch(const epoll_event& event) {
+    auto found = files_.find(event.data.fd);
+    if (found == files_.end()) return;
+    FileDescriptor& file = *found->second;
+    constexpr uint32_t kEnd = EPOLLRDHUP | EPOLLHUP | EPOLLERR;
+    if (event.events & (EPOLLIN | kEnd)) {
+        if (event.events & kEnd) file.hung_up_ = true;
+        if (file.reader_) {
+            file.reader_->wake(WakeReason::kEvent);
+        } else {
+            file.readable_ = true;
         }
-        if (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-            if (f.writer_) {
-                f.writer_->wake(WakeReason::kEvent);
-            } else {
-                f.writable_ = true;
-            }
+    }
+    if (event.events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
+        if (file.writer_) {
+            file.writer_->wake(WakeReason::kEvent);
+        } else {
+            file.writable_ = true;
         }
     }
-    Seconds t = now();
-    while (!timers_.empty() && timers_.begin()->first <= t)
-        timers_.begin()->second->wake(WakeReason::kTimeout);
-    size_t ran = resume_ready();
-    return n > 0 || ran > 0;
 }
 
-// What is woken by what runs is run, too, before epoll is asked again; but not for ever, so that what has
-// become urgent meanwhile is not kept waiting by a crowd.
+// Coroutines that become ready by what runs are run, too, before epoll is asked again; but only so many, so
+// that what has become urgent meanwhile does not wait for a crowd.
 size_t Loop::resume_ready() {
-    size_t ran = 0;
-    for (; any_ready() && ran < constants::kResumesPerTurn; ++ran) {
+    size_t resumed = 0;
+    for (; any_ready() && resumed < constants::kResumesPerTurn; ++resumed) {
         auto& queue = urgent_.empty() ? ready_ : urgent_;
         auto handle = queue.front();
         queue.pop_front();
         handle.resume();
     }
-    return ran;
+    return resumed;
 }
 
 void Loop::run() {
-    while (!stopped_) turn(-1);
+    while (!stopped_) turn(kNoTimeLimit);
 }
 
 }  // namespace hareshore
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -1,46 +1,55 @@
-// The event loop: epoll, timers, and the routines that wait for them.
+// The event loop: epoll, timers, and the coroutines that wait for them. One thread runs a loop; nothing of it
+// may be used from another.
 #pragma once
 #include <sys/epoll.h>
 
+#include <coroutine>
 #include <deque>
 #include <list>
 #include <map>
-#include <memory>
 #include <span>
-#include <string>
 #include <vector>
 
 #include "base/clock.h"
 #include "loop/task.h"
+#include "loop/task_group.h"  // for those that spawn tasks
 
 namespace hareshore {
 
-class Loop;
 class Condition;
+class Loop;
 
+// What ended a wait. Coroutines never see kCancelled: their wait throws Cancelled.
 enum class WakeReason { kEvent, kTimeout, kCancelled };
 
-// One wait of one routine: for a file, a signal or a time, whichever comes first.
+// For deadlines and durations: none.
+inline constexpr Seconds kNoTimeLimit = -1;
+
+// One wait of one coroutine: for a file descriptor, a condition or a time, whichever comes first. It lives in
+// the coroutine's frame.
 struct Waiter {
     Loop& loop;
-    SpawnedTask* routine = nullptr;
+    SpawnedTask* spawned_task = nullptr;
     std::coroutine_handle<> handle;
     WakeReason outcome = WakeReason::kEvent;
-    Waiter** slot = nullptr;  // the file's place for its waiter
-    Condition* signal = nullptr;
-    std::list<Waiter*>::iterator place;
-    std::multimap<Seconds, Waiter*>::iterator timer;
+    Waiter** slot = nullptr;             // the file descriptor's place for its waiter; null if there is none
+    Condition* condition = nullptr;      // null if there is none
+    std::list<Waiter*>::iterator place;  // among the condition's waiters
+    std::multimap<Seconds, Waiter*>::iterator timer;  // valid if `timed`
     bool timed = false;
 
-    explicit Waiter(Loop& l) : loop(l) {}
+    explicit Waiter(Loop& on) : loop(on) {}
     Waiter(const Waiter&) = delete;
     Waiter& operator=(const Waiter&) = delete;
+    // Ends the wait: the coroutine is resumed in this turn of the loop or a later one.
     void wake(WakeReason why);
 };
 
-// Routines wait for it; notify() wakes all that wait.
+// Coroutines wait for it (Loop::wait) until another calls notify(), which wakes all that wait. Nothing is
+// remembered for later waits.
 class Condition {
   public:
+    // `loop` must outlive the condition.
     explicit Condition(Loop& loop) : loop_(loop) {}
     Condition(const Condition&) = delete;
     Condition& operator=(const Condition&) = delete;
@@ -54,18 +63,20 @@
     std::list<Waiter*> waiters_;
 };
 
-// A non-blocking file descriptor of the loop, closed with the object.
+// A non-blocking file descriptor that is registered with the loop's epoll, edge-triggered. Owns and closes
+// it. At most one coroutine may wait to read and one to write.
 class FileDescriptor {
   public:
+    // Takes over `fd`. `loop` must outlive this object.
     FileDescriptor(Loop& loop, int fd);
     FileDescriptor(const FileDescriptor&) = delete;
     FileDescriptor& operator=(const FileDescriptor&) = delete;
     ~FileDescriptor();
-    int fd() const { return fd_; }
-    // Whether epoll has told of bytes, or of the end, that nobody has read yet.
-    bool unread() const { return readable_ || hung_up_; }
+    [[nodiscard]] int fd() const { return fd_; }
+    // Whether epoll has reported bytes, or the end, that nobody has read yet.
+    [[nodiscard]] bool unread() const { return readable_ || hung_up_; }
     // Whether the peer has closed, or the connection broke: reading leads to the end without another event.
-    bool hung_up() const { return hung_up_; }
+    [[nodiscard]] bool hung_up() const { return hung_up_; }
 
   private:
     friend class Loop;
@@ -73,49 +84,32 @@
     int fd_;
     Waiter* reader_ = nullptr;
     Waiter* writer_ = nullptr;
-    bool readable_ = false;  // an edge came while nobody waited
-    bool writable_ = false;
+    bool readable_ = false;  // an edge came while nobody waited to read
+    bool writable_ = false;  // an edge came while nobody waited to write
     bool hung_up_ = false;
 };
 
-// The routines that belong together; cancel() ends them all in order.
-class TaskGroup {
-  public:
-    explicit TaskGroup(Loop& loop) : loop_(loop), state_(std::make_shared<State>()) {}
-    TaskGroup(const TaskGroup&) = delete;
-    TaskGroup& operator=(const TaskGroup&) = delete;
-    ~TaskGroup() { cancel(); }
-    // Starts a routine at the next turn of the loop. After cancel() nothing is started.
-    void spawn(Task<void> task, std::string name, Priority priority = Priority::kNormal);
-    void cancel();
-    size_t size() const { return state_->routines.size(); }
-    bool cancelled() const { return state_->cancelled; }
-
-  private:
-    friend class Loop;
-    struct State {
-        std::list<SpawnedTask*> routines;
-        bool cancelled = false;
-    };
-    Loop& loop_;
-    std::shared_ptr<State> state_;
-};
-
 class Loop {
   public:
+    // `clock` must outlive the loop. Throws std::system_error.
     explicit Loop(Clock& clock);
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
     ~Loop();
 
-    Seconds now() const { return clock_.now(); }
-    WallTime wall() const { return clock_.wall(); }
+    [[nodiscard]] Seconds now() const { return clock_.now(); }
+    [[nodiscard]] WallTime wall() const { return clock_.wall(); }
 
+    // Turns until stop() is called.
     void run();
-    bool turn(Seconds most);  // one turn; false if nothing happened
-    // For tests: turns until `done` says so or the time is over.
-    template <class F>
-    bool run_until(F done, Seconds most) {
+    // Ends run() after the current turn.
+    void stop() { stopped_ = true; }
+    // Waits up to `most` seconds (kNoTimeLimit: any time) for events and timers, and resumes coroutines that
+    // are ready. False if nothing happened.
+    bool turn(Seconds most);
+    // For tests: turns until `done()` is true; false if `most` seconds are over before.
+    template <class Predicate>
+    bool run_until(Predicate done, Seconds most) {
         Seconds end = now() + most;
         while (!done()) {
             if (now() > end) return false;
@@ -123,53 +117,70 @@
         }
         return true;
     }
-    void stop() { stopped_ = true; }
-    // One buffer for all that read: in the frame of each connection's routine it was most of its memory.
-    std::span<char> read_buffer() { return read_buffer_; }
 
+    // One buffer for all that read, to be used up before the reader waits: in the frame of each connection's
+    // coroutine it was most of its memory.
+    [[nodiscard]] std::span<char> read_buffer() { return read_buffer_; }
+
+    // Awaited, suspends the coroutine; its result says what ended the wait. Throws Cancelled.
     struct Await : Waiter {
+        enum class Direction : uint8_t { kRead, kWrite };
+
         Seconds until;
-        FileDescriptor* file;
-        bool writing;
-        Condition* on;
-        Await(Loop& l, Seconds u, FileDescriptor* f = nullptr, bool w = false, Condition* s = nullptr)
-            : Waiter(l), until(u), file(f), writing(w), on(s) {}
+        FileDescriptor* file = nullptr;
+        Direction direction = Direction::kRead;
+        Condition* on = nullptr;
+
+        Await(Loop& owner, Seconds deadline) : Waiter(owner), until(deadline) {}
+        Await(Loop& owner, Seconds deadline, FileDescriptor& ready, Direction way)
+            : Waiter(owner), until(deadline), file(&ready), direction(way) {}
+        Await(Loop& owner, Seconds deadline, Condition& notified)
+            : Waiter(owner), until(deadline), on(&notified) {}
         bool await_ready();
         template <class P>
-        void await_suspend(std::coroutine_handle<P> h) {
-            routine = h.promise().routine;
-            handle = h;
+        void await_suspend(std::coroutine_handle<P> suspended) {
+            spawned_task = suspended.promise().spawned_task;
+            handle = suspended;
             enter();
         }
         WakeReason await_resume();
         void enter();
     };
 
-    // Until a point in time; negative: no limit.
-    Await sleep(Seconds s) { return {*this, now() + s}; }
-    // Lets all others that are ready go first.
+    // Waits for `duration` seconds.
+    Await sleep(Seconds duration) { return {*this, now() + duration}; }
+    // Lets all others that are ready run first.
     Await yield() { return sleep(0); }
-    Await readable(FileDescriptor& f, Seconds until) { return {*this, until, &f, false}; }
-    Await writable(FileDescriptor& f, Seconds until) { return {*this, until, &f, true}; }
-    Await wait(Condition& s, Seconds until) { return {*this, until, nullptr, false, &s}; }
+    // Each waits until the point in time `until` at the latest, or kNoTimeLimit.
+    Await readable(FileDescriptor& file, Seconds until) {
+        return {*this, until, file, Await::Direction::kRead};
+    }
+    Await writable(FileDescriptor& file, Seconds until) {
+        return {*this, until, file, Await::Direction::kWrite};
+    }
+    Await wait(Condition& condition, Seconds until) { return {*this, until, condition}; }
 
   private:
     friend struct Waiter;
     friend class FileDescriptor;
     friend class TaskGroup;
-    void post(std::coroutine_handle<> h, const SpawnedTask* of) {
-        bool urgent = of && of->priority == Priority::kUrgent;
-        (urgent ? urgent_ : ready_).push_back(h);
+
+    // Has the coroutine resumed when its turn comes.
+    void post(std::coroutine_handle<> handle, const SpawnedTask* task) {
+        bool urgent = task && task->priority == Priority::kUrgent;
+        (urgent ? urgent_ : ready_).push_back(handle);
     }
-    bool any_ready() const { return !urgent_.empty() || !ready_.empty(); }
+    [[nodiscard]] bool any_ready() const { return !urgent_.empty() || !ready_.empty(); }
+    void dispatch(const epoll_event& event);
     size_t resume_ready();
 
     Clock& clock_;
     int epoll_;
     bool stopped_ = false;
-    std::deque<std::coroutine_handle<>> urgent_, ready_;
-    std::multimap<Seconds, Waiter*> timers_;
-    std::map<int, FileDescriptor*> files_;
+    std::deque<std::coroutine_handle<>> urgent_;  // to be resumed first
+    std::deque<std::coroutine_handle<>> ready_;   // to be resumed
+    std::multimap<Seconds, Waiter*> timers_;      // by the time at which the wait ends
+    std::map<int, FileDescriptor*> files_;        // by descriptor
     std::vector<char> read_buffer_;
 };
 
--- a/src/loop/task.h
+++ b/src/loop/task.h
@@ -1,6 +1,8 @@
-// Coroutines of the event loop. A Task runs when it is awaited; a Routine is a chain of tasks that the
-// loop runs by itself and that can be cancelled: the wait it is in then throws Cancelled, and so does
-// every later one, so that its stack unwinds in order.
+// Coroutines of the event loop. A Task is a coroutine that runs when it is awaited; a SpawnedTask is a chain
+// of Tasks that await each other, which the loop runs by itself (TaskGroup::spawn).
+//
+// Cancellation: the wait that a cancelled SpawnedTask is in throws Cancelled, and so does every later one, so
+// that its stack unwinds in order. Coroutines must not catch Cancelled.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -12,77 +14,83 @@
 
 struct Waiter;
 
+// Thrown from every wait of a cancelled task.
 struct Cancelled {};
 
-// Urgent routines run before all others that are ready.
+// Urgent tasks run before all others that are ready.
 enum class Priority : unsigned char { kNormal, kUrgent };
 
+// The state that the coroutines of a spawned chain share. Owned by the chain's outermost coroutine.
 struct SpawnedTask {
     Priority priority = Priority::kNormal;
-    Waiter* pending = nullptr;  // the wait that the routine is in
+    Waiter* pending = nullptr;  // the wait that the task is in; null while it runs or is ready to
     bool cancelled = false;
-    std::list<SpawnedTask*>::iterator place;  // among the routines of its scope
+    std::list<SpawnedTask*>::iterator place;  // among the tasks of its group
     void cancel();
 };
 
+// What all promises of Tasks have.
 struct PromiseBase {
-    std::coroutine_handle<> next;
-    SpawnedTask* routine = nullptr;
-    std::exception_ptr error;
+    std::coroutine_handle<> next;         // the coroutine that awaits this one
+    SpawnedTask* spawned_task = nullptr;  // the chain that this coroutine belongs to
+    std::exception_ptr error;             // left the coroutine; rethrown where it is awaited
 
     std::suspend_always initial_suspend() noexcept { return {}; }
-    struct Final {
+    // Resumes the awaiting coroutine.
+    struct FinalAwaiter {
         bool await_ready() noexcept { return false; }
         template <class P>
-        std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-            auto continuation = h.promise().next;
+        std::coroutine_handle<> await_suspend(std::coroutine_handle<P> finished) noexcept {
+            auto continuation = finished.promise().next;
             return continuation ? continuation : std::noop_coroutine();
         }
         void await_resume() noexcept {}
     };
-    Final final_suspend() noexcept { return {}; }
+    FinalAwaiter final_suspend() noexcept { return {}; }
     void unhandled_exception() { error = std::current_exception(); }
 };
 
 template <class T>
 struct Promise;
 
+// A coroutine with a result. It begins when it is awaited, which must happen at most once, and is destroyed
+// with this object: the arguments that it takes by reference must outlive it.
 template <class T = void>
 class [[nodiscard]] Task {
   public:
     using promise_type = Promise<T>;
     using Handle = std::coroutine_handle<promise_type>;
 
-    explicit Task(Handle h) : h_(h) {}
-    Task(Task&& other) noexcept : h_(std::exchange(other.h_, {})) {}
+    explicit Task(Handle handle) : handle_(handle) {}
+    Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
     Task(const Task&) = delete;
     Task& operator=(const Task&) = delete;
     Task& operator=(Task&&) = delete;
     ~Task() {
-        if (h_) h_.destroy();
+        if (handle_) handle_.destroy();
     }
 
-    bool await_ready() const noexcept { return false; }
+    [[nodiscard]] bool await_ready() const noexcept { return false; }
     template <class P>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<P> caller) noexcept {
-        h_.promise().next = caller;
-        h_.promise().routine = caller.promise().routine;
-        return h_;
+        handle_.promise().next = caller;
+        handle_.promise().spawned_task = caller.promise().spawned_task;
+        return handle_;
     }
     T await_resume() {
-        if (h_.promise().error) std::rethrow_exception(h_.promise().error);
-        return h_.promise().take();
+        if (handle_.promise().error) std::rethrow_exception(handle_.promise().error);
+        return handle_.promise().take();
     }
 
   private:
-    Handle h_;
+    Handle handle_;
 };
 
 template <class T>
 struct Promise : PromiseBase {
     std::optional<T> value;
     Task<T> get_return_object() { return Task<T>(std::coroutine_handle<Promise>::from_promise(*this)); }
-    void return_value(T v) { value.emplace(std::move(v)); }
+    void return_value(T result) { value.emplace(std::move(result)); }
     T take() { return std::move(*value); }
 };
 
