--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -28,7 +28,7 @@
 
 Task<CallResult> CloudClient::call(std::string method, std::string path, std::string body) {
     while (!rate_limit_.take(1, loop_.now()))
-        co_await loop_.sleep(rate_limit_.until(1, loop_.now()) + kRateWaitMargin_s);
+        co_await loop_.sleep(rate_limit_.wait_time(1, loop_.now()) + kRateWaitMargin_s);
     CallResult answer = co_await http_.call(std::move(method), std::move(path), std::move(body),
                                             constants::kCloudCallTimeout_s);
     // Other controllers have used up the limit.
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr Seconds kNoTimeLimit = -1;  // for Loop::wait
 constexpr size_t kWritesPerFinish =
     2;  // the writes of a job's end: the final record put, the live one deleted
 
@@ -42,7 +41,7 @@
             co_await parts_.loop.wait(changed_, kNoTimeLimit);
             continue;
         }
-        Seconds rate_pause = writes_.until(kWritesPerFinish, parts_.loop.now());
+        Seconds rate_pause = writes_.wait_time(kWritesPerFinish, parts_.loop.now());
         if (rate_pause > 0) {
             co_await parts_.loop.sleep(rate_pause);
             continue;
@@ -83,7 +82,8 @@
 }
 
 std::vector<Job*> RecordWriter::choose_jobs() {
-    size_t writes = std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.left(parts_.loop.now())));
+    size_t writes =
+        std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.available(parts_.loop.now())));
     std::vector<Job*> jobs = parts_.jobs.take_dirty(std::max(kWritesPerFinish, writes),
                                                     constants::kTransactionBytes, record_format_);
     if (singles_left_ > 0 && !jobs.empty()) {
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -11,8 +11,6 @@
 
 namespace {
 
-constexpr Seconds kNoTimeLimit = -1;  // for Loop::wait
-
 void lower_to(std::optional<Resources>& smallest, const JobSpec& spec) {
     Resources amount = Resources::of(spec);
     smallest = smallest ? smallest->lesser(amount) : amount;
--- a/tests/config/settings_test.cc
+++ b/tests/config/settings_test.cc
@@ -11,7 +11,7 @@
     EXPECT_EQ(settings_read.min_idle_machines, 2);
     auto error = [](const char* text) {
         try {
-            Settings::parse(text);
+            static_cast<void>(Settings::parse(text));
         } catch (const ConfigError& e) {
             return std::string(e.what());
         }
@@ -45,7 +45,7 @@
 TEST(OperatorSettings, RefuseUnknownNames) {
     for (const char* unknown : {"hold", "hold_s", "Hold-s", "hold-seconds", "max-machine", "preempt-after"}) {
         try {
-            Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)");
+            static_cast<void>(Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)"));
             FAIL() << unknown << " was accepted";
         } catch (const ConfigError& error) {
             EXPECT_EQ(std::string(error.what()), "line 2: unknown setting " + std::string(unknown));
--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -55,13 +55,13 @@
             taken += peer::decode_cancellation_notice(fields->payload).has_value();
         }
         try {
-            Settings::parse(s);
+            static_cast<void>(Settings::parse(s));
             ++taken;
         } catch (const ConfigError&) {
         }
         if (i % 8) continue;  // slower than all others together
         try {
-            Config::parse(s);
+            static_cast<void>(Config::parse(s));
             ++taken;
         } catch (const ConfigError&) {
         }
--- a/tests/controller/heartbeat_router_test.cc
+++ b/tests/controller/heartbeat_router_test.cc
@@ -50,7 +50,8 @@
     uint64_t sequence = 0;
     EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 100), HeartbeatRouting::kRedirect);
     for (Seconds now = 105; now < 150; now += 5)
-        EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", now), HeartbeatRouting::kRelay) << now;
+        EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", now), HeartbeatRouting::kRelay)
+            << now;
     EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 150), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 155), HeartbeatRouting::kRelay);
 }
--- a/tests/controller/service_moves_test.cc
+++ b/tests/controller/service_moves_test.cc
@@ -105,7 +105,7 @@
     }
     ASSERT_GE(all_gone, 0) << "something is still there";
     EXPECT_LT(all_gone, announced + deployment.configs[0].cancel_s);
-    EXPECT_EQ(state_of(deployment.call(lead, "GET", "/v2/runs/job-1")), (JobState{"withdrawn", 0, 0}));
+    EXPECT_EQ(state_of(deployment.call(lead, "GET", "/v2/runs/job-1")), (test::JobState{"withdrawn", 0, 0}));
     EXPECT_EQ(deployment.store.rows.count("f/job-1"), 1U);
 }
 
