--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -19,20 +19,36 @@
     TaskPhase phase = TaskPhase::kFetching;
     ExitCause cause = ExitCause::kNone;
     uint64_t exit_version =
-        0;               // the job's version that accounts for the exit; it may be forgotten once committed
-    bool sized = false;  // amount and team are known
+        0;  // the job's version that accounts for the exit; it may be forgotten once committed
+    bool size_known = false;  // amount and team are known
     Resources amount;
     std::string team;
 };
 
+// A reported task that runs on a machine though no placement accounts for it.
+struct UnplacedTask {
+    std::string job, team;
+    Resources amount;
+};
+
+// What placements and reported tasks take of a machine. Most scheduling passes come with the news of a few
+// machines, and counting all of them anew was their largest cost: it is counted when something has changed.
+struct MachineUsage {
+    Resources taken;
+    uint32_t placed_tasks = 0;
+    bool all_sizes_known = true;  // of each reported task it is known what it takes
+    std::vector<UnplacedTask> unplaced;
+};
+
 struct Machine {
     std::string name, addr, machine_type, zone;
     bool spot = false;
 
     // From its reports.
     uint64_t incarnation = 0, sequence = 0;
-    bool reported = false;       // to this leader
-    bool current = false;        // it has seen this leader's epoch: older launches can no longer arrive
+    bool heartbeat_received = false;  // by this leader
+    bool has_current_token =
+        false;                   // it has this leader's fencing token: older launches can no longer arrive
     Seconds last_heartbeat = 0;  // when it last reported, or when this leader first knew of it
     std::optional<Seconds> spot_reclaim_at;  // spot notice
     std::vector<MachineTask> tasks;
@@ -59,25 +75,12 @@
     bool cordoned = false;              // to be drained and returned
     bool draining = false;              // its work is being moved elsewhere, then it is returned
     bool deleting = false;              // a deletion is on its way: nothing may be bound
-    bool holding = false;               // a report of it is being held: an answer can go out at once
+    bool heartbeat_held = false;        // a heartbeat of it awaits its answer, which can go out at once
     std::string cordon_reason;
     std::optional<Seconds> idle_since;
 
-    // Of the reported tasks, one that runs here though no placement accounts for it.
-    struct UnplacedTask {
-        std::string job, team;
-        Resources amount;
-    };
-    // What placements and reported tasks take, counted when either has changed (`counted`): most scheduling
-    // passes come with the news of a few machines, and counting all of them anew was their largest cost.
-    struct TaskCount {
-        Resources taken;
-        uint32_t placed_tasks = 0;
-        bool all_sized = true;  // of each reported task it is known what it takes
-        std::vector<UnplacedTask> unplaced;
-    };
-    TaskCount count;
-    bool counted = false;
+    MachineUsage usage;
+    bool usage_valid = false;  // nothing that `usage` counts has changed since
 
     // Recounted from placements and reports.
     Resources free;
@@ -85,7 +88,7 @@
     Seconds reserved_until = 0;  // work that ends before may use it
     uint32_t placed_tasks = 0;   // live placements and reported tasks
     bool schedulable = false;
-    uint64_t changes = 0;  // of what it can give, in the scheduling pass under way
+    uint64_t room_changes = 0;  // how often what it can give changed in the scheduling pass under way
 
     bool idle() const { return placed_tasks == 0; }
 };
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -229,9 +229,9 @@
 
 // Until the newest format is in force; no version goes back after that.
 Task<void> Controller::follow_record_format() {
-    while (record_format_.kept < kNewestRecordFormat) {
+    while (record_format_.below_newest()) {
         co_await learn_record_format(state_, record_format_);
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
     if (record_format_.newer()) election_.stop_standing();
 }
--- a/src/fleet/scaling_plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -61,10 +61,10 @@
             Seconds patience = cut ? constants::kPartitionTimeoutLeases * in_.config.lease_s : silent_after();
             if (h->phase == MachinePhase::kFailed) {
                 scale_in(*h, "it failed");
-            } else if (h->phase == MachinePhase::kRunning && h->reported && !h->holding &&
+            } else if (h->phase == MachinePhase::kRunning && h->heartbeat_received && !h->heartbeat_held &&
                        quiet(*h) > patience) {
                 scale_in(*h, "it is unreachable", true);
-            } else if (h->phase == MachinePhase::kRunning && !h->reported &&
+            } else if (h->phase == MachinePhase::kRunning && !h->heartbeat_received &&
                        quiet(*h) > patience + (cut ? 0 : in_.config.lease_s)) {
                 scale_in(*h, "it never reported", true);
             } else if (h->phase == MachinePhase::kBooting && f &&
@@ -95,7 +95,8 @@
     }
 
     bool late(const Machine& h) const {
-        return !h.holding && quiet(h) > constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s;
+        return !h.heartbeat_held &&
+               quiet(h) > constants::kSilentAfterHeartbeats * in_.config.heartbeat_interval_s;
     }
 
     // When most of a zone's machines are quiet at once, the zone is likely cut off from this controller: they
@@ -106,7 +107,7 @@
     void find_cut_zones() {
         std::map<std::string, std::pair<size_t, size_t>> zones;  // quiet, known
         for (const auto& [name, h] : cluster_.machines) {
-            bool up = h->reported || (h->listed && h->phase == MachinePhase::kRunning);
+            bool up = h->heartbeat_received || (h->listed && h->phase == MachinePhase::kRunning);
             if (!up || h->phase == MachinePhase::kFailed) continue;
             auto& [quiet, known] = zones[h->zone];
             ++known;
@@ -135,7 +136,7 @@
             if (!f || leaving(*h) || h->phase == MachinePhase::kFailed) continue;
             // A report from before this epoch may be a late copy, even of a machine long deleted: until the
             // machine takes up the epoch or the cloud lists it, it is no room to count on.
-            if (h->reported && !h->current && !h->listed) continue;
+            if (h->heartbeat_received && !h->has_current_token && !h->listed) continue;
             if (h->unreachable_since) continue;
             if (plan_.cut.contains(h->zone) && late(*h)) continue;
             Slot s;
@@ -191,7 +192,7 @@
         std::vector<std::tuple<double, int, MachineKind>> out;
         for (const auto& f : cluster_.machine_types) {
             Resources whole{f.cpus, f.gpus, f.memory_gb};
-            uint32_t k = whole.fits(s, constants::kMaxTasks);
+            uint32_t k = whole.count_fitting(s, constants::kMaxTasks);
             if (k == 0) continue;
             for (const auto& z : f.zones)
                 for (bool spot : {true, false}) {
@@ -210,7 +211,7 @@
     }
 
     static uint32_t put(Slot& s, const JobSpec& spec, uint32_t n, Resources Slot::*of = &Slot::free) {
-        uint32_t k = (s.*of).fits(spec, n);
+        uint32_t k = (s.*of).count_fitting(spec, n);
         for (uint32_t i = 0; i < k; ++i) s.*of -= Resources::of(spec);
         if (k > 0) s.used = true;
         return k;
@@ -219,7 +220,7 @@
     // Puts a job's waiting tasks on what is there or coming; what is left asks for machines. Like tasks
     // are counted as a class: the cost is one step a machine, however many tasks wait.
     void cover(const Job& job) {
-        if (in_.now < job.not_before) return;
+        if (in_.now < job.failures.retry_at) return;
         const JobSpec& s = job.spec;
         uint32_t n = job.pending.size();
         // Machines without room for any that waits are passed over by all that come after.
@@ -270,7 +271,7 @@
             for (size_t i : open_)
                 if (const Slot& x = slots_[i];
                     x.kind.zone == zone && s.allows(x.kind.machine_type, zone, x.kind.spot))
-                    have += x.free.fits(s, n);
+                    have += x.free.count_fitting(s, n);
             uint32_t lack = have >= n ? 0 : n - have;
             bool rentable = std::any_of(options.begin(), options.end(),
                                         [&](const MachineKind& k) { return k.zone == zone; });
@@ -316,7 +317,8 @@
         for (const auto& zone : in_.config.zones) {
             std::vector<const Slot*> idle;
             for (const Slot& s : slots_)
-                if (s.kind.zone == zone && s.machine && s.machine->reported && is_idle(s)) idle.push_back(&s);
+                if (s.kind.zone == zone && s.machine && s.machine->heartbeat_received && is_idle(s))
+                    idle.push_back(&s);
             // The dearest go first, then those idle longest.
             std::sort(idle.begin(), idle.end(), [](const Slot* a, const Slot* b) {
                 return std::tuple(a->kind.spot, a->machine->idle_since, a->machine->name) <
@@ -423,8 +425,8 @@
             const Machine& h = *it->second;
             // Its user may have been told long before a leader that inherits it, or one that learns of it
             // late: then the machine's silence counts.
-            bool unheard = job->cancelled_before && !h.reported;
-            if (unheard || now - h.last_heartbeat > lease || now - job->cancelled_at > lease)
+            bool unheard = job->cancelled_before_term && !h.heartbeat_received;
+            if (unheard || now - h.last_heartbeat > lease || now - job->cancellation_known_at > lease)
                 out.push_back(h.name);
         }
     }
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -1,9 +1,10 @@
 // One job: its deadlines, and how much room its record has in the state service.
+#include "jobs/job.h"
+
 #include <algorithm>
 
 #include "base/constants.h"
 #include "jobs/compact.h"
-#include "jobs/table.h"
 
 namespace hareshore {
 
@@ -49,7 +50,7 @@
     return accepted + (it == config.finish_within.end() ? constants::kNoExpectedEnd_s : it->second);
 }
 
-bool Job::late(const Config& config, Seconds now) const {
+bool Job::likely_late(const Config& config, Seconds now) const {
     if (spec.service()) return false;  // it has no end
     return now + constants::kLateShare * spec.estimate_s > due(config);
 }
@@ -57,10 +58,10 @@
 int Job::missed_objectives(const Config& config, Seconds now) const {
     // What counts of a service is the time it is not served: a late start is one more reason to hurry.
     if (spec.service()) return 0;
-    int lost = late(config, now) ? 1 : 0;
+    int lost = likely_late(config, now) ? 1 : 0;
     auto waits = config.wait_within.find(spec.job_class);
     // Of tasks that were all begun once, only the end is still open.
-    if (waits == config.wait_within.end() || interrupted.covers(pending)) return lost;
+    if (waits == config.wait_within.end() || run_times.interrupted.covers(pending)) return lost;
     for (Seconds within : waits->second)
         if (now + constants::kStartLatency_s > accepted + within) ++lost;
     return lost;
@@ -92,7 +93,7 @@
 
 Job::RecordSize& Job::measured(uint64_t record_format, bool exact) const {
     RecordSize& s = sizes[record_format - 1];
-    if (s.version == version && (s.exact || !exact)) return s;
+    if (s.version == persistence.version && (s.exact || !exact)) return s;
     if (fixed_bytes == 0) {
         JobRecord bare;
         bare.spec = spec;
@@ -107,7 +108,7 @@
     } else {
         n += compact_ranges(done).size() + format2_live(live_tasks(*this));
     }
-    return s = {version, n, true};
+    return s = {persistence.version, n, true};
 }
 
 size_t Job::record_bytes(uint64_t record_format) const {
@@ -149,7 +150,7 @@
             auto range = pending.all().begin();
             uint32_t task = range->first;
             for (const Machine* h : on) {
-                tasks.push_back({task, live.empty() ? next_attempt : attempt, h->name, h->zone});
+                tasks.push_back({task, live.empty() ? next_attempt : gang_attempt.number, h->name, h->zone});
                 if (task++ == range->second && ++range != pending.all().end()) task = range->first;
             }
             bytes += compact_ranges(done).size() + format2_live(tasks);
@@ -159,7 +160,7 @@
     return true;
 }
 
-JobRecord Job::record() const {
+JobRecord Job::to_record() const {
     JobRecord r;
     r.spec = spec;
     r.accepted_wall = accepted_wall;
--- a/src/jobs/table.cc
+++ b/src/jobs/job_table.cc
@@ -1,4 +1,4 @@
-#include "jobs/table.h"
+#include "jobs/job_table.h"
 
 #include <algorithm>
 
@@ -17,11 +17,11 @@
 }
 
 Job& JobTable::load(const JobRecord& r, uint64_t mod_revision, Seconds now, WallTime wall) {
-    quarantined_.erase(r.spec.id);
+    unreadable_.erase(r.spec.id);
     auto& slot = jobs_[r.spec.id];
     if (slot) {
         // Only users change a record besides this leader, and only to cancel the job.
-        if (mod_revision > slot->mod_revision) slot->mod_revision = mod_revision;
+        if (mod_revision > slot->persistence.mod_revision) slot->persistence.mod_revision = mod_revision;
         if (r.cancelled && !slot->cancelled) cancel(*slot, now);
         return *slot;
     }
@@ -32,11 +32,11 @@
     j.accepted_wall = r.accepted_wall;
     j.accepted = now - std::max(0.0, wall - r.accepted_wall);
     // A job that never started has waited since it came, also before this leader.
-    j.waiting_since = r.live.empty() && r.done.empty() && r.next_attempt <= 1 ? j.accepted : now;
+    j.wait.since = r.live.empty() && r.done.empty() && r.next_attempt <= 1 ? j.accepted : now;
     if (!j.spec.service()) j.done = r.done;  // earlier versions took a replica's exit for its end
     j.next_attempt = r.next_attempt;
-    j.saw_all_starts = r.next_attempt <= 1;
-    j.mod_revision = mod_revision;
+    j.run_times.saw_all_starts = r.next_attempt <= 1;
+    j.persistence.mod_revision = mod_revision;
     j.pending = Ranges::whole(r.spec.tasks);
     for (uint32_t n = 0; n < r.spec.tasks && !j.done.empty(); ++n)
         if (j.done.has(n)) j.pending.remove(n);
@@ -46,22 +46,22 @@
         p.attempt = b.attempt;
         p.machine = b.machine;
         p.zone = b.zone;
-        p.inherited = true;
+        p.from_earlier_leader = true;
         p.bound_at = now;
         enter(b.machine, {&j, task, &(j.live[task] = p)});
         j.pending.remove(task);
         // A gang's tasks share an attempt. Whether it has started is not kept: it counts as started, so
         // that no replacement joins an attempt that has already run.
-        j.attempt = std::max(j.attempt, b.attempt);
-        j.started = true;
+        j.gang_attempt.number = std::max(j.gang_attempt.number, b.attempt);
+        j.gang_attempt.started = true;
     }
     if (j.spec.gang() && !j.live.empty() && j.live.size() < j.spec.tasks) {
-        j.broken = true;
+        j.gang_attempt.broken = true;
         stop_gang(j, 0);
     }
     if (r.cancelled) {
         cancel(j, now);
-        j.cancelled_before = true;
+        j.cancelled_before_term = true;
     }
     return j;
 }
@@ -79,29 +79,29 @@
     queued_.clear();
     by_machine_.clear();
     changed_machines_.clear();
-    quarantined_.clear();
+    unreadable_.clear();
 }
 
-void JobTable::touch(Job& job) {
-    ++job.version;
-    requeue(job);
+void JobTable::mark_changed(Job& job) {
+    ++job.persistence.version;
+    queue_write(job);
 }
 
-void JobTable::requeue(Job& job) {
+void JobTable::queue_write(Job& job) {
     if (queued_.insert(job.spec.id).second) dirty_.push_back(job.spec.id);
 }
 
-void JobTable::requeue_all() {
+void JobTable::queue_all_unwritten() {
     for (auto& [id, job] : jobs_)
-        if (job->dirty()) requeue(*job);
+        if (job->persistence.unwritten()) queue_write(*job);
 }
 
-void JobTable::quarantine(const std::string& id) {
+void JobTable::set_unreadable(const std::string& id) {
     erase(id);
-    quarantined_.insert(id);
+    unreadable_.insert(id);
 }
 
-std::vector<Job*> JobTable::take_dirty(size_t most_ops, size_t most_bytes, uint64_t record_format) {
+std::vector<Job*> JobTable::take_unwritten(size_t most_ops, size_t most_bytes, uint64_t record_format) {
     std::vector<Job*> out;
     std::vector<std::string> rest;
     size_t ops = 0;
@@ -109,7 +109,7 @@
     bool full = false;
     for (auto& id : dirty_) {
         Job* j = find(id);
-        if (!j || !j->dirty()) {
+        if (!j || !j->persistence.unwritten()) {
             queued_.erase(id);
             continue;
         }
@@ -132,15 +132,15 @@
 Placement& JobTable::bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now) {
     for (uint64_t record_format = 1; record_format <= kNewestRecordFormat; ++record_format) {
         auto& s = job.sizes[record_format - 1];
-        if (s.version == job.version)
-            s = {job.version + 1, s.bytes + job.placement_bytes(record_format, machine), false};
+        if (s.version == job.persistence.version)
+            s = {job.persistence.version + 1, s.bytes + job.placement_bytes(record_format, machine), false};
     }
-    touch(job);
+    mark_changed(job);
     Placement p;
     p.attempt = attempt;
     p.machine = machine.name;
     p.zone = machine.zone;
-    p.version = job.version;
+    p.job_version = job.persistence.version;
     p.bound_at = now;
     job.pending.remove(task);
     Placement& kept = job.live[task] = p;
@@ -168,26 +168,26 @@
     leave(it->second.machine, job, task);
     job.live.erase(it);
     if (!job.done.has(task)) {
-        job.interrupted.add(task);
-        if (job.pending.empty()) job.waiting_since = now;
+        job.run_times.interrupted.add(task);
+        if (job.pending.empty()) job.wait.since = now;
         job.pending.add(task);
     }
-    touch(job);
+    mark_changed(job);
     settle(job);
 }
 
 void JobTable::settle(Job& job) {
-    if (job.live.empty()) job.started = job.broken = false;
+    if (job.live.empty()) job.gang_attempt.started = job.gang_attempt.broken = false;
 }
 
 void JobTable::complete(Job& job, uint32_t task, Seconds now) {
     job.done.add(task);
     job.pending.remove(task);
-    job.failed_on.clear();
-    job.failing = false;
-    job.backoff_s = 0;
+    job.failures.machines.clear();
+    job.failures.failing = false;
+    job.failures.backoff_s = 0;
     release(job, task, now);
-    touch(job);
+    mark_changed(job);
     if (!job.spec.gang()) return;
     // A gang completes together. Its other tasks still count on their machines until they report it.
     for (uint32_t n = 0; n < job.spec.tasks; ++n) {
@@ -198,7 +198,7 @@
 }
 
 void JobTable::cancel(Job& job, Seconds now) {
-    if (!job.cancelled) job.cancelled_at = now;
+    if (!job.cancelled) job.cancellation_known_at = now;
     job.cancelled = true;
     for (auto& [task, p] : job.live) {
         p.stopping = true;
@@ -208,16 +208,17 @@
     // What this leader bound and never sent cannot be on a machine.
     for (auto it = job.live.begin(); it != job.live.end();) {
         uint32_t task = it->first;
-        bool unsent = !it->second.inherited && it->second.sent_sequence == 0 && !it->second.seen;
+        bool unsent =
+            !it->second.from_earlier_leader && it->second.launch.sequence == 0 && !it->second.acknowledged;
         ++it;
         if (unsent) release(job, task, now);
     }
-    touch(job);
+    mark_changed(job);
 }
 
-void JobTable::repeat_stops(Seconds before) {
+void JobTable::repeat_stops_of_cancelled(Seconds before) {
     for (const auto& [id, job] : jobs_)
-        if (job->cancelled && job->cancelled_at <= before)
+        if (job->cancelled && job->cancellation_known_at <= before)
             for (const auto& [task, p] : job->live) urgent_.insert(p.machine);
 }
 
@@ -230,15 +231,15 @@
     }
 }
 
-void JobTable::stop(Job& job, uint32_t task, Seconds /*now*/, bool skip_saving) {
+void JobTable::stop(Job& job, uint32_t task, StopMode mode) {
     Seconds grace = job.spec.save_s + constants::kCheckpointMargin_s;
     // A replica has nothing to save: its successor is waited for.
     if (job.spec.service()) grace = 0;
     // On average half a checkpoint interval is lost, against a save during which the room is not free.
-    if (skip_saving && job.skips_saving()) grace = 0;
+    if (mode == StopMode::kSkipSaveIfCheap && job.skips_saving()) grace = 0;
     if (job.spec.gang()) {
         stop_gang(job, grace);
-        job.broken = true;
+        job.gang_attempt.broken = true;
         return;
     }
     auto it = job.live.find(task);
@@ -251,7 +252,7 @@
 void JobTable::machine_deleted(const std::string& machine, Seconds now) {
     auto tasks = on_machine(machine);
     for (const auto& r : tasks) {
-        if (r.job->spec.gang() && r.job->started) r.job->broken = true;
+        if (r.job->spec.gang() && r.job->gang_attempt.started) r.job->gang_attempt.broken = true;
         release(*r.job, r.task, now);
     }
 }
@@ -259,19 +260,21 @@
 // One failed task says little. A machine that fails different jobs is condemned; a job that fails on
 // several machines is blamed itself, waits longer each time, and no longer counts against machines.
 void JobTable::failed(Cluster& cluster, Machine& machine, Job& job, Seconds now) {
-    job.failed_on.insert(machine.name);
-    if (job.failed_on.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
-        if (!job.failing) {
-            job.failing = true;
-            log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failed_on.size()}});
+    job.failures.machines.insert(machine.name);
+    if (job.failures.machines.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
+        if (!job.failures.failing) {
+            job.failures.failing = true;
+            log::info("job_marked_failing",
+                      {{"job", job.spec.id}, {"machines", job.failures.machines.size()}});
             for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
         }
     }
-    if (job.failed_on.size() >= 2) {
-        job.backoff_s = std::clamp(job.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
-        job.not_before = now + job.backoff_s;
+    if (job.failures.machines.size() >= 2) {
+        job.failures.backoff_s =
+            std::clamp(job.failures.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
+        job.failures.retry_at = now + job.failures.backoff_s;
     }
-    if (!job.failing) count_failure(machine, job);
+    if (!job.failures.failing) count_failure(machine, job);
 }
 
 void JobTable::count_failure(Machine& machine, const Job& job) {
@@ -298,21 +301,22 @@
                                 {"ran_s", ran},
                                 {"cause", exit_cause_name(cause)}});
     if (ran >= constants::kReplicaSteady_s) return;
-    job.last_quick_exit_at = now;
-    job.failed_on.insert(machine.name);
-    if (!job.failing && job.failed_on.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
-        job.failing = true;
-        log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failed_on.size()}});
+    job.failures.last_quick_exit_at = now;
+    job.failures.machines.insert(machine.name);
+    if (!job.failures.failing &&
+        job.failures.machines.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
+        job.failures.failing = true;
+        log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failures.machines.size()}});
         for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
     }
-    if (++job.quick_exits > constants::kReplicaTries) {
+    if (++job.failures.quick_exits > constants::kReplicaTries) {
         // Replicas that end together count as one: a pause runs already.
-        if (now >= job.not_before)
-            job.backoff_s =
-                std::clamp(job.backoff_s * 2, constants::kReplicaBackoff_s, constants::kReplicaBackoffMax_s);
-        job.not_before = now + job.backoff_s;
+        if (now >= job.failures.retry_at)
+            job.failures.backoff_s = std::clamp(job.failures.backoff_s * 2, constants::kReplicaBackoff_s,
+                                                constants::kReplicaBackoffMax_s);
+        job.failures.retry_at = now + job.failures.backoff_s;
     }
-    if (!job.failing && cause == ExitCause::kError) count_failure(machine, job);
+    if (!job.failures.failing && cause == ExitCause::kError) count_failure(machine, job);
 }
 
 void JobTable::exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const TaskStatus& t,
@@ -329,10 +333,11 @@
     switch (t.cause) {
         case ExitCause::kDone:
             machine.failed_jobs.clear();
-            if (const Placement& p = job.live.at(task);
-                !job.spec.gang() && p.running_since && job.saw_all_starts && !job.interrupted.has(task)) {
-                ++job.runs;
-                job.runs_sum_s += now - *p.running_since;
+            if (const Placement& p = job.live.at(task); !job.spec.gang() && p.running_since &&
+                                                        job.run_times.saw_all_starts &&
+                                                        !job.run_times.interrupted.has(task)) {
+                ++job.run_times.count;
+                job.run_times.sum_s += now - *p.running_since;
             }
             complete(job, task, now);
             return;
@@ -352,30 +357,30 @@
     if (job.spec.gang()) {
         // After its start a gang that lost a task ends; before, a replacement may complete it, but not
         // when it ran out of time.
-        if (job.started || t.cause == ExitCause::kIncomplete || t.cause == ExitCause::kPeersGone)
-            job.broken = true;
-        if (t.cause == ExitCause::kError) job.broken = true;
+        if (job.gang_attempt.started || t.cause == ExitCause::kIncomplete || t.cause == ExitCause::kPeersGone)
+            job.gang_attempt.broken = true;
+        if (t.cause == ExitCause::kError) job.gang_attempt.broken = true;
     }
     release(job, task, now);
-    if (job.spec.gang() && job.broken && !job.cancelled) {
+    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled) {
         // The rest of a stopping gang may still be saving; the rest of a failed one has nothing to save.
         bool orderly = t.cause == ExitCause::kStopped;
         if (!orderly) stop_gang(job, 0);
     }
 }
 
-void JobTable::find_stragglers(Cluster& cluster, Seconds now) {
+void JobTable::cordon_stragglers(Cluster& cluster, Seconds now) {
     for (auto& [name, h] : cluster.machines) {
         // Of one that is silent nothing is known; its tasks only seem to go on for long.
         if (h->cordoned || !h->schedulable) continue;
         size_t straggling = 0;
         for (const auto& r : on_machine(name)) {
             const Job& j = *r.job;
-            if (j.spec.gang() || j.runs < constants::kStragglerComparisons) continue;
+            if (j.spec.gang() || j.run_times.count < constants::kStragglerComparisons) continue;
             const Placement& p = *r.placement;
             Seconds ran = p.running_since ? now - *p.running_since : 0;
             if (ran > constants::kStragglerLeast_s &&
-                ran > constants::kStragglerFactor * j.runs_sum_s / j.runs)
+                ran > constants::kStragglerFactor * j.run_times.sum_s / j.run_times.count)
                 ++straggling;
         }
         if (straggling < constants::kStragglerTasks) continue;
@@ -384,18 +389,19 @@
         log::info("machine_cordoned", {{"machine", name}, {"reason", h->cordon_reason}});
         auto tasks = on_machine(name);
         for (const auto& r : tasks)
-            if (r.job->spec.checkpoint_s > 0 && !r.job->spec.service()) stop(*r.job, r.task, now);
+            if (r.job->spec.checkpoint_s > 0 && !r.job->spec.service())
+                stop(*r.job, r.task, StopMode::kSaveFirst);
     }
 }
 
-void JobTable::move_replicas(Cluster& cluster, Seconds now) {
+void JobTable::move_replicas(Cluster& cluster) {
     for (auto& [name, h] : cluster.machines) {
         if (!h->cordoned && !h->draining) continue;
         auto tasks = on_machine(name);
         for (const auto& [job, task, p] : tasks) {
             if (!job->spec.service() || job->cancelled || p->stopping) continue;
             uint32_t self = p->phase == TaskPhase::kRunning ? 1 : 0;
-            if (job->running_replicas() - self + 1 == job->spec.tasks) stop(*job, task, now);
+            if (job->running_replicas() - self + 1 == job->spec.tasks) stop(*job, task, StopMode::kSaveFirst);
         }
     }
 }
@@ -413,13 +419,13 @@
 }  // namespace
 
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split by event
-bool JobTable::apply(Cluster& cluster, Machine& machine, const WorkerHeartbeat& r, bool absence,
-                     Seconds now) {
+bool JobTable::apply_heartbeat(Cluster& cluster, Machine& machine, const WorkerHeartbeat& r, Absence absence,
+                               Seconds now) {
     bool news = false;
     const std::vector<MachineTask> before = std::exchange(machine.tasks, {});
     news = before.size() != r.tasks.size();
     machine.tasks.reserve(r.tasks.size());
-    machine.counted = false;
+    machine.usage_valid = false;
     machine.incarnation = r.incarnation;
     machine.sequence = r.sequence;
     machine.addr = r.addr;
@@ -445,7 +451,7 @@
         if (was == before.end() || old != t.phase) news = true;
         Job* job = find(t.name.job);
         if (job) {
-            x.sized = true;
+            x.size_known = true;
             x.amount = Resources::of(job->spec);
             x.team = job->spec.team;
             if (t.phase != TaskPhase::kFetching && t.cause != ExitCause::kNoRoom &&
@@ -455,72 +461,73 @@
             bool mine = it != job->live.end() && it->second.machine == machine.name &&
                         it->second.attempt == t.attempt;
             // A gang's replacement may come to a machine that still lists an exit of the same attempt.
-            if (mine && known_exit && !it->second.seen) mine = false;
+            if (mine && known_exit && !it->second.acknowledged) mine = false;
             if (mine) {
                 Placement& p = it->second;
                 present.push_back(&p);
-                if (p.phase != t.phase || !p.seen)
+                if (p.phase != t.phase || !p.acknowledged)
                     log::debug("task_phase", {{"task", t.name.text()},
                                               {"attempt", t.attempt},
                                               {"machine", machine.name},
                                               {"phase", task_phase_name(t.phase)}});
                 if (t.phase == TaskPhase::kRunning) {
                     if (!p.running_since) p.running_since = now;
-                    if (job->spec.service() && p.bound_at >= job->last_quick_exit_at &&
+                    if (job->spec.service() && job->failures.cleared_by_replica(p.bound_at) &&
                         now - *p.running_since >= constants::kReplicaSteady_s) {
                         // What was started since then stays: what ended at once does so no longer.
-                        job->failed_on.clear();
-                        job->failing = false;
-                        job->quick_exits = 0;
-                        job->backoff_s = 0;
+                        job->failures.machines.clear();
+                        job->failures.failing = false;
+                        job->failures.quick_exits = 0;
+                        job->failures.backoff_s = 0;
                     }
-                    job->started = true;
+                    job->gang_attempt.started = true;
                 }
-                if (!p.seen && p.sent > 0)
+                if (!p.acknowledged && p.launch.answers > 0)
                     machine.unreachable_since.reset();  // it was launched: an answer arrived
-                p.seen = true;
+                p.acknowledged = true;
                 p.phase = t.phase;
                 if (t.phase == TaskPhase::kExited) {
                     exited(cluster, machine, *job, t.name.task, t, now);
-                    x.exit_version = job->version;
+                    x.exit_version = job->persistence.version;
                 }
             } else if (t.phase == TaskPhase::kExited && t.cause == ExitCause::kDone && !job->spec.service() &&
                        !job->done.has(t.name.task) && t.name.task < job->spec.tasks &&
                        it == job->live.end()) {
                 // A result of an attempt that was given up: the work is done all the same.
                 complete(*job, t.name.task, now);
-                x.exit_version = job->version;
+                x.exit_version = job->persistence.version;
             } else if (t.phase == TaskPhase::kExited && !known_exit) {
-                x.exit_version = job->version;
+                x.exit_version = job->persistence.version;
             }
         }
         machine.tasks.push_back(std::move(x));
     }
-    if (absence) {
+    if (absence == Absence::kProven) {
         auto tasks = on_machine(machine.name);
         for (const auto& [job, task, placement] : tasks) {
             if (std::find(present.begin(), present.end(), placement) != present.end()) continue;
             auto it = job->live.find(task);
             if (it == job->live.end()) continue;
             Placement& p = it->second;
-            bool committed = p.inherited || job->committed >= p.version;
+            bool committed = p.from_earlier_leader || job->persistence.committed_version >= p.job_version;
             if (!committed) continue;
             // A newer report without the task: every launch sent before it is void, since the worker has
             // one report in flight and drops what answers an older one.
-            if (p.sent_sequence != 0 && !r.newer_than(p.sent_incarnation, p.sent_sequence)) continue;
+            if (p.launch.sequence != 0 && !r.newer_than(p.launch.incarnation, p.launch.sequence)) continue;
             // Answer after answer carried the launch and nothing came of it: bound to a machine that does
             // not hear us, the task would wait for ever.
-            if (p.sent >= constants::kUnansweredLaunches && !machine.unreachable_since) {
+            if (p.launch.answers >= constants::kUnansweredLaunches && !machine.unreachable_since) {
                 machine.unreachable_since = now;
                 log::info("machine_unreachable",
                           {{"machine", machine.name}, {"reason", "launches_without_effect"}});
             }
-            bool lost = p.seen || (p.inherited && job->spec.gang()) || machine.unreachable_since;
+            bool lost =
+                p.acknowledged || (p.from_earlier_leader && job->spec.gang()) || machine.unreachable_since;
             if (job->cancelled || p.stopping || lost) {
                 news = true;
-                if (job->spec.gang() && job->started) job->broken = true;
+                if (job->spec.gang() && job->gang_attempt.started) job->gang_attempt.broken = true;
                 release(*job, task, now);
-                if (job->spec.gang() && job->broken && !job->cancelled) stop_gang(*job, 0);
+                if (job->spec.gang() && job->gang_attempt.broken && !job->cancelled) stop_gang(*job, 0);
             }
         }
     }
@@ -536,28 +543,30 @@
 bool JobTable::awaits_commit(const Machine& machine) const {
     for (const auto& r : on_machine(machine.name)) {
         const Placement& p = *r.placement;
-        if (!p.inherited && r.job->committed < p.version && !r.job->cancelled) return true;
+        if (!p.from_earlier_leader && r.job->persistence.committed_version < p.job_version &&
+            !r.job->cancelled)
+            return true;
     }
     return false;
 }
 
-bool JobTable::settled_on(const Machine& machine) const {
+bool JobTable::all_running_on(const Machine& machine) const {
     auto running = [](const MachineTask& t) { return t.phase == TaskPhase::kRunning; };
-    auto meant = [](const PlacedTask& r) { return r.placement->seen && !r.placement->stopping; };
+    auto meant = [](const PlacedTask& r) { return r.placement->acknowledged && !r.placement->stopping; };
     const auto& here = on_machine(machine.name);
     return here.size() == machine.tasks.size() &&
            std::all_of(machine.tasks.begin(), machine.tasks.end(), running) &&
            std::all_of(here.begin(), here.end(), meant);
 }
 
-std::vector<Command> JobTable::commands(Machine& machine, bool launches) {
+std::vector<Command> JobTable::commands(Machine& machine, LaunchCommands launches) {
     std::vector<Command> out;
     for (const auto& t : machine.tasks) {
-        if (quarantined(t.name.job)) continue;
+        if (unreadable(t.name.job)) continue;
         Job* job = find(t.name.job);
         if (t.phase == TaskPhase::kExited) {
             // Forgotten only when the state service has what came of it.
-            if (!job || job->committed >= t.exit_version)
+            if (!job || job->persistence.committed_version >= t.exit_version)
                 out.push_back({CommandKind::kForget, t.name, t.attempt, 0});
             continue;
         }
@@ -571,19 +580,20 @@
             out.push_back({CommandKind::kStop, t.name, t.attempt, it->second.grace_s});
         }
     }
-    if (!launches) return out;
+    if (launches == LaunchCommands::kOmit) return out;
     for (const auto& [job, task, placement] : on_machine(machine.name)) {
         if (job->cancelled) continue;
         const std::string& id = job->spec.id;
         Placement& p = job->live.at(task);
-        if (p.stopping || p.seen) continue;
+        if (p.stopping || p.acknowledged) continue;
         if (find_attempt(machine.tasks, 0, {id, task}, p.attempt) != machine.tasks.end()) continue;
-        if (!p.inherited && job->committed < p.version) continue;
-        if (job->spec.gang() && job->broken) continue;
+        if (!p.from_earlier_leader && job->persistence.committed_version < p.job_version) continue;
+        if (job->spec.gang() && job->gang_attempt.broken) continue;
         out.push_back({CommandKind::kLaunch, {id, task}, p.attempt, 0});
-        if (p.sent_incarnation != machine.incarnation || p.sent_sequence != machine.sequence) ++p.sent;
-        p.sent_incarnation = machine.incarnation;
-        p.sent_sequence = machine.sequence;
+        if (p.launch.incarnation != machine.incarnation || p.launch.sequence != machine.sequence)
+            ++p.launch.answers;
+        p.launch.incarnation = machine.incarnation;
+        p.launch.sequence = machine.sequence;
     }
     return out;
 }
--- a/src/jobs/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -1,36 +1,41 @@
 #include "jobs/record_format.h"
 
-#include <algorithm>
-
 #include "base/constants.h"
 #include "base/log.h"
 
 namespace hareshore {
 
 std::string pack_record_format(uint64_t record_format) {
-    Packer p;
-    p.map(1).key("v").count(record_format);
-    return p.take();
+    Packer packer;
+    packer.map(1).key("v").count(record_format);
+    return packer.take();
+}
+
+std::optional<uint64_t> unpack_record_format(const std::string& packed) {
+    auto message = Message::parse(packed);
+    auto format = message ? message->root()["v"].count() : std::nullopt;
+    return format && *format > 0 ? format : std::nullopt;
 }
 
-uint64_t unpack_record_format(const std::string& packed) {
-    auto m = Message::parse(packed);
-    auto v = m ? m->root()["v"].count() : std::nullopt;
-    return v && *v > 0 ? *v : UINT64_MAX;
+bool reads_record_format(const std::string& packed) {
+    auto format = unpack_record_format(packed);
+    return format && *format <= kNewestRecordFormat;
 }
 
 Task<bool> learn_record_format(StoreClient& state, RecordFormat& record_format) {
-    GetResult got = co_await state.get(kRecordFormatKey, constants::kStateCall_s);
-    if (got.status == StoreStatus::kNotFound) co_return true;
-    if (got.status != StoreStatus::kOk) co_return false;
-    uint64_t v = unpack_record_format(got.entry.data);
-    if (v > record_format.kept) {
-        record_format.kept = v;
-        if (record_format.newer()) {
-            log::error("record_format_unknown", {{"format", v}});
-        } else {
-            log::info("record_format", {{"format", v}});
-        }
+    GetResult read = co_await state.get(kRecordFormatKey, constants::kStateCall_s);
+    if (read.status == StoreStatus::kNotFound) co_return true;
+    if (read.status != StoreStatus::kOk) co_return false;
+    if (!record_format.stored) co_return true;  // it has been found unreadable, which stays
+    auto format = unpack_record_format(read.entry.data);
+    if (format && *format <= *record_format.stored) co_return true;
+    record_format.stored = format;
+    if (!format) {
+        log::error("record_format_unknown", {{"reason", "unreadable"}});
+    } else if (record_format.newer()) {
+        log::error("record_format_unknown", {{"format", *format}});
+    } else {
+        log::info("record_format", {{"format", *format}});
     }
     co_return true;
 }
--- a/src/jobs/resource_accounting.cc
+++ b/src/jobs/resource_accounting.cc
@@ -4,11 +4,11 @@
 
 namespace {
 
-Machine::TaskCount count_tasks(const Machine& machine, const JobTable& jobs) {
-    Machine::TaskCount count;
+MachineUsage count_usage(const Machine& machine, const JobTable& jobs) {
+    MachineUsage usage;
     for (const auto& r : jobs.on_machine(machine.name)) {
-        count.taken += Resources::of(r.job->spec);
-        ++count.placed_tasks;
+        usage.taken += Resources::of(r.job->spec);
+        ++usage.placed_tasks;
     }
     for (const auto& task : machine.tasks) {
         if (task.phase == TaskPhase::kExited) continue;
@@ -17,31 +17,31 @@
             if (placement != job->live.end() && placement->second.machine == machine.name)
                 continue;  // counted above
         }
-        count.taken += task.amount;
-        ++count.placed_tasks;
-        count.all_sized = count.all_sized && task.sized;
-        count.unplaced.push_back({task.name.job, task.team, task.amount});
+        usage.taken += task.amount;
+        ++usage.placed_tasks;
+        usage.all_sizes_known = usage.all_sizes_known && task.size_known;
+        usage.unplaced.push_back({task.name.job, task.team, task.amount});
     }
-    return count;
+    return usage;
 }
 
 }  // namespace
 
 void recount_machine(const Cluster& cluster, Machine& machine, const JobTable& jobs, Seconds now,
                      Seconds silent_after) {
-    if (!machine.counted) {
-        machine.count = count_tasks(machine, jobs);
-        machine.counted = true;
+    if (!machine.usage_valid) {
+        machine.usage = count_usage(machine, jobs);
+        machine.usage_valid = true;
     }
     const MachineType* type = cluster.machine_type(machine.machine_type);
     machine.free = type ? Resources{type->cpus, type->gpus, type->memory_gb} : Resources{};
     if (type) machine.cache.set_capacity(type->cache_gb);
-    machine.free -= machine.count.taken;
-    machine.placed_tasks = machine.count.placed_tasks;
-    machine.schedulable = type && machine.current && !machine.cordoned && !machine.deleting &&
+    machine.free -= machine.usage.taken;
+    machine.placed_tasks = machine.usage.placed_tasks;
+    machine.schedulable = type && machine.has_current_token && !machine.cordoned && !machine.deleting &&
                           !machine.draining && !machine.spot_reclaim_at && !machine.unreachable_since &&
-                          (machine.holding || now - machine.last_heartbeat <= silent_after) &&
-                          machine.count.all_sized;
+                          (machine.heartbeat_held || now - machine.last_heartbeat <= silent_after) &&
+                          machine.usage.all_sizes_known;
     if (machine.placed_tasks > 0) {
         machine.idle_since.reset();
     } else if (!machine.idle_since) {
@@ -51,10 +51,10 @@
 
 void recount(Cluster& cluster, JobTable& jobs, Seconds now, Seconds silent_after) {
     for (const auto& name : jobs.take_changed_machines())
-        if (Machine* changed = cluster.machine(name)) changed->counted = false;
+        if (Machine* changed = cluster.machine(name)) changed->usage_valid = false;
     cluster.teams.clear();
     for (const auto& [id, job] : jobs.all()) {
-        job->has_unplaced_task = false;
+        job->wait.has_unplaced_task = false;
         if (job->live.empty()) continue;
         auto n = static_cast<double>(job->live.size());
         TeamUsage& use = cluster.teams[job->spec.team];
@@ -65,8 +65,8 @@
         recount_machine(cluster, *machine, jobs, now, silent_after);
         machine->reserved = {};
         machine->reserved_until = 0;
-        for (const auto& task : machine->count.unplaced) {
-            if (Job* job = jobs.find(task.job)) job->has_unplaced_task = true;
+        for (const auto& task : machine->usage.unplaced) {
+            if (Job* job = jobs.find(task.job)) job->wait.has_unplaced_task = true;
             TeamUsage& use = cluster.teams[task.team];
             use.cpus += task.amount.cpus;
             use.gpus += task.amount.gpus;
--- a/src/jobs/resource_accounting.h
+++ b/src/jobs/resource_accounting.h
@@ -1,7 +1,7 @@
 // What placements and reported tasks take: the machines' free resources and the teams' usage.
 #pragma once
 #include "cluster/cluster.h"
-#include "jobs/table.h"
+#include "jobs/job_table.h"
 
 namespace hareshore {
 
--- /dev/null
+++ b/src/jobs/run_times.h
@@ -0,0 +1,24 @@
+// Run times of a job's finished tasks, to find machines on which its other tasks straggle.
+#pragma once
+#include <cstdint>
+
+#include "base/clock.h"
+#include "base/ranges.h"
+
+namespace hareshore {
+
+// Of array tasks that ran in one go: others would seem too short.
+struct RunTimes {
+    bool saw_all_starts = true;  // this leader has seen all starts of the job's tasks
+    uint32_t count = 0;
+    double sum_s = 0;
+    Ranges interrupted;  // tasks that left a machine before they were done
+
+    bool counts(uint32_t task) const { return saw_all_starts && !interrupted.has(task); }
+    void add(Seconds run_s) {
+        ++count;
+        sum_s += run_s;
+    }
+};
+
+}  // namespace hareshore
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -133,8 +133,7 @@
         co_await loop_.sleep(pause_);
         co_return;
     }
-    if (record_format.status == StoreStatus::kOk &&
-        unpack_record_format(record_format.entry.data) > kNewestRecordFormat) {
+    if (record_format.status == StoreStatus::kOk && !reads_record_format(record_format.entry.data)) {
         log::error("election_not_joined", {{"reason", "newer_record_format"}});
         stop_standing();
         co_return;
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -43,7 +43,7 @@
                 if (!h.listed) {
                     h.listed = true;
                     h.created_at = asked - m.age_s;
-                    if (!h.reported) {
+                    if (!h.heartbeat_received) {
                         h.addr = m.addr;
                         h.machine_type = m.machine_type;
                         h.zone = m.zone;
@@ -80,7 +80,7 @@
         return_machines_holding_cancelled();
         if (loop_.now() - stops_repeated_at_ >= config_.heartbeat_interval_s) {
             stops_repeated_at_ = loop_.now();
-            jobs_.repeat_stops(loop_.now() - config_.heartbeat_interval_s);
+            jobs_.repeat_stops_of_cancelled(loop_.now() - config_.heartbeat_interval_s);
         }
         // A leader that was cut off or stood still may have been followed by another: what it rents and
         // returns by its old view would undo the other's work. Cut off for 120 s, one returned the whole
@@ -89,8 +89,8 @@
         if (cluster_.machine_types.empty()) continue;
         // The machine list lags; what an earlier leader rented shows up only after that.
         if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
-        jobs_.find_stragglers(cluster_, loop_.now());
-        jobs_.move_replicas(cluster_, loop_.now());
+        jobs_.cordon_stragglers(cluster_, loop_.now());
+        jobs_.move_replicas(cluster_);
         ScalingInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
                         refused_until_, on_order_, true,        kind_seen_spot_only(),
                         cut_at_};
@@ -159,7 +159,7 @@
             for (const auto& name : r.machines) {
                 if (deleted_machines_.contains(name)) continue;
                 Machine& h = cluster_.ensure(name, loop_.now());
-                if (h.reported) continue;
+                if (h.heartbeat_received) continue;
                 h.machine_type = rental.kind.machine_type;
                 h.zone = rental.kind.zone;
                 h.spot = rental.kind.spot;
@@ -260,7 +260,7 @@
 
 size_t Leader::machines_seen() const {
     return static_cast<size_t>(std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
-                                             [](const auto& h) { return h.second->reported; }));
+                                             [](const auto& h) { return h.second->heartbeat_received; }));
 }
 
 }  // namespace hareshore
--- a/src/leader/operator_pages.cc
+++ b/src/leader/operator_pages.cc
@@ -11,22 +11,22 @@
 
 void Leader::log_waiting() {
     for (const auto& [id, j] : jobs_.all()) {
-        if (!j->waiting() || loop_.now() - j->waiting_since < constants::kWaitLogInterval_s) continue;
-        if (loop_.now() - j->why_logged < constants::kWaitLogInterval_s) continue;
-        j->why_logged = loop_.now();
+        if (!j->waiting() || loop_.now() - j->wait.since < constants::kWaitLogInterval_s) continue;
+        if (!j->wait.reason_log_due(loop_.now())) continue;
+        j->wait.reason_logged_at = loop_.now();
         if (j->spec.service())
             log::info("service_waiting", {{"job", id},
                                           {"running", j->running_replicas()},
                                           {"replicas", j->spec.tasks},
                                           {"waiting", j->pending.size()},
-                                          {"waited_s", loop_.now() - j->waiting_since},
-                                          {"reason", wait_reason_text(j->wait_reason)}});
+                                          {"waited_s", loop_.now() - j->wait.since},
+                                          {"reason", wait_reason_text(j->wait.reason)}});
         else
             log::info("job_waiting", {{"job", id},
                                       {"waiting", j->pending.size()},
                                       {"tasks", j->spec.tasks},
-                                      {"waited_s", loop_.now() - j->waiting_since},
-                                      {"reason", wait_reason_text(j->wait_reason)}});
+                                      {"waited_s", loop_.now() - j->wait.since},
+                                      {"reason", wait_reason_text(j->wait.reason)}});
     }
 }
 
@@ -34,7 +34,7 @@
     for (const auto& [name, h] : cluster_.machines) {
         const MachineType* f = cluster_.machine_type(h->machine_type);
         if (!f || h->phase == MachinePhase::kFailed) continue;
-        if (!h->reported) {
+        if (!h->heartbeat_received) {
             spent_.booting += f->gpus * since;
         } else if (h->idle()) {
             spent_.idle += f->gpus * since;
@@ -61,10 +61,10 @@
     double free = 0;
     for (const auto& [name, h] : cluster_.machines) {
         const MachineType* f = cluster_.machine_type(h->machine_type);
-        booting += !h->reported;
+        booting += !h->heartbeat_received;
         spot += h->spot;
-        idle += h->reported && h->idle();
-        if (!f || !h->reported) continue;
+        idle += h->heartbeat_received && h->idle();
+        if (!f || !h->heartbeat_received) continue;
         gpus += f->gpus;
         free += h->free.gpus;
     }
@@ -81,7 +81,7 @@
                         {"gpus", gpus},
                         {"tasks_waiting", waiting},
                         {"jobs_waiting", jobs},
-                        {"unwritten_records", jobs_.backlog()},
+                        {"unwritten_records", jobs_.unwritten_count()},
                         {"longest_pass_s", std::exchange(longest_pass_, 0)}});
     double all = spent_.booting + spent_.idle + spent_.unused + spent_.starting + spent_.running;
     if (all > 0)
@@ -105,8 +105,8 @@
                              j->live.size(), j->pending.size());
         if (j->cancelled) s += ", cancelled";
         if (j->waiting())
-            s += fmt::format(" for {:.0f} s: {}", loop_.now() - j->waiting_since,
-                             wait_reason_text(j->wait_reason));
+            s += fmt::format(" for {:.0f} s: {}", loop_.now() - j->wait.since,
+                             wait_reason_text(j->wait.reason));
         s += '\n';
     }
     return s;
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -51,11 +51,11 @@
     auto record = JobRecord::unpack(c.data);
     if (!record || live_key(record->spec.id) != c.key) {
         std::string id = c.key.substr(kLivePrefix.size());
-        if (!jobs_.quarantined(id))
+        if (!jobs_.unreadable(id))
             log::error(
                 "job_quarantined",
                 {{"key", c.key}, {"reason", newer_record_format(c.data) ? "newer_format" : "malformed"}});
-        jobs_.quarantine(id);
+        jobs_.set_unreadable(id);
         return;
     }
     auto it = finished_.find(record->spec.id);
@@ -104,9 +104,9 @@
     while (true) {
         if (record_format != record_format_.in_force()) {
             record_format = record_format_.in_force();
-            jobs_.requeue_all();
+            jobs_.queue_all_unwritten();
         }
-        if (!jobs_.any_dirty()) {
+        if (!jobs_.has_unwritten()) {
             co_await loop_.wait(dirty_, -1);
             continue;
         }
@@ -117,10 +117,10 @@
         }
         size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.left(loop_.now())));
         std::vector<Job*> batch =
-            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTxnBytes, record_format);
+            jobs_.take_unwritten(std::max<size_t>(2, ops), constants::kTxnBytes, record_format);
         if (alone > 0 && !batch.empty()) {
             --alone;
-            for (size_t i = 1; i < batch.size(); ++i) jobs_.requeue(*batch[i]);
+            for (size_t i = 1; i < batch.size(); ++i) jobs_.queue_write(*batch[i]);
             batch.resize(1);
         }
         Transaction txn;
@@ -132,19 +132,19 @@
             bool final = j->cancelled ? j->live.empty() : j->finished();
             std::string data;
             if (!final) {
-                if (j->write_deferred(record_format)) continue;
-                data = j->record().pack(record_format);
+                if (j->persistence.write_deferred(record_format)) continue;
+                data = j->to_record().pack(record_format);
                 // What the service would refuse is not sent. Until the job's next change the record says
                 // that tasks are live which are not, never the other way round: starts are bounded
                 // by its room.
                 if (json_size(data) > config_.value_limit(record_format)) {
-                    defer_write(*j, j->version, record_format, "too large for the state service");
+                    defer_write(*j, j->persistence.version, record_format, "too large for the state service");
                     continue;
                 }
             }
             ids.push_back(id);
-            j->inflight = j->version;
-            txn.expect(live_key(id), j->mod_revision);
+            j->persistence.in_flight_version = j->persistence.version;
+            txn.expect(live_key(id), j->persistence.mod_revision);
             if (final) {
                 FinalRecord f{id, j->cancelled, j->spec.tasks, j->done.size()};
                 txn.put(final_key(id), f.pack()).drop(live_key(id));
@@ -162,8 +162,8 @@
             for (const auto& id : ids) {
                 Job* j = jobs_.find(id);
                 if (!j) continue;
-                j->mod_revision = r.revision;
-                j->committed = j->inflight;
+                j->persistence.mod_revision = r.revision;
+                j->persistence.committed_version = j->persistence.in_flight_version;
                 for (const auto& [task, p] : j->live) machines.insert(p.machine);
                 if (final_ids.contains(id)) finished(id, r.revision);
             }
@@ -172,14 +172,16 @@
         }
         if (r.status == StoreStatus::kInvalid && ids.size() == 1) {
             if (Job* j = jobs_.find(ids[0])) {
-                defer_write(*j, j->inflight, record_format, "refused by the state service");
-                if (!j->write_deferred(record_format)) jobs_.requeue(*j);  // it has changed since
+                defer_write(*j, j->persistence.in_flight_version, record_format,
+                            "refused by the state service");
+                if (!j->persistence.write_deferred(record_format))
+                    jobs_.queue_write(*j);  // it has changed since
             }
             continue;
         }
         if (r.status == StoreStatus::kInvalid) alone = ids.size();
         for (const auto& id : ids)
-            if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
+            if (Job* j = jobs_.find(id)) jobs_.queue_write(*j);
         if (r.status == StoreStatus::kConflict) {
             if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
                 leadership_->deposed("the leadership key has changed");
@@ -199,17 +201,16 @@
 }
 
 void Leader::defer_write(Job& job, uint64_t version, uint64_t record_format, const char* why) {
-    if (job.deferred_format == 0)
+    if (!job.persistence.deferred_write)
         log::error("record_write_deferred",
                    {{"job", job.spec.id}, {"bytes", job.record_bytes(record_format)}, {"reason", why}});
-    job.deferred_version = version;
-    job.deferred_format = record_format;
+    job.persistence.deferred_write = DeferredWrite{version, record_format};
 }
 
 // Format 2 is written from when every controller reads it, so that whoever leads next does. The key is put
 // once and stays.
 Task<void> Leader::raise_record_format() {
-    while (record_format_.kept < kNewestRecordFormat) {
+    while (record_format_.below_newest()) {
         if (leadership_->all_peers_upgraded()) {
             Transaction txn;
             txn.expect(term_.key, term_.mod_revision)
@@ -220,7 +221,7 @@
             // Whatever became of it, the key tells.
             co_await learn_record_format(state_, record_format_);
         }
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatEvery_s);
     }
     dirty_.notify();
 }
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -36,14 +36,14 @@
     Leader& leader;
     const std::string& machine;
     ~Holding() {
-        if (Machine* held = leader.cluster_.machine(machine)) held->holding = false;
+        if (Machine* held = leader.cluster_.machine(machine)) held->heartbeat_held = false;
     }
 };
 
 // The machine asks for work in the next scheduling pass.
 Task<void> Leader::join_pass(const std::string& machine, Seconds answer_by) {
     Holding holding{*this, machine};
-    cluster_.machine(machine)->holding = true;
+    cluster_.machine(machine)->heartbeat_held = true;
     uint64_t round = passes_;
     request_pass();
     Seconds until = std::min(answer_by, loop_.now() + constants::kPassWait_s);
@@ -64,29 +64,30 @@
 
     std::string name = r.machine;
     Machine* h = &cluster_.ensure(name, loop_.now());
-    if (h->reported && !r.newer_than(h->incarnation, h->sequence)) co_return no;  // a late copy
+    if (h->heartbeat_received && !r.newer_than(h->incarnation, h->sequence)) co_return no;  // a late copy
     uint64_t mine = ++worker_connection(name).reports;
     bool heard = !h->unreachable_since;
     h->update_reachability(r, direct, config_.lease_s, loop_.now());
     bool first = !h->answered_at;
-    h->reported = true;
+    h->heartbeat_received = true;
     h->last_heartbeat = loop_.now();
-    bool was_current = h->current;
-    h->current = r.fencing_token == term_.fencing_token;
+    bool was_current = h->has_current_token;
+    h->has_current_token = r.fencing_token == term_.fencing_token;
     // Also a machine that does not take up this epoch hears nothing.
-    if (h->current && !was_current) h->unreachable_since.reset();
-    if (!h->current && !first && !h->unreachable_since) h->unreachable_since = loop_.now();
+    if (h->has_current_token && !was_current) h->unreachable_since.reset();
+    if (!h->has_current_token && !first && !h->unreachable_since) h->unreachable_since = loop_.now();
     if (heard != (!h->unreachable_since))
         log::debug("machine_reachability", {{"machine", name}, {"reachable", !heard}});
     bool noticed = h->spot_reclaim_at.has_value();
     // Only a machine that has seen this epoch can no longer be given launches by an earlier leader, so only
     // then does a task's absence prove anything.
-    bool news = jobs_.apply(cluster_, *h, r, h->current, loop_.now());
+    bool news = jobs_.apply_heartbeat(
+        cluster_, *h, r, h->has_current_token ? Absence::kProven : Absence::kUnproven, loop_.now());
     if (h->spot_reclaim_at && !noticed) {
         drain(*h);
         news = true;
     }
-    news = news || first || h->current != was_current || heard != (!h->unreachable_since);
+    news = news || first || h->has_current_token != was_current || heard != (!h->unreachable_since);
     worker_connection(name).wake.notify();  // an older report of it, if one is held, is let go
     if (news || wanted_ || asks_for_work(*h)) co_await join_pass(name, began + hold);
 
@@ -105,14 +106,14 @@
             until = commit_until;
         } else if (h->schedulable && h->idle()) {
             until = began + hold;
-        } else if (h->schedulable && replica_ && h->free.holds(*replica_) && jobs_.settled_on(*h)) {
+        } else if (h->schedulable && replica_ && h->free.holds(*replica_) && jobs_.all_running_on(*h)) {
             // A replica that comes or is lost does not wait for the next report. Not for long: changes on the
             // machine are told in its next report, which does not go out before this is answered.
             until = began + std::min(hold, constants::kHoldBusy_s);
         }
         if (loop_.now() >= until) break;
         Holding holding{*this, name};
-        h->holding = !commits;
+        h->heartbeat_held = !commits;
         co_await loop_.wait(worker_connection(name).wake, until);
     }
     if (!may_renew()) {
@@ -120,7 +121,8 @@
         co_return no;
     }
     Response ok;
-    std::vector<Command> commands = jobs_.commands(*h, h->current);
+    std::vector<Command> commands =
+        jobs_.commands(*h, h->has_current_token ? LaunchCommands::kInclude : LaunchCommands::kOmit);
     for (const auto& o : commands)
         log::debug("command_sent", {{"command", command_name(o.verb)},
                                     {"task", o.name.text()},
@@ -144,7 +146,7 @@
     auto tasks = jobs_.on_machine(machine.name);
     for (const auto& r : tasks)
         if (r.job->spec.service() ? machine.spot_reclaim_at.has_value() : r.job->spec.checkpoint_s > 0)
-            jobs_.stop(*r.job, r.task, loop_.now());
+            jobs_.stop(*r.job, r.task, StopMode::kSaveFirst);
 }
 
 // Matching looks at all machines and the queue's head. Done for each report by itself it would cost the
@@ -180,14 +182,14 @@
     recount(cluster_, jobs_, loop_.now(), silent_after());
     SchedulerInput in{config_, settings_, loop_.now(), {}, nullptr, record_format_.in_force()};
     for (auto& [name, h] : cluster_.machines)
-        if (h->holding) in.requesting_machines.push_back(h.get());
+        if (h->heartbeat_held) in.requesting_machines.push_back(h.get());
     for (const auto& b : schedule(cluster_, jobs_, in))
         log::debug("task_bound", {{"job", b.job->spec.id},
                                   {"task", b.task},
                                   {"attempt", b.job->live.at(b.task).attempt},
                                   {"machine", b.machine->name}});
     update_demand();
-    for (const auto& machine : jobs_.take_urgent()) {
+    for (const auto& machine : jobs_.take_machines_with_new_stops()) {
         WorkerConnection& l = worker_connection(machine);
         if (l.command_in_flight) {
             l.again = true;
@@ -196,7 +198,7 @@
             spawn(send_stops(machine), "stop commands");
         }
     }
-    if (jobs_.any_dirty()) dirty_.notify();
+    if (jobs_.has_unwritten()) dirty_.notify();
 }
 
 // What a machine must have room for at least to be given something, now and if a replica ends.
@@ -206,14 +208,14 @@
     held_back_ = false;
     auto lower = [](std::optional<Resources>& least, const JobSpec& spec) {
         Resources amount = Resources::of(spec);
-        least = least ? least->lesser(amount) : amount;
+        least = least ? least->componentwise_min(amount) : amount;
     };
     for (const auto& [id, job] : jobs_.all()) {
         if (job->spec.service() && !job->cancelled) lower(replica_, job->spec);
         if (!job->waiting()) continue;
         lower(least_waiting_, job->spec);
-        held_back_ = held_back_ || job->wait_reason == WaitReason::kHeldForImage ||
-                     job->wait_reason == WaitReason::kHeldForSpread;
+        held_back_ = held_back_ || job->wait.reason == WaitReason::kHeldForImage ||
+                     job->wait.reason == WaitReason::kHeldForSpread;
     }
 }
 
@@ -228,7 +230,7 @@
         Machine* h = cluster_.machine(machine);
         Address to;
         if (!h || !Address::parse(h->addr, to)) break;
-        std::vector<Command> stops = jobs_.commands(*h, false);
+        std::vector<Command> stops = jobs_.commands(*h, LaunchCommands::kOmit);
         std::erase_if(stops, [](const Command& o) { return o.verb != CommandKind::kStop; });
         // One that has not reported to this leader may be held by another that knows less. Its session is
         // learned from its refusal; a command that it takes also tells it of this epoch, and through it the
@@ -244,7 +246,7 @@
             co_await send_commands(loop_, to, term_.fencing_token, h->incarnation, std::move(stops));
         h = cluster_.machine(machine);
         if (report && h && report->newer_than(h->incarnation, h->sequence)) {
-            jobs_.apply(cluster_, *h, *report, false, loop_.now());
+            jobs_.apply_heartbeat(cluster_, *h, *report, Absence::kUnproven, loop_.now());
             request_pass();
             if (incarnation == 0) worker_connection(machine).again = true;
         }
--- a/src/model/resources.cc
+++ b/src/model/resources.cc
@@ -18,7 +18,7 @@
     return *this;
 }
 
-uint32_t Resources::fits(const JobSpec& s, uint32_t most) const {
+uint32_t Resources::count_fitting(const JobSpec& s, uint32_t most) const {
     if (!holds(s)) return 0;
     double n = most;
     if (s.cpus > 0) n = std::min(n, std::floor((cpus + kRoundingError) / s.cpus));
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -20,11 +20,11 @@
     }
     bool holds(const JobSpec& s) const { return holds(of(s)); }
     // The smaller of each.
-    Resources lesser(const Resources& o) const {
+    Resources componentwise_min(const Resources& o) const {
         return {std::min(cpus, o.cpus), std::min(gpus, o.gpus), std::min(memory_gb, o.memory_gb)};
     }
     // How many tasks of this size fit, at most `most`.
-    uint32_t fits(const JobSpec& s, uint32_t most) const;
+    uint32_t count_fitting(const JobSpec& s, uint32_t most) const;
     static Resources of(const JobSpec& s) { return {s.cpus, s.gpus, s.memory_gb}; }
 };
 
--- a/src/scheduler/queue.cc
+++ b/src/scheduler/queue.cc
@@ -62,8 +62,8 @@
         e.within_guarantee = within_guarantee.contains(job.get());
         e.first = job->spec.service() && job->spec.priority == PriorityClass::kProduction;
         e.starved = in.now - job->accepted > in.settings.begin_bound_s && job->live.empty() &&
-                    job->done.empty() && !job->failing;
-        e.aged = in.now - job->waiting_since > in.settings.age_bound_s;
+                    job->done.empty() && !job->failures.failing;
+        e.aged = in.now - job->wait.since > in.settings.age_bound_s;
         e.lost = job->missed_objectives(in.config, in.now);
         q.push_back(e);
     }
@@ -83,7 +83,7 @@
 Resources least_of(const std::vector<QueuedJob>& jobs) {
     if (jobs.empty()) return {};
     Resources least = Resources::of(jobs.front().job->spec);
-    for (const auto& q : jobs) least = least.lesser(Resources::of(q.job->spec));
+    for (const auto& q : jobs) least = least.componentwise_min(Resources::of(q.job->spec));
     return least;
 }
 
--- a/src/scheduler/queue.h
+++ b/src/scheduler/queue.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "jobs/table.h"
+#include "jobs/job_table.h"
 
 namespace hareshore {
 
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -72,12 +72,12 @@
     }
 
     bool may_start(Job& job) {
-        if (in_.now < job.not_before) {
-            job.wait_reason = WaitReason::kBackoff;
+        if (in_.now < job.failures.retry_at) {
+            job.wait.reason = WaitReason::kBackoff;
             return false;
         }
-        if (job.has_unplaced_task) {
-            job.wait_reason = WaitReason::kOldAttempt;
+        if (job.wait.has_unplaced_task) {
+            job.wait.reason = WaitReason::kOldAttempt;
             return false;
         }
         return true;
@@ -105,19 +105,19 @@
 
     // A job keeps away from machines it failed on, unless it is blamed itself.
     static bool avoids(const Job& job, const Machine& h) {
-        return !job.failing && job.failed_on.contains(h.name);
+        return !job.failures.failing && job.failures.machines.contains(h.name);
     }
 
     void bind(Job& job, uint32_t task, Machine& h, uint64_t attempt) {
         jobs_.bind(job, task, h, attempt, in_.now);
         h.free -= Resources::of(job.spec);
         ++h.placed_tasks;
-        ++h.changes;
+        ++h.room_changes;
         h.idle_since.reset();
         auto& use = cluster_.teams[job.spec.team];
         use.cpus += job.spec.cpus;
         use.gpus += job.spec.gpus;
-        job.wait_reason = job.pending.empty() ? WaitReason::kNone : WaitReason::kNoRoom;
+        job.wait.reason = job.pending.empty() ? WaitReason::kNone : WaitReason::kNoRoom;
         bound_.push_back({&job, task, &h});
     }
 
@@ -138,15 +138,15 @@
         }
         serve_singles(singles);
         for (const auto& q : jobs)  // no machine that asked had room to be offered
-            if (q.job->wait_reason == WaitReason::kNew && q.job->waiting())
-                q.job->wait_reason = WaitReason::kNoRoom;
+            if (q.job->wait.reason == WaitReason::kNew && q.job->waiting())
+                q.job->wait.reason = WaitReason::kNoRoom;
     }
 
     void serve_singles(const std::vector<QueuedJob>& jobs) {
         if (jobs.empty()) return;
         for (const auto& q : jobs)
             if (q.job->spec.gang() && may_start(*q.job) && !within_limit(q.job->spec, 1)) {
-                q.job->wait_reason = WaitReason::kTeamLimit;
+                q.job->wait.reason = WaitReason::kTeamLimit;
                 make_limit(q, 1);
                 keep_limit(q, std::nullopt);
             }
@@ -159,7 +159,7 @@
     // One machine asks: it gets tasks until none fits it.
     void pull(const std::vector<QueuedJob>& jobs, Machine& h) {
         while (Job* job = pick(jobs, h)) {
-            if (job->spec.gang()) job->attempt = job->next_attempt;
+            if (job->spec.gang()) job->gang_attempt.number = job->next_attempt;
             bind(*job, *job->pending.first(), h, job->next_attempt++);
         }
     }
@@ -176,25 +176,25 @@
             // A starved array is let begin; the rest of it takes its usual place.
             if (q.starved && !job.live.empty()) continue;
             if (!within_limit(job.spec, 1)) {
-                job.wait_reason = WaitReason::kTeamLimit;
+                job.wait.reason = WaitReason::kTeamLimit;
                 continue;
             }
             if (!fits(job, h) || ZoneRule(job).room(h.zone) == 0) {
-                if (job.wait_reason != WaitReason::kHeldForImage) job.wait_reason = WaitReason::kNoRoom;
+                if (job.wait.reason != WaitReason::kHeldForImage) job.wait.reason = WaitReason::kNoRoom;
                 continue;
             }
             const Machine* one[] = {&h};
             if (!job.room_in_record(in_.config, in_.record_format, one)) {
-                job.wait_reason = WaitReason::kRecordFull;
+                job.wait.reason = WaitReason::kRecordFull;
                 continue;
             }
             bool cached = h.cache.has(job.spec.image);
-            if (!cached && (in_.now < job.image_preemption_until || worth_holding(job, h))) {
-                job.wait_reason = WaitReason::kHeldForImage;
+            if (!cached && (in_.now < job.image_preemption.until || worth_holding(job, h))) {
+                job.wait.reason = WaitReason::kHeldForImage;
                 continue;
             }
             if (job.spec.service() && spreads_better(job, h)) {
-                job.wait_reason = WaitReason::kHeldForSpread;
+                job.wait.reason = WaitReason::kHeldForSpread;
                 continue;
             }
             double gb = cached ? job.spec.image_gb : 0;
@@ -211,7 +211,7 @@
     // replica's time counts from the first second: it waits only while a holder is likely to ask before the
     // image would be here, and no longer than that takes.
     bool worth_holding(const Job& job, const Machine& asker) {
-        Seconds waited = in_.now - job.waiting_since;
+        Seconds waited = in_.now - job.wait.since;
         if (waited >= in_.settings.hold_s) return false;
         if (!job.spec.service()) return holders(job, asker, 1) > 0;
         const MachineType* f = cluster_.machine_type(asker.machine_type);
@@ -234,7 +234,7 @@
         size_t spot = 0;
         for (const auto& [task, p] : job.live)
             if (const Machine* h = cluster_.machine(p.machine); h && h->spot) ++spot;
-        auto put_up_with = static_cast<size_t>((in_.now - job.waiting_since) / constants::kSpreadWait_s);
+        auto put_up_with = static_cast<size_t>((in_.now - job.wait.since) / constants::kSpreadWait_s);
         size_t mine = crowding(job, asker, spot);
         if (mine <= put_up_with) return false;
         ZoneRule rule(job);
@@ -270,14 +270,14 @@
         count(schedulable_.size());
         most = 0;
         for (Machine* h : schedulable_)
-            if (zone.empty() || h->zone == zone) most += h->free.fits(s, constants::kHeartbeatTasks);
+            if (zone.empty() || h->zone == zone) most += h->free.count_fitting(s, constants::kHeartbeatTasks);
         if (n > most) return {};
         for (Machine* h : schedulable_)
             if ((zone.empty() || h->zone == zone) && fits(job, *h)) machines.push_back(h);
         // Of machines that are alike, those that can be told first: a held report is answered at once, and
         // the next one comes soonest from where the last is oldest.
         auto key = [&](const Machine* h) {
-            return std::tuple(!h->cache.has(job.spec.image), h->free.gpus, h->free.cpus, !h->holding,
+            return std::tuple(!h->cache.has(job.spec.image), h->free.gpus, h->free.cpus, !h->heartbeat_held,
                               h->last_heartbeat);
         };
         std::sort(machines.begin(), machines.end(), [&](const Machine* a, const Machine* b) {
@@ -288,7 +288,7 @@
         ZoneRule rule(job);
         cached = 0;
         for (Machine* h : machines) {
-            uint32_t k = room(job, *h).fits(job.spec, n - static_cast<uint32_t>(out.size()));
+            uint32_t k = room(job, *h).count_fitting(job.spec, n - static_cast<uint32_t>(out.size()));
             while (k > 0 && rule.room(h->zone) > 0) {
                 out.push_back(h);
                 rule.add(h->zone);
@@ -306,13 +306,13 @@
         bool fresh = job.live.empty();
         // Tasks of the last attempt are still on their machines; a gang that has started or is ending
         // takes no replacement.
-        if (!fresh && (job.started || job.broken)) {
-            job.wait_reason = WaitReason::kOldAttempt;
+        if (!fresh && (job.gang_attempt.started || job.gang_attempt.broken)) {
+            job.wait.reason = WaitReason::kOldAttempt;
             return;
         }
         auto n = static_cast<uint32_t>(job.pending.size());
         if (!within_limit(job.spec, n)) {
-            job.wait_reason = WaitReason::kTeamLimit;
+            job.wait.reason = WaitReason::kTeamLimit;
             make_limit(q, n);
             return;
         }
@@ -329,28 +329,28 @@
             }
         }
         if (best.empty()) {
-            job.wait_reason = WaitReason::kGangRoom;
+            job.wait.reason = WaitReason::kGangRoom;
             return;
         }
-        if (in_.now < job.image_preemption_until && best_cached < n) {
-            job.wait_reason = WaitReason::kHeldForImage;
+        if (in_.now < job.image_preemption.until && best_cached < n) {
+            job.wait.reason = WaitReason::kHeldForImage;
             return;
         }
         std::vector<const Machine*> on(best.begin(), best.end());
         if (!job.room_in_record(in_.config, in_.record_format, on)) {
-            job.wait_reason = WaitReason::kRecordFull;
+            job.wait.reason = WaitReason::kRecordFull;
             return;
         }
-        if (fresh) job.attempt = job.next_attempt++;
-        for (Machine* h : best) bind(job, *job.pending.first(), *h, job.attempt);
+        if (fresh) job.gang_attempt.number = job.next_attempt++;
+        for (Machine* h : best) bind(job, *job.pending.first(), *h, job.gang_attempt.number);
     }
 
     void stop_for(const Job& gainer, const std::vector<Victim>& victims) {
         for (const Victim& v : victims) {
             log::debug("task_preempted",
                        {{"job", v.job->spec.id}, {"task", v.task}, {"for_job", gainer.spec.id}});
-            ++v.machine->changes;
-            jobs_.stop(*v.job, v.task, in_.now, true);
+            ++v.machine->room_changes;
+            jobs_.stop(*v.job, v.task, StopMode::kSkipSaveIfCheap);
         }
     }
 
@@ -362,8 +362,8 @@
     // gang. Comes last of what is done for the gang, which would else count it twice.
     void keep_limit(const QueuedJob& q, std::optional<Seconds> room_at) {
         const Job& job = *q.job;
-        bool lacks_room = job.wait_reason == WaitReason::kGangRoom && (q.starved || room_at);
-        if (job.pending.empty() || !(job.wait_reason == WaitReason::kTeamLimit || lacks_room)) return;
+        bool lacks_room = job.wait.reason == WaitReason::kGangRoom && (q.starved || room_at);
+        if (job.pending.empty() || !(job.wait.reason == WaitReason::kTeamLimit || lacks_room)) return;
         double n = job.pending.size();
         Seconds lent_until = q.starved ? in_.now : room_at.value_or(in_.now);
         kept_limit_[job.spec.team].push_back(
@@ -408,9 +408,9 @@
     // little: that work is stopped at once and the gang waits for the room, rather than for the fetch.
     void claim_holders(const QueuedJob& q) {
         Job& job = *q.job;
-        if (job.image_preemption_tried_for == job.waiting_since || !job.live.empty() || !may_start(job))
+        if (job.image_preemption.tried_for_wait == job.wait.since || !job.live.empty() || !may_start(job))
             return;
-        job.image_preemption_tried_for = job.waiting_since;
+        job.image_preemption.tried_for_wait = job.wait.since;
         uint32_t n = job.pending.size();
         if (!within_limit(job.spec, n)) return;
         // Only holders, and only work that need not save first.
@@ -444,7 +444,7 @@
         }
         if (!best.whole || best.victims.empty()) return;
         stop_for(job, best.victims);
-        job.image_preemption_until = in_.now + constants::kImagePreemptionWait_s;
+        job.image_preemption.until = in_.now + constants::kImagePreemptionWait_s;
         keep(job, best.keep, in_.now);
     }
 
@@ -482,7 +482,7 @@
                 if (q.job->spec.allows(h->machine_type, h->zone, h->spot)) list.push_back(offer(q, *h));
         }
         for (Offer& o : list)
-            if (o.changes != o.machine->changes) {
+            if (o.changes != o.machine->room_changes) {
                 count(1);
                 o = offer(q, *o.machine);
             }
@@ -493,7 +493,7 @@
         for (Machine* h : places) {
             h->reserved += Resources::of(job.spec);
             h->reserved_until = std::max(h->reserved_until, until);
-            ++h->changes;
+            ++h->room_changes;
         }
     }
 
@@ -538,7 +538,7 @@
     void sort_by_loss(std::vector<Victim>& victims) const {
         auto key = [&](const Victim& v) {
             return std::tuple(v.job->spec.gang(), v.job->spec.checkpoint_s <= 0, v.job->spec.priority,
-                              !v.job->late(in_.config, in_.now), loss(v));
+                              !v.job->likely_late(in_.config, in_.now), loss(v));
         };
         std::sort(victims.begin(), victims.end(), [&](const Victim& a, const Victim& b) {
             auto x = key(a), y = key(b);
@@ -549,7 +549,7 @@
     Offer offer(const QueuedJob& q, Machine& h) {
         Offer o;
         o.machine = &h;
-        o.changes = h.changes;
+        o.changes = h.room_changes;
         Resources room = h.free;
         room -= h.reserved;
         std::vector<Victim> victims;
@@ -567,13 +567,13 @@
             if (yields(*v, q) && whole) victims.push_back({v, task, p, &h});
         }
         const uint32_t most = constants::kHeartbeatTasks;  // no machine reports more tasks
-        o.places = room.fits(q.job->spec, most);
+        o.places = room.count_fitting(q.job->spec, most);
         if (victims.size() > 1) sort_by_loss(victims);
         std::sort(ends.begin(), ends.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
         Resources then = room;
         for (uint32_t k = o.places; const auto& [end, amount] : ends) {
             then += amount;
-            for (uint32_t now = then.fits(q.job->spec, most); k < now; ++k) o.later.push_back(end);
+            for (uint32_t now = then.count_fitting(q.job->spec, most); k < now; ++k) o.later.push_back(end);
         }
         uint32_t places = o.places;
         std::vector<Victim> step;
@@ -582,7 +582,7 @@
             room += Resources::of(v.job->spec);
             step.push_back(v);
             lost += loss(v);
-            uint32_t now = room.fits(q.job->spec, most);
+            uint32_t now = room.count_fitting(q.job->spec, most);
             while (now > places) {
                 o.steps.push_back(std::exchange(step, {}));
                 o.losses.push_back(std::exchange(lost, 0));
@@ -603,7 +603,8 @@
             return std::nullopt;
         }
         bool gang = job.spec.gang();
-        if (gang && !job.live.empty() && (job.started || job.broken)) return std::nullopt;
+        if (gang && !job.live.empty() && (job.gang_attempt.started || job.gang_attempt.broken))
+            return std::nullopt;
         uint32_t n = job.pending.size();
         if (!gang) {
             // An array takes room from others only for what its team is guaranteed.
@@ -624,7 +625,7 @@
             if (best.keep.empty() || r.better_than(best)) best = std::move(r);
         }
         // A gang that cannot be completed so stops nobody; it waits for what comes free by itself.
-        bool stop = (best.whole || !gang) && in_.now - job.waiting_since >= in_.settings.preempt_after_s;
+        bool stop = (best.whole || !gang) && in_.now - job.wait.since >= in_.settings.preempt_after_s;
         if (stop) {
             stop_for(job, best.victims);
         }
@@ -638,7 +639,7 @@
     void make_room_for_replicas(const QueuedJob& q) {
         const Job& job = *q.job;
         uint32_t left = most_within_limit(job.spec, job.pending.size());
-        if (left == 0 || in_.now - job.waiting_since < in_.settings.preempt_after_s) return;
+        if (left == 0 || in_.now - job.wait.since < in_.settings.preempt_after_s) return;
         const std::vector<Offer>& offers = offers_of(q);
         ZoneRule rule(job);
         auto take = [&](const Offer& o) {
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -61,8 +61,8 @@
         h.zone = zone;
         h.machine_type = "g2";
         WorkerHeartbeat r = report(h, {});
-        h.reported = h.current = true;
-        jobs.apply(cluster, h, r, true, now);
+        h.heartbeat_received = h.has_current_token = true;
+        jobs.apply_heartbeat(cluster, h, r, Absence::kProven, now);
         return h;
     }
     WorkerHeartbeat report(const Machine& h, std::vector<TaskStatus> tasks) {
@@ -85,7 +85,7 @@
         SchedulerInput in{config, settings, now, std::move(requesting_machines)};
         return schedule(cluster, jobs, in);
     }
-    void committed(Job& j) { j.committed = j.version; }
+    void committed(Job& j) { j.persistence.committed_version = j.persistence.version; }
     static size_t launches(const std::vector<Command>& o) {
         return static_cast<size_t>(
             std::count_if(o.begin(), o.end(), [](auto& x) { return x.verb == CommandKind::kLaunch; }));
@@ -99,10 +99,10 @@
     Machine& h = machine("vm-1");
     ASSERT_EQ(pull({&h}).size(), 1u);
     EXPECT_TRUE(jobs.awaits_commit(h));
-    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
+    EXPECT_EQ(launches(jobs.commands(h, LaunchCommands::kInclude)), 0u);
     committed(j);
-    EXPECT_EQ(launches(jobs.commands(h, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(launches(jobs.commands(h, true)), 1u);
+    EXPECT_EQ(launches(jobs.commands(h, LaunchCommands::kOmit)), 0u) << "a direct command carries no launch";
+    EXPECT_EQ(launches(jobs.commands(h, LaunchCommands::kInclude)), 1u);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
@@ -112,10 +112,10 @@
     Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    auto first = jobs.commands(h, true);
-    jobs.apply(cluster, h, report(h, {}), true, now += 3);
+    auto first = jobs.commands(h, LaunchCommands::kInclude);
+    jobs.apply_heartbeat(cluster, h, report(h, {}), Absence::kProven, now += 3);
     ASSERT_EQ(j.live.size(), 1u);
-    auto second = jobs.commands(h, true);
+    auto second = jobs.commands(h, LaunchCommands::kInclude);
     ASSERT_EQ(launches(second), 1u);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
@@ -127,12 +127,13 @@
     Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    jobs.commands(h, true);
+    jobs.commands(h, LaunchCommands::kInclude);
     WorkerHeartbeat late = report(h, {});
     late.sequence = h.sequence;  // the report that was answered with the launch
     EXPECT_FALSE(late.newer_than(h.incarnation, h.sequence));
-    jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    jobs.apply(cluster, h, report(h, {}), false, now += 1);
+    jobs.apply_heartbeat(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), Absence::kProven,
+                         now += 3);
+    jobs.apply_heartbeat(cluster, h, report(h, {}), Absence::kUnproven, now += 1);
     EXPECT_EQ(j.live.size(), 1u);
 }
 
@@ -142,13 +143,13 @@
     Job& j = add(spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& h = cluster.ensure("vm-1", now);
     h.machine_type = "g2";
-    jobs.apply(cluster, h, report(h, {}), false, now);  // has not seen the epoch
+    jobs.apply_heartbeat(cluster, h, report(h, {}), Absence::kUnproven, now);  // has not seen the epoch
     EXPECT_EQ(j.live.size(), 1u);
     Machine& other = machine("vm-2");
     EXPECT_TRUE(pull({&other}).empty());
-    jobs.apply(cluster, h, report(h, {}), true, now);
+    jobs.apply_heartbeat(cluster, h, report(h, {}), Absence::kProven, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
-    auto commands = jobs.commands(h, true);
+    auto commands = jobs.commands(h, LaunchCommands::kInclude);
     ASSERT_EQ(launches(commands), 1u);
     EXPECT_EQ(commands[0].attempt, 3u);
     EXPECT_TRUE(pull({&other}).empty());
@@ -184,7 +185,7 @@
     EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
     now += config.lease_s - 8 + constants::kLeaseMargin_s;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
-    EXPECT_LT(now, j.cancelled_at + config.cancel_s - 15) << "the cloud may be slow";
+    EXPECT_LT(now, j.cancellation_known_at + config.cancel_s - 15) << "the cloud may be slow";
     EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
     cluster.machine("vm-1")->last_heartbeat = now;
     EXPECT_EQ(due(0), Names{"vm-1"}) << "it reports, and hears nothing";
@@ -214,12 +215,12 @@
     Machine& h = machine("vm-1");
     pull({&h});
     committed(j);
-    jobs.commands(h, true);
+    jobs.commands(h, LaunchCommands::kInclude);
     auto exited = task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
-    jobs.apply(cluster, h, report(h, {exited}), true, now += 3);
-    EXPECT_TRUE(jobs.commands(h, true).empty()) << "the exit is not committed yet";
+    jobs.apply_heartbeat(cluster, h, report(h, {exited}), Absence::kProven, now += 3);
+    EXPECT_TRUE(jobs.commands(h, LaunchCommands::kInclude).empty()) << "the exit is not committed yet";
     committed(j);
-    auto o = jobs.commands(h, true);
+    auto o = jobs.commands(h, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kForget);
     Machine& other = machine("vm-2");
@@ -258,7 +259,7 @@
     Job& g = add(spec("job-1", 4, JobKind::kGang));
     Machine& x = machine("vm-1");
     EXPECT_TRUE(pull({&x}).empty());
-    EXPECT_EQ(g.wait_reason, WaitReason::kGangRoom);
+    EXPECT_EQ(g.wait.reason, WaitReason::kGangRoom);
     machine("vm-2");
     EXPECT_EQ(pull({&x}).size(), 4u);
     std::set<uint64_t> attempts;
@@ -275,18 +276,18 @@
     committed(g);
     Machine& h = *cluster.machine(g.live.at(0).machine);
     auto t0 = task("job-1", 0, 1, TaskPhase::kRunning), t1 = task("job-1", 1, 1, TaskPhase::kRunning);
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
-    EXPECT_TRUE(g.started);
+    jobs.apply_heartbeat(cluster, h, report(h, {t0, t1}), Absence::kProven, now += 3);
+    EXPECT_TRUE(g.gang_attempt.started);
     t0.phase = TaskPhase::kExited;
     t0.cause = ExitCause::kPeersGone;
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
+    jobs.apply_heartbeat(cluster, h, report(h, {t0, t1}), Absence::kProven, now += 3);
     EXPECT_TRUE(pull({&x, &y}).empty());
-    EXPECT_EQ(g.wait_reason, WaitReason::kOldAttempt);
-    auto o = jobs.commands(h, true);
+    EXPECT_EQ(g.wait.reason, WaitReason::kOldAttempt);
+    auto o = jobs.commands(h, LaunchCommands::kInclude);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
     t1.phase = TaskPhase::kExited;
     t1.cause = ExitCause::kStopped;
-    jobs.apply(cluster, h, report(h, {t0, t1}), true, now += 3);
+    jobs.apply_heartbeat(cluster, h, report(h, {t0, t1}), Absence::kProven, now += 3);
     EXPECT_EQ(pull({&x, &y}).size(), 2u);
     EXPECT_EQ(g.live.at(0).attempt, 2u);
 }
@@ -298,14 +299,14 @@
     committed(g);
     Machine& h = *cluster.machine(g.live.at(0).machine);
     Machine& other = &h == &x ? y : x;
-    jobs.apply(
+    jobs.apply_heartbeat(
         cluster, h,
-        report(h, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 1, TaskPhase::kRunning)}), true,
-        now);
-    jobs.apply(cluster, h,
-               report(h, {task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
-                          task("job-1", 1, 1, TaskPhase::kRunning)}),
-               true, now += 3);
+        report(h, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 1, TaskPhase::kRunning)}),
+        Absence::kProven, now);
+    jobs.apply_heartbeat(cluster, h,
+                         report(h, {task("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
+                                    task("job-1", 1, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now += 3);
     EXPECT_TRUE(g.finished());
     recount(cluster, jobs, now, 6);
     EXPECT_EQ(cluster.teams["team"].gpus, 1.0);
@@ -316,12 +317,12 @@
 TEST_F(Lifecycle, StopsOrphansAndStartsNothingBesideThem) {
     add(spec("job-1", 1));
     Machine &x = machine("vm-1"), &y = machine("vm-2");
-    jobs.apply(
+    jobs.apply_heartbeat(
         cluster, x,
         report(x, {task("job-1", 0, 77, TaskPhase::kRunning), task("job-9", 0, 1, TaskPhase::kRunning)}),
-        true, now);
+        Absence::kProven, now);
     EXPECT_TRUE(pull({&y}).empty());
-    auto o = jobs.commands(x, true);
+    auto o = jobs.commands(x, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 2u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[1].verb, CommandKind::kStop);
@@ -332,13 +333,14 @@
     Machine& h = machine("vm-1");
     ASSERT_EQ(pull({&h}).size(), 2u);
     committed(j);
-    jobs.commands(h, true);
+    jobs.commands(h, LaunchCommands::kInclude);
     jobs.cancel(j, now);
     EXPECT_TRUE(pull({&h}).empty());
-    EXPECT_EQ(launches(jobs.commands(h, true)), 0u);
+    EXPECT_EQ(launches(jobs.commands(h, LaunchCommands::kInclude)), 0u);
     // The launch was in flight and took effect.
-    jobs.apply(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now += 3);
-    auto o = jobs.commands(h, true);
+    jobs.apply_heartbeat(cluster, h, report(h, {task("job-1", 0, 1, TaskPhase::kRunning)}), Absence::kProven,
+                         now += 3);
+    auto o = jobs.commands(h, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
@@ -352,9 +354,9 @@
         h.tasks.clear();
         jobs.bind(j, 0, h, j.next_attempt++, now);
         committed(j);
-        jobs.apply(cluster, h,
-                   report(h, {task(id, 0, j.live.at(0).attempt, TaskPhase::kExited, ExitCause::kError)}),
-                   true, now);
+        jobs.apply_heartbeat(
+            cluster, h, report(h, {task(id, 0, j.live.at(0).attempt, TaskPhase::kExited, ExitCause::kError)}),
+            Absence::kProven, now);
     };
     fail(bad, "job-1");
     EXPECT_FALSE(bad.cordoned) << "one failure says little";
@@ -366,14 +368,14 @@
         fail(h, "job-7");
         EXPECT_FALSE(h.cordoned);
     }
-    EXPECT_TRUE(jobs.find("job-7")->failing);
-    EXPECT_GT(jobs.find("job-7")->not_before, now);
+    EXPECT_TRUE(jobs.find("job-7")->failures.failing);
+    EXPECT_GT(jobs.find("job-7")->failures.retry_at, now);
     // What made it fail may be over: beside fitting room no job waits for 90 s.
     for (int i = 0; i < 8; ++i) {
-        now = jobs.find("job-7")->not_before;
+        now = jobs.find("job-7")->failures.retry_at;
         fail(machine("vm-" + std::to_string(10 + i)), "job-7");
     }
-    EXPECT_LT(jobs.find("job-7")->not_before, now + 75);
+    EXPECT_LT(jobs.find("job-7")->failures.retry_at, now + 75);
 }
 
 // When more has come than can be done in time, serving the oldest first would make all of it late in turn.
@@ -404,21 +406,21 @@
         std::vector<TaskStatus> t;
         for (auto& r : jobs.on_machine(h.name))
             t.push_back(task(r.job->spec.id, r.task, r.placement->attempt, p, c));
-        jobs.apply(cluster, h, report(h, t), true, now);
+        jobs.apply_heartbeat(cluster, h, report(h, t), Absence::kProven, now);
     };
     for (Machine* h : machines) state(*h, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
-    jobs.find_stragglers(cluster, now);
+    jobs.cordon_stragglers(cluster, now);
     EXPECT_FALSE(machines[0]->cordoned) << "nothing to compare with";
     now -= 70;
     for (int i = 1; i < 4; ++i)
         state(*machines[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
-    jobs.find_stragglers(cluster, now);
+    jobs.cordon_stragglers(cluster, now);
     EXPECT_FALSE(machines[0]->cordoned);
     now += 50;
-    jobs.find_stragglers(cluster, now);
+    jobs.cordon_stragglers(cluster, now);
     EXPECT_TRUE(machines[0]->cordoned);
-    EXPECT_EQ(jobs.take_urgent().count("vm-0"), 1u) << "its tasks save and move";
+    EXPECT_EQ(jobs.take_machines_with_new_stops().count("vm-0"), 1u) << "its tasks save and move";
 }
 
 TEST_F(Lifecycle, WaitsBrieflyForAnIdleHolderOfTheImage) {
@@ -427,7 +429,7 @@
     holder.cache.set_capacity(50);
     holder.cache.use(j.spec.image, 2);
     EXPECT_TRUE(pull({&asker}).empty());
-    EXPECT_EQ(j.wait_reason, WaitReason::kHeldForImage);
+    EXPECT_EQ(j.wait.reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(pull({&asker}).size(), 1u) << "not for ever";
 }
@@ -467,7 +469,7 @@
     for (int i = 0; i < 40; ++i) machines.push_back(&machine("vm-" + std::to_string(100 + i)));
     EXPECT_EQ(pull(machines).size(), 80u);
     EXPECT_LE(j.pending.pieces(), 1u);
-    EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
+    EXPECT_LT(j.to_record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
     ScalingInput in{config, settings, now, now, {}, {}, true, false};
     auto plan = plan_scaling(cluster, jobs, in);
@@ -515,7 +517,7 @@
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
             h.last_heartbeat = then;
             h.listed = true;
-            h.reported = heard;
+            h.heartbeat_received = heard;
         }
         now = then + 2 * config.lease_s;
         recount(cluster, jobs, now, 6);
@@ -532,7 +534,7 @@
         cut.cut_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
-            h.reported = true;
+            h.heartbeat_received = true;
             h.last_heartbeat = cut.now;
         }
         EXPECT_TRUE(plan_scaling(cluster, jobs, cut).silent.empty());
@@ -552,8 +554,10 @@
     jobs.bind(j, 0, x, 1, now);
     jobs.bind(j, 1, y, 2, now);
     committed(j);
-    jobs.apply(cluster, x, report(x, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
-    jobs.apply(cluster, y, report(y, {task("job-1", 1, 2, TaskPhase::kRunning)}), true, now);
+    jobs.apply_heartbeat(cluster, x, report(x, {task("job-1", 0, 1, TaskPhase::kRunning)}), Absence::kProven,
+                         now);
+    jobs.apply_heartbeat(cluster, y, report(y, {task("job-1", 1, 2, TaskPhase::kRunning)}), Absence::kProven,
+                         now);
     auto moved = [&] {
         x.last_heartbeat = y.last_heartbeat = now;
         recount(cluster, jobs, now, 6);
@@ -578,7 +582,8 @@
     Job& busy = add(longer);
     jobs.bind(busy, 0, y, 1, now);
     committed(busy);
-    jobs.apply(cluster, y, report(y, {task("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
+    jobs.apply_heartbeat(cluster, y, report(y, {task("job-1", 0, 1, TaskPhase::kRunning)}), Absence::kProven,
+                         now);
     JobSpec g = spec("job-2", 2, JobKind::kGang);
     g.gpus = 2;
     g.single_zone = true;
@@ -607,10 +612,10 @@
     low.spec.checkpoint_s = 100;
     pull({&x});
     committed(low);
-    jobs.apply(
+    jobs.apply_heartbeat(
         cluster, x,
-        report(x, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 2, TaskPhase::kRunning)}), true,
-        now);
+        report(x, {task("job-1", 0, 1, TaskPhase::kRunning), task("job-1", 1, 2, TaskPhase::kRunning)}),
+        Absence::kProven, now);
     auto stopping = [&] {
         return std::count_if(low.live.begin(), low.live.end(), [](auto& p) { return p.second.stopping; });
     };
@@ -637,7 +642,7 @@
         Job& j = add(spec("job-" + std::to_string(i), 2));
         low.push_back(&j);
         pull({&h});
-        for (auto& [n, p] : j.live) p.seen = true;
+        for (auto& [n, p] : j.live) p.acknowledged = true;
     }
     now = 1000;
     Seconds began[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints come every 10 s
@@ -669,8 +674,8 @@
     committed(j);
     for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
         ASSERT_EQ(j.live.count(0), 1u);
-        EXPECT_EQ(launches(jobs.commands(deaf, true)), 1u);
-        jobs.apply(cluster, deaf, report(deaf, {}), true, now += 3);
+        EXPECT_EQ(launches(jobs.commands(deaf, LaunchCommands::kInclude)), 1u);
+        jobs.apply_heartbeat(cluster, deaf, report(deaf, {}), Absence::kProven, now += 3);
     }
     EXPECT_TRUE(j.live.empty());
     EXPECT_TRUE(pull({&deaf}).empty()) << "no room to count on";
@@ -696,7 +701,7 @@
         r.incarnation = incarnation;
         r.sequence = sequence;
         h.update_reachability(r, direct, config.lease_s, now += 3);
-        jobs.apply(cluster, h, r, true, now);
+        jobs.apply_heartbeat(cluster, h, r, Absence::kProven, now);
         h.answered(direct, now);
         return !h.unreachable_since;
     };
@@ -719,7 +724,7 @@
     settings.max_machines = 5;
     add(spec("job-1", 2));
     Machine& h = machine("vm-1");
-    h.current = false;
+    h.has_current_token = false;
     h.last_heartbeat = now;
     recount(cluster, jobs, now, 6);
     EXPECT_FALSE(h.schedulable);
@@ -796,7 +801,7 @@
     Job& lower = add(idle);
     config.teams[0].gpus_max = 5;
     EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty()) << "what is free is kept from lower work";
-    EXPECT_EQ(lower.wait_reason, WaitReason::kTeamLimit);
+    EXPECT_EQ(lower.wait.reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
     pull({&x});
@@ -817,7 +822,7 @@
         if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
     add(spec("job-4", 1));
     EXPECT_TRUE(pull({&x, &y}).empty()) << "what is free of the limit is kept";
-    EXPECT_EQ(gang.wait_reason, WaitReason::kTeamLimit);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kTeamLimit);
     // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
     // would be started again, and stopped again.
     config.teams[0].gpus_max = cluster.teams["team"].gpus + 2;
@@ -826,7 +831,7 @@
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
     EXPECT_TRUE(pull({&x, &y, cluster.machine("vm-3")}).empty());
-    EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kGangRoom);
 }
 
 // In an overload an array that lost the aim for its start goes after one that can still make it.
@@ -918,7 +923,7 @@
             s.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
             Job& j = add(s);
             for (uint32_t t = 0; t < 20; ++t)
-                jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
+                jobs.bind(j, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).acknowledged = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
             JobSpec s = spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
--- a/tests/record_room_test.cc
+++ b/tests/record_room_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/constants.h"
-#include "jobs/table.h"
+#include "jobs/job_table.h"
 #include "standins.h"
 
 using namespace hareshore;
@@ -54,10 +54,10 @@
         r.zone = p.zone;
         r.sequence = h.sequence + 1;
         r.tasks = {{{j.spec.id, task}, p.attempt, TaskPhase::kExited, cause, false}};
-        jobs.apply(cluster, h, r, false, 0);
+        jobs.apply_heartbeat(cluster, h, r, Absence::kUnproven, 0);
     }
     static size_t bytes(const Job& j, uint64_t record_format) {
-        return json_text(j.record().pack(record_format)).size();
+        return json_text(j.to_record().pack(record_format)).size();
     }
 };
 
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -38,7 +38,7 @@
         h.zone = zone;
         h.machine_type = machine_type;
         h.spot = spot;
-        h.reported = h.current = true;
+        h.heartbeat_received = h.has_current_token = true;
         return h;
     }
     Job& add(const std::string& id, uint32_t replicas, const std::function<void(JobSpec&)>& change = {},
@@ -53,7 +53,7 @@
         r.spec.image = "img-1";
         if (change) change(r.spec);
         Job& j = jobs.load(r, 5, now, {0});
-        j.accepted = j.waiting_since = now;
+        j.accepted = j.wait.since = now;
         return j;
     }
     // Long enough that no replica waits for an emptier machine.
@@ -114,10 +114,10 @@
     Job& j = add("job-1", 2, [](JobSpec& s) { s.single_zone = true; });
     Machine &x = machine("vm-1"), &y = machine("vm-2"), &other = machine("vm-3", "b");
     ASSERT_EQ(bound({&x}), 2U);
-    jobs.stop(j, 0, now);
+    jobs.stop(j, 0, StopMode::kSaveFirst);
     EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
     // One has ended; the other is being stopped, and counts until it is gone.
-    jobs.stop(j, 1, now);
+    jobs.stop(j, 1, StopMode::kSaveFirst);
     WorkerHeartbeat r;
     r.machine = "vm-1";
     r.zone = "a";
@@ -133,7 +133,7 @@
         t.cause = task == 0 ? ExitCause::kStopped : ExitCause::kNone;
         r.tasks.push_back(t);
     }
-    jobs.apply(cluster, x, r, true, now);
+    jobs.apply_heartbeat(cluster, x, r, Absence::kProven, now);
     ASSERT_EQ(j.pending.size(), 1U);
     EXPECT_EQ(bound({&other}), 0U);
     EXPECT_EQ(bound({&y}), 1U);
@@ -154,7 +154,7 @@
         ASSERT_EQ(bound({&b}), replicas - half) << replicas;
         // Those of `b` move: until their exit is known they are there, and there is no room in `a`.
         for (const auto& [task, p] : j.live)
-            if (p.machine == "vm-2") jobs.stop(j, task, now);
+            if (p.machine == "vm-2") jobs.stop(j, task, StopMode::kSaveFirst);
         EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
         lose(b);
         EXPECT_EQ(bound({&a, &again}), 0U) << replicas;
@@ -180,9 +180,9 @@
         ASSERT_EQ(bound({&x}), 4U);
         add("job-2", 1, amount, JobKind::kArray);
         add("job-3", 1, amount);
-        for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, now);
+        for (uint32_t task = 0; task < 4; ++task) jobs.stop(j, task, StopMode::kSaveFirst);
         EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
-        x.current = false;
+        x.has_current_token = false;
         now += 500;
         EXPECT_EQ(bound({&y}), 0U) << "nor is silence";
         lose(x);
@@ -192,7 +192,7 @@
         has_unplaced_task.name = {"job-9", 0};
         has_unplaced_task.attempt = 1;
         has_unplaced_task.phase = TaskPhase::kRunning;
-        has_unplaced_task.sized = true;
+        has_unplaced_task.size_known = true;
         has_unplaced_task.team = "team";
         has_unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
         Machine& z = machine("vm-3");
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -66,7 +66,7 @@
         JobRecord r;
         r.spec = std::move(s);
         Job& j = jobs.load(r, 5, now, {0});
-        j.accepted = j.waiting_since = now;
+        j.accepted = j.wait.since = now;
         return j;
     }
     Machine& machine(const std::string& name, const std::string& zone = "a", bool spot = false) {
@@ -74,7 +74,7 @@
         h.zone = zone;
         h.machine_type = "g2";
         h.spot = spot;
-        h.reported = h.current = true;
+        h.heartbeat_received = h.has_current_token = true;
         reported(h);
         return h;
     }
@@ -89,7 +89,7 @@
         r.incarnation = 1;
         r.sequence = h.sequence + 1;
         r.tasks = on[h.name];
-        jobs.apply(cluster, h, r, true, now);
+        jobs.apply_heartbeat(cluster, h, r, Absence::kProven, now);
     }
     // Binds, commits, launches and reports the replicas as running.
     size_t started(std::vector<Machine*> requesting_machines) {
@@ -98,9 +98,9 @@
         return n;
     }
     void carry_out(Machine& h) {
-        for (auto& [id, j] : jobs.all()) j->committed = j->version;
+        for (auto& [id, j] : jobs.all()) j->persistence.committed_version = j->persistence.version;
         auto& list = on[h.name];
-        for (const Command& o : jobs.commands(h, true)) {
+        for (const Command& o : jobs.commands(h, LaunchCommands::kInclude)) {
             auto it = std::find_if(list.begin(), list.end(), [&](const TaskStatus& t) {
                 return t.name == o.name && t.attempt == o.attempt;
             });
@@ -156,8 +156,8 @@
         ends(h, cause);
         EXPECT_FALSE(j.finished());
         EXPECT_TRUE(j.done.empty()) << "a poll would count it";
-        EXPECT_EQ(j.record().phase(), JobPhase::kPending);
-        auto o = jobs.commands(h, true);
+        EXPECT_EQ(j.to_record().phase(), JobPhase::kPending);
+        auto o = jobs.commands(h, LaunchCommands::kInclude);
         EXPECT_TRUE(o.empty()) << "an exit is forgotten only once what came of it is committed";
         ASSERT_EQ(started({&h}), 1u) << "it ran for a while: it is started again at once, also here";
         EXPECT_GT(j.live.at(0).attempt, attempt);
@@ -176,7 +176,7 @@
     Job& old = jobs.load(r, 5, now, {0});
     EXPECT_EQ(old.pending.size(), 2u);
     jobs.cancel(j, now);
-    EXPECT_EQ(j.record().phase(), JobPhase::kCancelled);
+    EXPECT_EQ(j.to_record().phase(), JobPhase::kCancelled);
 }
 
 // Replaced as soon as it cannot be live any more, and no sooner.
@@ -331,7 +331,7 @@
     s.spot = true;
     Job& j = add(s);
     EXPECT_EQ(started({all[0]}), 1u) << "the others of this machine wait for other machines";
-    EXPECT_EQ(j.wait_reason, WaitReason::kHeldForSpread);
+    EXPECT_EQ(j.wait.reason, WaitReason::kHeldForSpread);
     EXPECT_EQ(started(all), 3u);
     EXPECT_EQ(by(j, &Placement::machine).size(), 4u);
     // Not for long: a machine that asks is better than one that may ask.
@@ -383,7 +383,7 @@
     Job& j = add(s);
     now += 50;
     EXPECT_EQ(j.missed_objectives(config, now), 0);
-    EXPECT_FALSE(j.late(config, now));
+    EXPECT_FALSE(j.likely_late(config, now));
     Machine &x = machine("vm-1"), &y = machine("vm-2");
     Job& busy = add(batch("job-2", 1, PriorityClass::kStandard));
     jobs.bind(busy, 0, y, 1, now);
@@ -411,7 +411,7 @@
     EXPECT_LE(starts[2] - starts[0], 2) << "the first starts follow at once";
     EXPECT_GT(starts[9] - starts[8], 30);
     EXPECT_GT(starts[8] - starts[7], starts[6] - starts[5]);
-    EXPECT_TRUE(j.failing);
+    EXPECT_TRUE(j.failures.failing);
     for (Machine* h : all) {
         EXPECT_FALSE(h->cordoned);
         EXPECT_TRUE(h->failed_jobs.empty());
@@ -422,7 +422,7 @@
     now += constants::kReplicaSteady_s;
     Machine* h = cluster.machine(j.live.at(0).machine);
     reported(*h);
-    EXPECT_FALSE(j.failing);
+    EXPECT_FALSE(j.failures.failing);
     ends(*h, ExitCause::kError);
     EXPECT_EQ(started(all), 1u);
 }
@@ -453,12 +453,14 @@
     now += 60;
     for (size_t left = 3; left > 0; --left) {
         EXPECT_EQ(by(j, &Placement::machine)["vm-1"], static_cast<int>(left));
-        jobs.move_replicas(cluster, now);
-        jobs.move_replicas(cluster, now += 1);
+        jobs.move_replicas(cluster);
+        now += 1;
+        jobs.move_replicas(cluster);
         EXPECT_EQ(stopping(j), 1u);
         carry_out(x);
         EXPECT_EQ(j.pending.size(), 1u);
-        jobs.move_replicas(cluster, now += 1);
+        now += 1;
+        jobs.move_replicas(cluster);
         EXPECT_EQ(stopping(j), 0u) << "its successor does not run yet";
         ASSERT_EQ(started({&x, &y}), 1u);
     }
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -92,8 +92,8 @@
         report.incarnation = 1;
         report.sequence = 1;
         report.tasks = std::move(tasks);
-        machine.reported = machine.current = true;
-        jobs.apply(cluster, machine, report, true, kNow);
+        machine.heartbeat_received = machine.has_current_token = true;
+        jobs.apply_heartbeat(cluster, machine, report, Absence::kProven, kNow);
         return machine;
     }
 
@@ -109,8 +109,8 @@
 TEST_F(Starvation, AGangThatLacksMachinesKeepsItsTeamsLimitFromLowerWork) {
     inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
     EXPECT_TRUE(round().empty()) << "it would still hold the limit when the machines come free";
-    EXPECT_EQ(jobs.find("gang")->wait_reason, WaitReason::kGangRoom);
-    EXPECT_EQ(jobs.find("array")->wait_reason, WaitReason::kTeamLimit);
+    EXPECT_EQ(jobs.find("gang")->wait.reason, WaitReason::kGangRoom);
+    EXPECT_EQ(jobs.find("array")->wait.reason, WaitReason::kTeamLimit);
 }
 
 TEST_F(Starvation, TheLimitIsLentToLowerWorkThatEndsBeforeTheGangHasRoom) {
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -272,14 +272,14 @@
                                      TaskPhase::kExited,
                                      rng() % 4 ? ExitCause::kDone : ExitCause::kStopped,
                                      false}};
-                    jobs.apply(cluster, x, report, false, 0);
+                    jobs.apply_heartbeat(cluster, x, report, Absence::kUnproven, 0);
                 } else {
                     jobs.machine_deleted(machine, 0);
                 }
             }
             most_live = std::max(most_live, j.live.size());
             if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
-            JobRecord now = j.record();
+            JobRecord now = j.to_record();
             ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
             if (record_format == 1) {
                 ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
