--- a/src/cluster/cluster.cc
+++ b/src/cluster/cluster.cc
@@ -1,11 +1,22 @@
 #include "cluster/cluster.h"
 
+#include <algorithm>
+
 namespace hareshore {
 
+namespace {
+
+// A limit of 0 is none.
+bool within(double limit, double amount) {
+    return limit <= 0 || amount <= limit + kRoundingError;
+}
+
+}  // namespace
+
 const MachineType* Cluster::machine_type(const std::string& name) const {
-    for (const auto& f : machine_types)
-        if (f.name == name) return &f;
-    return nullptr;
+    auto it = std::find_if(machine_types.begin(), machine_types.end(),
+                           [&](const MachineType& type) { return type.name == name; });
+    return it == machine_types.end() ? nullptr : &*it;
 }
 
 Machine* Cluster::machine(const std::string& name) {
@@ -14,25 +25,30 @@
 }
 
 Machine& Cluster::ensure(const std::string& name, Seconds now) {
-    auto& h = machines[name];
-    if (!h) {
-        h = std::make_unique<Machine>();
-        h->name = name;
-        h->last_heartbeat = now;
-        h->created_at = now;
+    auto& machine = machines[name];
+    if (!machine) {
+        machine = std::make_unique<Machine>();
+        machine->name = name;
+        machine->last_heartbeat = now;
+        machine->created_at = now;
     }
-    return *h;
+    return *machine;
+}
+
+bool Cluster::within_limit(const Config& config, const JobSpec& spec, uint32_t tasks) const {
+    return within_limit(config, spec, tasks, TeamUsage{});
 }
 
-bool Cluster::within_limit(const Config& config, const JobSpec& spec, uint32_t tasks, TeamUsage kept) const {
-    const Team* t = config.team(spec.team);
-    if (!t) return false;
+bool Cluster::within_limit(const Config& config, const JobSpec& spec, uint32_t tasks,
+                           TeamUsage reserved) const {
+    const Team* team = config.team(spec.team);
+    if (!team) return false;
     auto it = teams.find(spec.team);
-    TeamUsage use = it == teams.end() ? TeamUsage{} : it->second;
-    use.cpus += kept.cpus;
-    use.gpus += kept.gpus;
-    if (t->cpus_max > 0 && use.cpus + tasks * spec.cpus > t->cpus_max + kRoundingError) return false;
-    return !(t->gpus_max > 0 && use.gpus + tasks * spec.gpus > t->gpus_max + kRoundingError);
+    TeamUsage used = it == teams.end() ? TeamUsage{} : it->second;
+    used.cpus += reserved.cpus;
+    used.gpus += reserved.gpus;
+    return within(team->cpus_max, used.cpus + tasks * spec.cpus) &&
+           within(team->gpus_max, used.gpus + tasks * spec.gpus);
 }
 
 }  // namespace hareshore
--- a/src/cluster/image_cache.cc
+++ b/src/cluster/image_cache.cc
@@ -4,18 +4,19 @@
 
 namespace hareshore {
 
-void ImageCache::use(const std::string& image, double gb) {
-    std::erase_if(images_, [&](const Image& i) { return i.name == image; });
-    images_.insert(images_.begin(), {image, gb});
-    double sum = 0;
+void ImageCache::use(const std::string& image, double size_gb) {
+    std::erase_if(images_, [&](const Image& held) { return held.name == image; });
+    images_.insert(images_.begin(), {image, size_gb});
+    double sum_gb = 0;
     for (auto it = images_.begin(); it != images_.end();) {
-        sum += it->gb;
-        it = sum > capacity_ && it != images_.begin() ? images_.erase(it) : std::next(it);
+        sum_gb += it->size_gb;
+        bool evicted = sum_gb > capacity_gb_ && it != images_.begin();
+        it = evicted ? images_.erase(it) : std::next(it);
     }
 }
 
 bool ImageCache::has(const std::string& image) const {
-    return std::any_of(images_.begin(), images_.end(), [&](const Image& i) { return i.name == image; });
+    return std::any_of(images_.begin(), images_.end(), [&](const Image& held) { return held.name == image; });
 }
 
 }  // namespace hareshore
--- a/src/cluster/machine.cc
+++ b/src/cluster/machine.cc
@@ -2,28 +2,29 @@
 
 namespace hareshore {
 
-void Machine::update_reachability(const WorkerHeartbeat& r, bool direct, Seconds lease_s, Seconds now) {
-    auto doubt = [&] {
+void Machine::update_reachability(const WorkerHeartbeat& heartbeat, HeartbeatRoute route, Seconds lease_s,
+                                  Seconds now) {
+    auto suspect = [&] {
         if (!unreachable_since) unreachable_since = now;
     };
-    if (r.incarnation > incarnation) {
+    if (heartbeat.incarnation > incarnation) {
         // Its lease ended although it was answered well within it.
-        if (answered_at && now - *answered_at < lease_s / 2) doubt();
-    } else if (direct && answered_directly) {
-        // One that is answered stays and numbers its reports one by one; one that is not has asked others.
-        if (r.sequence == answered_sequence + 1) {
+        if (answered_at && now - *answered_at < lease_s / 2) suspect();
+    } else if (route == HeartbeatRoute::kDirect && answered_directly) {
+        // One that receives answers stays and numbers its heartbeats one by one; any other has asked others.
+        if (heartbeat.sequence == answered_sequence + 1) {
             unreachable_since.reset();
         } else {
-            doubt();
+            suspect();
         }
     }
     answered_directly = false;
 }
 
-void Machine::answered(bool direct, Seconds now) {
+void Machine::answered(bool next_sequence_known, Seconds now) {
     answered_at = now;
     answered_sequence = sequence;
-    answered_directly = direct;
+    answered_directly = next_sequence_known;
 }
 
 }  // namespace hareshore
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -18,16 +18,16 @@
     uint64_t attempt = 0;
     TaskPhase phase = TaskPhase::kFetching;
     ExitCause cause = ExitCause::kNone;
-    uint64_t exit_version =
-        0;  // the job's version that accounts for the exit; it may be forgotten once committed
-    bool size_known = false;  // amount and team are known
-    Resources amount;
+    uint64_t exit_version = 0;  // the job's version that accounts for the exit; forgotten once committed
+    bool size_known = false;    // its job is known, and with it `amount` and `team`
+    Resources amount;           // that it takes
     std::string team;
 };
 
 // A reported task that runs on a machine though no placement accounts for it.
 struct UnplacedTask {
-    std::string job, team;
+    std::string job;
+    std::string team;
     Resources amount;
 };
 
@@ -40,55 +40,65 @@
     std::vector<UnplacedTask> unplaced;
 };
 
+// How a worker's heartbeat reached the leader: on the worker's own connection, or relayed by a peer.
+enum class HeartbeatRoute : uint8_t { kDirect, kRelayed };
+
 struct Machine {
-    std::string name, addr, machine_type, zone;
+    std::string name;
+    std::string addr;
+    std::string machine_type;
+    std::string zone;
     bool spot = false;
 
-    // From its reports.
-    uint64_t incarnation = 0, sequence = 0;
+    // --- From its heartbeats.
+    uint64_t incarnation = 0;         // of its worker process
+    uint64_t sequence = 0;            // of its newest heartbeat
     bool heartbeat_received = false;  // by this leader
-    bool has_current_token =
-        false;                   // it has this leader's fencing token: older launches can no longer arrive
-    Seconds last_heartbeat = 0;  // when it last reported, or when this leader first knew of it
-    std::optional<Seconds> spot_reclaim_at;  // spot notice
-    std::vector<MachineTask> tasks;
+    bool has_current_token = false;   // this leader's fencing token: launches by earlier ones cannot arrive
+    Seconds last_heartbeat = 0;       // when it last reported, or when this leader first knew of it
+    std::optional<Seconds> spot_reclaim_at;  // announced by a spot notice
+    std::vector<MachineTask> tasks;          // of its newest heartbeat
     ImageCache cache;
 
-    // Whether it hears what it is told. One whose reports arrive while answers and commands are lost looks
-    // alive and idle, and would be bound to over and over.
+    // --- Whether answers and commands reach it. One whose heartbeats arrive while those are lost looks alive
+    // and idle, and would be bound to over and over.
     std::optional<Seconds> unreachable_since;  // since when nothing shows that it receives answers
-    std::optional<Seconds> answered_at;        // its newest report that was answered 200
-    uint64_t answered_sequence = 0;  // the newest number seen of it by then; commands number reports, too
+    std::optional<Seconds> answered_at;        // its newest heartbeat that was answered 200
+    uint64_t answered_sequence = 0;  // the newest number seen of it by then; commands number heartbeats, too
     bool answered_directly = false;  // on its own connection, and no command was sent to it since
-    // Takes what a report that is newer than all before says of the answers to those; it has not been
-    // taken in yet. `direct`: it came on the worker's own connection.
-    void update_reachability(const WorkerHeartbeat& report, bool direct, Seconds lease_s, Seconds now);
-    void answered(bool direct, Seconds now);
+    // Concludes from a heartbeat, newer than all before and not taken in yet, whether the answers to those
+    // arrived.
+    void update_reachability(const WorkerHeartbeat& heartbeat, HeartbeatRoute route, Seconds lease_s,
+                             Seconds now);
+    // Its newest heartbeat is answered 200. `next_sequence_known`: directly and without commands, so that the
+    // next heartbeat of a worker that receives the answer has the next number.
+    void answered(bool next_sequence_known, Seconds now);
 
-    // From the cloud.
+    // --- From the cloud.
     MachinePhase phase = MachinePhase::kBooting;
     Seconds created_at = 0;
-    bool listed = false;
+    bool listed = false;  // in the newest list of machines
 
-    // Judgement.
+    // --- Decided about it.
     std::set<std::string> failed_jobs;  // jobs with a failed task since the last success
-    bool cordoned = false;              // to be drained and returned
-    bool draining = false;              // its work is being moved elsewhere, then it is returned
-    bool deleting = false;              // a deletion is on its way: nothing may be bound
-    bool heartbeat_held = false;        // a heartbeat of it awaits its answer, which can go out at once
+    bool cordoned = false;              // nothing is bound; it is drained and returned
     std::string cordon_reason;
-    std::optional<Seconds> idle_since;
+    bool draining = false;        // its work is being moved elsewhere, then it is returned
+    bool deleting = false;        // a deletion is on its way: nothing may be bound
+    bool heartbeat_held = false;  // a heartbeat of it awaits its answer, which can go out at once
 
+    // --- Recounted from placements and heartbeats; see jobs/resource_accounting.h.
     MachineUsage usage;
-    bool usage_valid = false;  // nothing that `usage` counts has changed since
+    bool usage_valid = false;   // nothing that `usage` counts has changed since
+    Resources free;             // of the machine type's, besides usage.taken
+    uint32_t placed_tasks = 0;  // live placements and reported tasks
+    bool schedulable = false;   // tasks may be bound to it
+    std::optional<Seconds> idle_since;
 
-    // Recounted from placements and reports.
-    Resources free;
-    Resources reserved;          // of it, kept for gangs that wait
+    // --- Of the scheduling pass under way.
+    Resources reserved;          // of `free`, for gangs that wait
     Seconds reserved_until = 0;  // work that ends before may use it
-    uint32_t placed_tasks = 0;   // live placements and reported tasks
-    bool schedulable = false;
-    uint64_t room_changes = 0;  // how often what it can give changed in the scheduling pass under way
+    uint64_t room_changes = 0;   // how often what it can give has changed
 
     bool idle() const { return placed_tasks == 0; }
 };
--- /dev/null
+++ b/src/jobs/heartbeat_intake.cc
@@ -0,0 +1,206 @@
+#include "jobs/heartbeat_intake.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/constants.h"
+#include "base/log.h"
+#include "jobs/failure_accounting.h"
+#include "jobs/task_lifecycle.h"
+
+namespace hareshore {
+
+namespace {
+
+// Whether the machine refused the launch: it has not fetched the image for it.
+bool launch_refused(ExitCause cause) {
+    return cause == ExitCause::kNoRoom || cause == ExitCause::kBusy || cause == ExitCause::kUnknownJob;
+}
+
+// Whether the task's image is on the machine.
+bool has_image(const TaskStatus& status) {
+    return status.phase != TaskPhase::kFetching && !launch_refused(status.cause);
+}
+
+bool is_exit(const TaskStatus& status) {
+    return status.phase == TaskPhase::kExited;
+}
+
+// A result of an attempt that was given up: the work is done all the same.
+bool is_abandoned_result(const Job& job, const TaskStatus& status) {
+    return is_exit(status) && status.cause == ExitCause::kDone && !job.spec.service() &&
+           status.name.task < job.spec.tasks &&
+           transition(task_state(job, status.name.task), TaskEvent::kAbandonedResult)
+               .moves_to(TaskState::kDone);
+}
+
+}  // namespace
+
+std::vector<MachineTask>::const_iterator find_attempt(const std::vector<MachineTask>& tasks, size_t hint,
+                                                      const TaskName& name, uint64_t attempt) {
+    auto matches = [&](const MachineTask& task) { return task.attempt == attempt && task.name == name; };
+    if (hint < tasks.size() && matches(tasks[hint])) return tasks.begin() + static_cast<long>(hint);
+    return std::find_if(tasks.begin(), tasks.end(), matches);
+}
+
+bool JobTable::apply_heartbeat(Cluster& cluster, Machine& machine, const WorkerHeartbeat& heartbeat,
+                               Absence absence, Seconds now) {
+    return HeartbeatIntake(*this, cluster, machine, heartbeat, now).run(absence);
+}
+
+bool HeartbeatIntake::run(Absence absence) {
+    previous_tasks_ = std::exchange(machine_.tasks, {});
+    changed_ = previous_tasks_.size() != heartbeat_.tasks.size();
+    machine_.tasks.reserve(heartbeat_.tasks.size());
+    take_header();
+    for (const auto& status : heartbeat_.tasks) take_task(status);
+    if (absence == Absence::kProven) take_absences();
+    return changed_;
+}
+
+void HeartbeatIntake::take_header() {
+    machine_.usage_valid = false;
+    machine_.incarnation = heartbeat_.incarnation;
+    machine_.sequence = heartbeat_.sequence;
+    machine_.addr = heartbeat_.addr;
+    machine_.machine_type = heartbeat_.machine_type;
+    machine_.zone = heartbeat_.zone;
+    machine_.spot = heartbeat_.spot;
+    machine_.phase = MachinePhase::kRunning;
+    if (!heartbeat_.notice_s || machine_.spot_reclaim_at) return;
+    machine_.spot_reclaim_at = now_ + *heartbeat_.notice_s;
+    log::info("spot_notice", {{"machine", machine_.name}, {"remaining_s", *heartbeat_.notice_s}});
+}
+
+void HeartbeatIntake::take_task(const TaskStatus& status) {
+    auto previous = find_attempt(previous_tasks_, machine_.tasks.size(), status.name, status.attempt);
+    bool listed_before = previous != previous_tasks_.end();
+    bool known_exit = listed_before && previous->phase == TaskPhase::kExited;
+    if (!listed_before || previous->phase != status.phase) changed_ = true;
+    MachineTask task = listed_before ? *previous : MachineTask{};
+    task.name = status.name;
+    task.attempt = status.attempt;
+    task.phase = status.phase;
+    task.cause = status.cause;
+    if (Job* job = table_.find(status.name.job)) take_task_of(*job, status, known_exit, task);
+    machine_.tasks.push_back(std::move(task));
+}
+
+void HeartbeatIntake::take_task_of(Job& job, const TaskStatus& status, bool known_exit, MachineTask& task) {
+    task.size_known = true;
+    task.amount = Resources::of(job.spec);
+    task.team = job.spec.team;
+    if (has_image(status) && !known_exit) machine_.cache.use(job.spec.image, job.spec.image_gb);
+
+    auto it = job.live.find(status.name.task);
+    bool accounted_for =
+        it != job.live.end() && it->second.machine == machine_.name && it->second.attempt == status.attempt;
+    // A gang's replacement may come to a machine that still lists an exit of the same attempt.
+    if (accounted_for && known_exit && !it->second.acknowledged) accounted_for = false;
+
+    if (accounted_for) {
+        task_present(job, it->second, status);
+        if (!is_exit(status)) return;
+        task_exited(job, status);
+    } else if (is_abandoned_result(job, status)) {
+        table_.complete(job, status.name.task, now_);
+    } else if (!is_exit(status) || known_exit) {
+        return;
+    }
+    task.exit_version = job.persistence.version;
+}
+
+void HeartbeatIntake::task_present(Job& job, Placement& placement, const TaskStatus& status) {
+    present_.push_back(&placement);
+    if (placement.phase != status.phase || !placement.acknowledged)
+        log::debug("task_phase", {{"task", status.name.text()},
+                                  {"attempt", status.attempt},
+                                  {"machine", machine_.name},
+                                  {"phase", task_phase_name(status.phase)}});
+    if (status.phase == TaskPhase::kRunning) {
+        if (!placement.running_since) placement.running_since = now_;
+        if (job.spec.service()) account_running_replica(job, placement, now_);
+        job.gang_attempt.started = true;
+    }
+    // It was launched: an answer arrived.
+    if (!placement.acknowledged && placement.launch.answers > 0) machine_.unreachable_since.reset();
+    placement.acknowledged = true;
+    placement.phase = status.phase;
+}
+
+void HeartbeatIntake::task_exited(Job& job, const TaskStatus& status) {
+    uint32_t task = status.name.task;
+    log::debug("task_exited", {{"task", status.name.text()},
+                               {"attempt", status.attempt},
+                               {"machine", machine_.name},
+                               {"cause", exit_cause_name(status.cause)}});
+    if (job.spec.service()) {
+        account_replica_exit(cluster_, machine_, job, task, status.cause, now_);
+        table_.release(job, task, now_);
+        return;
+    }
+    if (status.cause == ExitCause::kDone) {
+        machine_.failed_jobs.clear();
+        record_run_time(job, task);
+        table_.complete(job, task, now_);
+        return;
+    }
+    if (status.cause == ExitCause::kError) account_task_error(cluster_, machine_, job, now_);
+    if (launch_refused(status.cause))
+        log::info("launch_refused", {{"task", status.name.text()},
+                                     {"machine", machine_.name},
+                                     {"cause", exit_cause_name(status.cause)}});
+    if (job.spec.gang()) break_gang_on_exit(job, status.cause);
+    table_.release(job, task, now_);
+    // The rest of a stopping gang may still be saving; the rest of a failed one has nothing to save.
+    bool stopped_in_order = status.cause == ExitCause::kStopped;
+    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled && !stopped_in_order)
+        table_.stop_gang(job, 0);
+}
+
+void HeartbeatIntake::record_run_time(Job& job, uint32_t task) {
+    const Placement& placement = job.live.at(task);
+    if (!job.spec.gang() && placement.running_since && job.run_times.counts(task))
+        job.run_times.add(placement.ran(now_));
+}
+
+void HeartbeatIntake::break_gang_on_exit(Job& job, ExitCause cause) const {
+    // After its start a gang that lost a task ends; before, a replacement may complete it, but not when it
+    // ran out of time.
+    if (job.gang_attempt.started || cause == ExitCause::kIncomplete || cause == ExitCause::kPeersGone ||
+        cause == ExitCause::kError)
+        job.gang_attempt.broken = true;
+}
+
+void HeartbeatIntake::take_absences() {
+    auto tasks = table_.on_machine(machine_.name);  // a copy: releases change the original
+    for (const auto& [job, task, placement] : tasks) {
+        if (std::find(present_.begin(), present_.end(), placement) != present_.end()) continue;
+        auto it = job->live.find(task);
+        if (it != job->live.end()) task_absent(*job, task, it->second);
+    }
+}
+
+void HeartbeatIntake::task_absent(Job& job, uint32_t task, const Placement& placement) {
+    // What is not committed was not launched: its absence shows nothing.
+    if (!placement.from_earlier_leader && !job.persistence.committed(placement.job_version)) return;
+    // A newer heartbeat without the task: every launch sent before it is void, since the worker has one
+    // heartbeat in flight and drops what answers an older one.
+    const LaunchAttempts& launch = placement.launch;
+    if (launch.sent() && !heartbeat_.newer_than(launch.incarnation, launch.sequence)) return;
+    // Answer after answer carried the launch and nothing came of it: bound to a machine that does not receive
+    // answers, the task would wait for ever.
+    if (launch.answers >= constants::kUnansweredLaunches && !machine_.unreachable_since) {
+        machine_.unreachable_since = now_;
+        log::info("machine_unreachable", {{"machine", machine_.name}, {"reason", "launches_without_effect"}});
+    }
+    bool given_up = machine_.unreachable_since || (placement.from_earlier_leader && job.spec.gang());
+    TaskEvent event = given_up ? TaskEvent::kLaunchGivenUp : TaskEvent::kAbsent;
+    if (!transition(placed_state(job, placement), event).moves_to(TaskState::kPending)) return;
+    changed_ = true;
+    if (job.spec.gang() && job.gang_attempt.started) job.gang_attempt.broken = true;
+    table_.release(job, task, now_);
+    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled) table_.stop_gang(job, 0);
+}
+
+}  // namespace hareshore
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,6 +1,5 @@
 // One unfinished job as the leader holds it: what was asked for, its tasks, and its state by concern.
 #pragma once
-#include <array>
 #include <map>
 #include <memory>
 #include <span>
@@ -14,6 +13,7 @@
 #include "jobs/job_wait.h"
 #include "jobs/placement.h"
 #include "jobs/record.h"
+#include "jobs/record_sizes.h"
 #include "jobs/run_times.h"
 
 namespace hareshore {
@@ -40,37 +40,30 @@
     JobWait wait;
     ImagePreemption image_preemption;
 
-    // What record_bytes found out for formats 1 and 2. A binding only raises it by the most that it can add:
-    // to write the record for each task of a large array would cost the square of their number.
-    struct RecordSize {
-        uint64_t version = UINT64_MAX;
-        size_t bytes = 0;
-        bool exact = false;
-    };
-    mutable std::array<RecordSize, kNewestRecordFormat> sizes;
-    mutable size_t fixed_bytes = 0;  // of the record without placements and done ranges; 0: not known yet
-    size_t placement_bytes(uint64_t record_format,
-                           const Machine& on) const;  // that one more on this machine adds at most
-    RecordSize& measured(uint64_t record_format, bool exact) const;
+    mutable RecordSizes record_sizes;  // measured as needed, see record_room.cc
 
     bool finished() const { return !spec.service() && done.size() == spec.tasks; }
     bool waiting() const { return !cancelled && !finished() && !pending.empty(); }
-    // Stopping it at once loses no more than letting it save: it checkpoints often.
+    // Stopping a task of it at once loses no more than letting it save: it checkpoints often.
     bool skips_saving() const;
-    // When it should be done, by its deadline or its class's aim; far off if there is none.
-    Seconds due(const Config& config) const;
+    // When it should be done, by its deadline or its class's objective; far off if there is none.
+    Seconds deadline(const Config& config) const;
     // Even started now it would likely be late.
     bool likely_late(const Config& config, Seconds now) const;
     // How many of its class's service-level objectives a task of it that starts now can no longer meet.
     int missed_objectives(const Config& config, Seconds now) const;
     // Replicas that run and are not being stopped.
     uint32_t running_replicas() const;
+
     // Whether the record holds one more task on each of these machines, whatever becomes of its tasks: it
     // must fit the limit today, and in format 2 also the later one.
     bool room_in_record(const Config& config, uint64_t record_format,
-                        std::span<const Machine* const> on) const;
+                        std::span<const Machine* const> machines) const;
     // The length of the record's JSON text in that format, at most.
     size_t record_bytes(uint64_t record_format) const;
+    // A binding on the machine follows, as the next version: raises the known sizes by the most that it adds.
+    void raise_record_sizes(const Machine& machine);
+    // What is stored of the job.
     JobRecord to_record() const;
 };
 
--- a/src/jobs/job_failures.h
+++ b/src/jobs/job_failures.h
@@ -19,24 +19,13 @@
     size_t quick_exits = 0;
     std::optional<Seconds> last_quick_exit_at;
 
-    // Notes a failure on a machine. Returns true if that makes the job failing.
-    bool add(const std::string& machine, size_t failing_after_machines) {
-        machines.insert(machine);
-        if (failing || machines.size() < failing_after_machines) return false;
-        failing = true;
-        return true;
-    }
     // A task succeeded: earlier failures no longer count. A pause that is running ends at its time.
     void clear() {
         machines.clear();
         failing = false;
         backoff_s = 0;
     }
-    // A replica that was bound at this time runs steadily: so does what was started since the last quick
-    // exit.
-    bool cleared_by_replica(Seconds bound_at) const {
-        return !last_quick_exit_at || bound_at >= *last_quick_exit_at;
-    }
+    // Replicas stay again.
     void clear_quick_exits() {
         clear();
         quick_exits = 0;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/constants.h"
-#include "base/log.h"
+#include "jobs/task_lifecycle.h"
 
 namespace hareshore {
 
@@ -11,84 +11,94 @@
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : it->second.get();
 }
+
 const Job* JobTable::find(const std::string& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-Job& JobTable::load(const JobRecord& r, uint64_t mod_revision, Seconds now, WallTime wall) {
-    unreadable_.erase(r.spec.id);
-    auto& slot = jobs_[r.spec.id];
+Job& JobTable::load(const JobRecord& record, uint64_t mod_revision, Seconds now, WallTime wall) {
+    unreadable_.erase(record.spec.id);
+    auto& slot = jobs_[record.spec.id];
     if (slot) {
         // Only users change a record besides this leader, and only to cancel the job.
-        if (mod_revision > slot->persistence.mod_revision) slot->persistence.mod_revision = mod_revision;
-        if (r.cancelled && !slot->cancelled) cancel(*slot, now);
+        uint64_t& known_revision = slot->persistence.mod_revision;
+        known_revision = std::max(known_revision, mod_revision);
+        if (record.cancelled && !slot->cancelled) cancel(*slot, now);
         return *slot;
     }
     slot = std::make_unique<Job>();
     last_arrival_ = now;
-    Job& j = *slot;
-    j.spec = r.spec;
-    j.accepted_wall = r.accepted_wall;
-    j.accepted = now - std::max(0.0, wall - r.accepted_wall);
+    Job& job = *slot;
+    job.spec = record.spec;
+    job.accepted_wall = record.accepted_wall;
+    job.accepted = now - std::max(0.0, wall - record.accepted_wall);
+    bool never_bound = record.next_attempt <= 1;
     // A job that never started has waited since it came, also before this leader.
-    j.wait.since = r.live.empty() && r.done.empty() && r.next_attempt <= 1 ? j.accepted : now;
-    if (!j.spec.service()) j.done = r.done;  // earlier versions took a replica's exit for its end
-    j.next_attempt = r.next_attempt;
-    j.run_times.saw_all_starts = r.next_attempt <= 1;
-    j.persistence.mod_revision = mod_revision;
-    j.pending = Ranges::whole(r.spec.tasks);
-    for (uint32_t n = 0; n < r.spec.tasks && !j.done.empty(); ++n)
-        if (j.done.has(n)) j.pending.remove(n);
-    for (const auto& [task, b] : r.live) {
-        if (j.done.has(task)) continue;
-        Placement p;
-        p.attempt = b.attempt;
-        p.machine = b.machine;
-        p.zone = b.zone;
-        p.from_earlier_leader = true;
-        p.bound_at = now;
-        enter(b.machine, {&j, task, &(j.live[task] = p)});
-        j.pending.remove(task);
-        // A gang's tasks share an attempt. Whether it has started is not kept: it counts as started, so
+    job.wait.since = record.live.empty() && record.done.empty() && never_bound ? job.accepted : now;
+    if (!job.spec.service()) job.done = record.done;  // earlier versions took a replica's exit for its end
+    job.next_attempt = record.next_attempt;
+    job.run_times.saw_all_starts = never_bound;
+    job.persistence.mod_revision = mod_revision;
+    job.pending = Ranges::whole(record.spec.tasks);
+    for (uint32_t task = 0; task < record.spec.tasks && !job.done.empty(); ++task)
+        if (job.done.has(task)) job.pending.remove(task);
+    load_placements(job, record, now);
+    if (record.cancelled) {
+        cancel(job, now);
+        job.cancelled_before_term = true;
+    }
+    return job;
+}
+
+void JobTable::load_placements(Job& job, const JobRecord& record, Seconds now) {
+    for (const auto& [task, stored] : record.live) {
+        if (job.done.has(task)) continue;
+        Placement placement;
+        placement.attempt = stored.attempt;
+        placement.machine = stored.machine;
+        placement.zone = stored.zone;
+        placement.from_earlier_leader = true;
+        placement.bound_at = now;
+        placements_.add(stored.machine, {&job, task, &(job.live[task] = placement)});
+        job.pending.remove(task);
+        // A gang's tasks share an attempt. Whether it has started is not stored: it counts as started, so
         // that no replacement joins an attempt that has already run.
-        j.gang_attempt.number = std::max(j.gang_attempt.number, b.attempt);
-        j.gang_attempt.started = true;
-    }
-    if (j.spec.gang() && !j.live.empty() && j.live.size() < j.spec.tasks) {
-        j.gang_attempt.broken = true;
-        stop_gang(j, 0);
+        job.gang_attempt.number = std::max(job.gang_attempt.number, stored.attempt);
+        job.gang_attempt.started = true;
     }
-    if (r.cancelled) {
-        cancel(j, now);
-        j.cancelled_before_term = true;
+    if (job.spec.gang() && !job.live.empty() && job.live.size() < job.spec.tasks) {
+        job.gang_attempt.broken = true;
+        stop_gang(job, 0);
     }
-    return j;
 }
 
 void JobTable::erase(const std::string& id) {
-    Job* j = find(id);
-    if (!j) return;
-    for (const auto& [task, p] : j->live) leave(p.machine, *j, task);
+    Job* job = find(id);
+    if (!job) return;
+    for (const auto& [task, placement] : job->live) placements_.remove(placement.machine, *job, task);
     jobs_.erase(id);
 }
 
 void JobTable::clear() {
     jobs_.clear();
-    dirty_.clear();
-    queued_.clear();
-    by_machine_.clear();
-    changed_machines_.clear();
+    write_queue_.clear();
+    placements_.clear();
     unreadable_.clear();
 }
 
+void JobTable::set_unreadable(const std::string& id) {
+    erase(id);
+    unreadable_.insert(id);
+}
+
 void JobTable::mark_changed(Job& job) {
     ++job.persistence.version;
     queue_write(job);
 }
 
 void JobTable::queue_write(Job& job) {
-    if (queued_.insert(job.spec.id).second) dirty_.push_back(job.spec.id);
+    write_queue_.add(job.spec.id);
 }
 
 void JobTable::queue_all_unwritten() {
@@ -96,76 +106,30 @@
         if (job->persistence.unwritten()) queue_write(*job);
 }
 
-void JobTable::set_unreadable(const std::string& id) {
-    erase(id);
-    unreadable_.insert(id);
-}
-
-std::vector<Job*> JobTable::take_unwritten(size_t most_ops, size_t most_bytes, uint64_t record_format) {
-    std::vector<Job*> out;
-    std::vector<std::string> rest;
-    size_t ops = 0;
-    size_t bytes = 0;
-    bool full = false;
-    for (auto& id : dirty_) {
-        Job* j = find(id);
-        if (!j || !j->persistence.unwritten()) {
-            queued_.erase(id);
-            continue;
-        }
-        size_t cost = j->finished() || j->cancelled ? 2 : 1;
-        size_t size = j->record_bytes(record_format);
-        full = full || ops + cost > most_ops || (bytes > 0 && bytes + size > most_bytes);
-        if (full) {
-            rest.push_back(std::move(id));
-            continue;
-        }
-        ops += cost;
-        bytes += size;
-        queued_.erase(id);
-        out.push_back(j);
-    }
-    dirty_ = std::move(rest);
-    return out;
+std::vector<Job*> JobTable::take_unwritten(size_t most_operations, size_t most_bytes,
+                                           uint64_t record_format) {
+    return write_queue_.take(jobs_, {most_operations, most_bytes}, record_format);
 }
 
 Placement& JobTable::bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now) {
-    for (uint64_t record_format = 1; record_format <= kNewestRecordFormat; ++record_format) {
-        auto& s = job.sizes[record_format - 1];
-        if (s.version == job.persistence.version)
-            s = {job.persistence.version + 1, s.bytes + job.placement_bytes(record_format, machine), false};
-    }
+    job.raise_record_sizes(machine);
     mark_changed(job);
-    Placement p;
-    p.attempt = attempt;
-    p.machine = machine.name;
-    p.zone = machine.zone;
-    p.job_version = job.persistence.version;
-    p.bound_at = now;
+    Placement placement;
+    placement.attempt = attempt;
+    placement.machine = machine.name;
+    placement.zone = machine.zone;
+    placement.job_version = job.persistence.version;
+    placement.bound_at = now;
     job.pending.remove(task);
-    Placement& kept = job.live[task] = p;
-    enter(machine.name, {&job, task, &kept});
-    return kept;
-}
-
-void JobTable::enter(const std::string& machine, const PlacedTask& resident) {
-    by_machine_[machine].push_back(resident);
-    changed_machines_.insert(machine);
-}
-
-void JobTable::leave(const std::string& machine, const Job& job, uint32_t task) {
-    auto it = by_machine_.find(machine);
-    if (it == by_machine_.end()) return;
-    changed_machines_.insert(machine);
-    std::erase_if(it->second, [&](const PlacedTask& r) { return r.job == &job && r.task == task; });
-    if (it->second.empty()) by_machine_.erase(it);
+    Placement& placed = job.live[task] = placement;
+    placements_.add(machine.name, {&job, task, &placed});
+    return placed;
 }
 
-// The task is on no machine any more: it waits again, unless it is done.
 void JobTable::release(Job& job, uint32_t task, Seconds now) {
     auto it = job.live.find(task);
     if (it == job.live.end()) return;
-    leave(it->second.machine, job, task);
+    placements_.remove(it->second.machine, job, task);
     job.live.erase(it);
     if (!job.done.has(task)) {
         job.run_times.interrupted.add(task);
@@ -173,26 +137,20 @@
         job.pending.add(task);
     }
     mark_changed(job);
-    settle(job);
-}
-
-void JobTable::settle(Job& job) {
-    if (job.live.empty()) job.gang_attempt.started = job.gang_attempt.broken = false;
+    if (job.live.empty()) job.gang_attempt.end();
 }
 
 void JobTable::complete(Job& job, uint32_t task, Seconds now) {
     job.done.add(task);
     job.pending.remove(task);
-    job.failures.machines.clear();
-    job.failures.failing = false;
-    job.failures.backoff_s = 0;
+    job.failures.clear();
     release(job, task, now);
     mark_changed(job);
     if (!job.spec.gang()) return;
     // A gang completes together. Its other tasks still count on their machines until they report it.
-    for (uint32_t n = 0; n < job.spec.tasks; ++n) {
-        job.done.add(n);
-        job.pending.remove(n);
+    for (uint32_t other = 0; other < job.spec.tasks; ++other) {
+        job.done.add(other);
+        job.pending.remove(other);
     }
     while (!job.live.empty()) release(job, job.live.begin()->first, now);
 }
@@ -200,402 +158,58 @@
 void JobTable::cancel(Job& job, Seconds now) {
     if (!job.cancelled) job.cancellation_known_at = now;
     job.cancelled = true;
-    for (auto& [task, p] : job.live) {
-        p.stopping = true;
-        p.grace_s = 0;
-        urgent_.insert(p.machine);
-    }
+    for (auto& [task, placement] : job.live) begin_stop(placement, 0);
     // What this leader bound and never sent cannot be on a machine.
     for (auto it = job.live.begin(); it != job.live.end();) {
-        uint32_t task = it->first;
-        bool unsent =
-            !it->second.from_earlier_leader && it->second.launch.sequence == 0 && !it->second.acknowledged;
-        ++it;
-        if (unsent) release(job, task, now);
+        const auto& [task, placement] = *it++;
+        TaskState state = placed_state(job, placement);
+        if (transition(state, TaskEvent::kCancel).moves_to(TaskState::kPending)) release(job, task, now);
     }
     mark_changed(job);
 }
 
-void JobTable::repeat_stops_of_cancelled(Seconds before) {
-    for (const auto& [id, job] : jobs_)
-        if (job->cancelled && job->cancellation_known_at <= before)
-            for (const auto& [task, p] : job->live) urgent_.insert(p.machine);
+void JobTable::repeat_stops_of_cancelled(Seconds cancelled_until) {
+    for (const auto& [id, job] : jobs_) {
+        if (!job->cancelled || job->cancellation_known_at > cancelled_until) continue;
+        for (const auto& [task, placement] : job->live) machines_with_new_stops_.insert(placement.machine);
+    }
 }
 
-void JobTable::stop_gang(Job& job, Seconds grace) {
-    for (auto& [task, p] : job.live) {
-        if (p.stopping && p.grace_s <= grace) continue;
-        p.stopping = true;
-        p.grace_s = grace;
-        urgent_.insert(p.machine);
-    }
+void JobTable::begin_stop(Placement& placement, Seconds grace_s) {
+    placement.stopping = true;
+    placement.grace_s = grace_s;
+    machines_with_new_stops_.insert(placement.machine);
+}
+
+void JobTable::stop_gang(Job& job, Seconds grace_s) {
+    for (auto& [task, placement] : job.live)
+        if (!placement.stopping || placement.grace_s > grace_s) begin_stop(placement, grace_s);
 }
 
 void JobTable::stop(Job& job, uint32_t task, StopMode mode) {
-    Seconds grace = job.spec.save_s + constants::kCheckpointMargin_s;
+    Seconds grace_s = job.spec.save_s + constants::kCheckpointMargin_s;
     // A replica has nothing to save: its successor is waited for.
-    if (job.spec.service()) grace = 0;
+    if (job.spec.service()) grace_s = 0;
     // On average half a checkpoint interval is lost, against a save during which the room is not free.
-    if (mode == StopMode::kSkipSaveIfCheap && job.skips_saving()) grace = 0;
+    if (mode == StopMode::kSkipSaveIfCheap && job.skips_saving()) grace_s = 0;
     if (job.spec.gang()) {
-        stop_gang(job, grace);
+        stop_gang(job, grace_s);
         job.gang_attempt.broken = true;
         return;
     }
     auto it = job.live.find(task);
-    if (it == job.live.end() || it->second.stopping) return;
-    it->second.stopping = true;
-    it->second.grace_s = grace;
-    urgent_.insert(it->second.machine);
+    if (it == job.live.end()) return;
+    if (transition(placed_state(job, it->second), TaskEvent::kStop).accepted())
+        begin_stop(it->second, grace_s);
 }
 
 void JobTable::machine_deleted(const std::string& machine, Seconds now) {
     auto tasks = on_machine(machine);
-    for (const auto& r : tasks) {
-        if (r.job->spec.gang() && r.job->gang_attempt.started) r.job->gang_attempt.broken = true;
-        release(*r.job, r.task, now);
-    }
-}
-
-// One failed task says little. A machine that fails different jobs is condemned; a job that fails on
-// several machines is blamed itself, waits longer each time, and no longer counts against machines.
-void JobTable::failed(Cluster& cluster, Machine& machine, Job& job, Seconds now) {
-    job.failures.machines.insert(machine.name);
-    if (job.failures.machines.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
-        if (!job.failures.failing) {
-            job.failures.failing = true;
-            log::info("job_marked_failing",
-                      {{"job", job.spec.id}, {"machines", job.failures.machines.size()}});
-            for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
-        }
-    }
-    if (job.failures.machines.size() >= 2) {
-        job.failures.backoff_s =
-            std::clamp(job.failures.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
-        job.failures.retry_at = now + job.failures.backoff_s;
-    }
-    if (!job.failures.failing) count_failure(machine, job);
-}
-
-void JobTable::count_failure(Machine& machine, const Job& job) {
-    machine.failed_jobs.insert(job.spec.id);
-    if (machine.failed_jobs.size() >= static_cast<size_t>(constants::kCordonAfterFailedJobs) &&
-        !machine.cordoned) {
-        machine.cordoned = true;
-        machine.cordon_reason = "tasks of different jobs fail on it";
-        log::info("machine_cordoned", {{"machine", machine.name}, {"reason", machine.cordon_reason}});
-    }
-}
-
-// A replica's end is never the end of its task, whatever its cause: it is started again, at once if it ran
-// for a while. One that keeps ending at once is started less and less often. That is held against the
-// machine, which the next start avoids, only as long as it has not happened on several.
-void JobTable::replica_ended(Cluster& cluster, Machine& machine, Job& job, uint32_t task, ExitCause cause,
-                             Seconds now) {
-    if (cause == ExitCause::kStopped || job.cancelled) return;
-    const Placement& p = job.live.at(task);
-    Seconds ran = p.running_since ? now - *p.running_since : 0;
-    log::info("replica_ended", {{"job", job.spec.id},
-                                {"task", task},
-                                {"machine", machine.name},
-                                {"ran_s", ran},
-                                {"cause", exit_cause_name(cause)}});
-    if (ran >= constants::kReplicaSteady_s) return;
-    job.failures.last_quick_exit_at = now;
-    job.failures.machines.insert(machine.name);
-    if (!job.failures.failing &&
-        job.failures.machines.size() >= static_cast<size_t>(constants::kFailingAfterMachines)) {
-        job.failures.failing = true;
-        log::info("job_marked_failing", {{"job", job.spec.id}, {"machines", job.failures.machines.size()}});
-        for (auto& [name, h] : cluster.machines) h->failed_jobs.erase(job.spec.id);
-    }
-    if (++job.failures.quick_exits > constants::kReplicaTries) {
-        // Replicas that end together count as one: a pause runs already.
-        if (now >= job.failures.retry_at)
-            job.failures.backoff_s = std::clamp(job.failures.backoff_s * 2, constants::kReplicaBackoff_s,
-                                                constants::kReplicaBackoffMax_s);
-        job.failures.retry_at = now + job.failures.backoff_s;
-    }
-    if (!job.failures.failing && cause == ExitCause::kError) count_failure(machine, job);
-}
-
-void JobTable::exited(Cluster& cluster, Machine& machine, Job& job, uint32_t task, const TaskStatus& t,
-                      Seconds now) {
-    log::debug("task_exited", {{"task", t.name.text()},
-                               {"attempt", t.attempt},
-                               {"machine", machine.name},
-                               {"cause", exit_cause_name(t.cause)}});
-    if (job.spec.service()) {
-        replica_ended(cluster, machine, job, task, t.cause, now);
-        release(job, task, now);
-        return;
-    }
-    switch (t.cause) {
-        case ExitCause::kDone:
-            machine.failed_jobs.clear();
-            if (const Placement& p = job.live.at(task); !job.spec.gang() && p.running_since &&
-                                                        job.run_times.saw_all_starts &&
-                                                        !job.run_times.interrupted.has(task)) {
-                ++job.run_times.count;
-                job.run_times.sum_s += now - *p.running_since;
-            }
-            complete(job, task, now);
-            return;
-        case ExitCause::kError:
-            failed(cluster, machine, job, now);
-            break;
-        case ExitCause::kNoRoom:
-        case ExitCause::kBusy:
-        case ExitCause::kUnknownJob:
-            log::info(
-                "launch_refused",
-                {{"task", t.name.text()}, {"machine", machine.name}, {"cause", exit_cause_name(t.cause)}});
-            break;
-        default:
-            break;
-    }
-    if (job.spec.gang()) {
-        // After its start a gang that lost a task ends; before, a replacement may complete it, but not
-        // when it ran out of time.
-        if (job.gang_attempt.started || t.cause == ExitCause::kIncomplete || t.cause == ExitCause::kPeersGone)
-            job.gang_attempt.broken = true;
-        if (t.cause == ExitCause::kError) job.gang_attempt.broken = true;
-    }
-    release(job, task, now);
-    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled) {
-        // The rest of a stopping gang may still be saving; the rest of a failed one has nothing to save.
-        bool orderly = t.cause == ExitCause::kStopped;
-        if (!orderly) stop_gang(job, 0);
-    }
-}
-
-void JobTable::cordon_stragglers(Cluster& cluster, Seconds now) {
-    for (auto& [name, h] : cluster.machines) {
-        // Of one that is silent nothing is known; its tasks only seem to go on for long.
-        if (h->cordoned || !h->schedulable) continue;
-        size_t straggling = 0;
-        for (const auto& r : on_machine(name)) {
-            const Job& j = *r.job;
-            if (j.spec.gang() || j.run_times.count < constants::kStragglerComparisons) continue;
-            const Placement& p = *r.placement;
-            Seconds ran = p.running_since ? now - *p.running_since : 0;
-            if (ran > constants::kStragglerLeast_s &&
-                ran > constants::kStragglerFactor * j.run_times.sum_s / j.run_times.count)
-                ++straggling;
-        }
-        if (straggling < constants::kStragglerTasks) continue;
-        h->cordoned = true;
-        h->cordon_reason = "tasks take several times as long as others of their job elsewhere";
-        log::info("machine_cordoned", {{"machine", name}, {"reason", h->cordon_reason}});
-        auto tasks = on_machine(name);
-        for (const auto& r : tasks)
-            if (r.job->spec.checkpoint_s > 0 && !r.job->spec.service())
-                stop(*r.job, r.task, StopMode::kSaveFirst);
-    }
-}
-
-void JobTable::move_replicas(Cluster& cluster) {
-    for (auto& [name, h] : cluster.machines) {
-        if (!h->cordoned && !h->draining) continue;
-        auto tasks = on_machine(name);
-        for (const auto& [job, task, p] : tasks) {
-            if (!job->spec.service() || job->cancelled || p->stopping) continue;
-            uint32_t self = p->phase == TaskPhase::kRunning ? 1 : 0;
-            if (job->running_replicas() - self + 1 == job->spec.tasks) stop(*job, task, StopMode::kSaveFirst);
-        }
-    }
-}
-
-namespace {
-
-// One attempt of a task in what a machine reported. Reports keep their order: it is mostly found at `hint`.
-std::vector<MachineTask>::const_iterator find_attempt(const std::vector<MachineTask>& tasks, size_t hint,
-                                                      const TaskName& name, uint64_t attempt) {
-    auto matches = [&](const MachineTask& t) { return t.attempt == attempt && t.name == name; };
-    if (hint < tasks.size() && matches(tasks[hint])) return tasks.begin() + static_cast<long>(hint);
-    return std::find_if(tasks.begin(), tasks.end(), matches);
-}
-
-}  // namespace
-
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split by event
-bool JobTable::apply_heartbeat(Cluster& cluster, Machine& machine, const WorkerHeartbeat& r, Absence absence,
-                               Seconds now) {
-    bool news = false;
-    const std::vector<MachineTask> before = std::exchange(machine.tasks, {});
-    news = before.size() != r.tasks.size();
-    machine.tasks.reserve(r.tasks.size());
-    machine.usage_valid = false;
-    machine.incarnation = r.incarnation;
-    machine.sequence = r.sequence;
-    machine.addr = r.addr;
-    machine.machine_type = r.machine_type;
-    machine.zone = r.zone;
-    machine.spot = r.spot;
-    machine.phase = MachinePhase::kRunning;
-    if (r.notice_s && !machine.spot_reclaim_at) {
-        machine.spot_reclaim_at = now + *r.notice_s;
-        log::info("spot_notice", {{"machine", machine.name}, {"remaining_s", *r.notice_s}});
-    }
-    std::vector<const Placement*> present;
-    for (const auto& t : r.tasks) {
-        MachineTask x;
-        auto was = find_attempt(before, machine.tasks.size(), t.name, t.attempt);
-        if (was != before.end()) x = *was;
-        TaskPhase old = was != before.end() ? was->phase : TaskPhase::kFetching;
-        bool known_exit = was != before.end() && old == TaskPhase::kExited;
-        x.name = t.name;
-        x.attempt = t.attempt;
-        x.phase = t.phase;
-        x.cause = t.cause;
-        if (was == before.end() || old != t.phase) news = true;
-        Job* job = find(t.name.job);
-        if (job) {
-            x.size_known = true;
-            x.amount = Resources::of(job->spec);
-            x.team = job->spec.team;
-            if (t.phase != TaskPhase::kFetching && t.cause != ExitCause::kNoRoom &&
-                t.cause != ExitCause::kBusy && t.cause != ExitCause::kUnknownJob && !known_exit)
-                machine.cache.use(job->spec.image, job->spec.image_gb);
-            auto it = job->live.find(t.name.task);
-            bool mine = it != job->live.end() && it->second.machine == machine.name &&
-                        it->second.attempt == t.attempt;
-            // A gang's replacement may come to a machine that still lists an exit of the same attempt.
-            if (mine && known_exit && !it->second.acknowledged) mine = false;
-            if (mine) {
-                Placement& p = it->second;
-                present.push_back(&p);
-                if (p.phase != t.phase || !p.acknowledged)
-                    log::debug("task_phase", {{"task", t.name.text()},
-                                              {"attempt", t.attempt},
-                                              {"machine", machine.name},
-                                              {"phase", task_phase_name(t.phase)}});
-                if (t.phase == TaskPhase::kRunning) {
-                    if (!p.running_since) p.running_since = now;
-                    if (job->spec.service() && job->failures.cleared_by_replica(p.bound_at) &&
-                        now - *p.running_since >= constants::kReplicaSteady_s) {
-                        // What was started since then stays: what ended at once does so no longer.
-                        job->failures.machines.clear();
-                        job->failures.failing = false;
-                        job->failures.quick_exits = 0;
-                        job->failures.backoff_s = 0;
-                    }
-                    job->gang_attempt.started = true;
-                }
-                if (!p.acknowledged && p.launch.answers > 0)
-                    machine.unreachable_since.reset();  // it was launched: an answer arrived
-                p.acknowledged = true;
-                p.phase = t.phase;
-                if (t.phase == TaskPhase::kExited) {
-                    exited(cluster, machine, *job, t.name.task, t, now);
-                    x.exit_version = job->persistence.version;
-                }
-            } else if (t.phase == TaskPhase::kExited && t.cause == ExitCause::kDone && !job->spec.service() &&
-                       !job->done.has(t.name.task) && t.name.task < job->spec.tasks &&
-                       it == job->live.end()) {
-                // A result of an attempt that was given up: the work is done all the same.
-                complete(*job, t.name.task, now);
-                x.exit_version = job->persistence.version;
-            } else if (t.phase == TaskPhase::kExited && !known_exit) {
-                x.exit_version = job->persistence.version;
-            }
-        }
-        machine.tasks.push_back(std::move(x));
-    }
-    if (absence == Absence::kProven) {
-        auto tasks = on_machine(machine.name);
-        for (const auto& [job, task, placement] : tasks) {
-            if (std::find(present.begin(), present.end(), placement) != present.end()) continue;
-            auto it = job->live.find(task);
-            if (it == job->live.end()) continue;
-            Placement& p = it->second;
-            bool committed = p.from_earlier_leader || job->persistence.committed_version >= p.job_version;
-            if (!committed) continue;
-            // A newer report without the task: every launch sent before it is void, since the worker has
-            // one report in flight and drops what answers an older one.
-            if (p.launch.sequence != 0 && !r.newer_than(p.launch.incarnation, p.launch.sequence)) continue;
-            // Answer after answer carried the launch and nothing came of it: bound to a machine that does
-            // not hear us, the task would wait for ever.
-            if (p.launch.answers >= constants::kUnansweredLaunches && !machine.unreachable_since) {
-                machine.unreachable_since = now;
-                log::info("machine_unreachable",
-                          {{"machine", machine.name}, {"reason", "launches_without_effect"}});
-            }
-            bool lost =
-                p.acknowledged || (p.from_earlier_leader && job->spec.gang()) || machine.unreachable_since;
-            if (job->cancelled || p.stopping || lost) {
-                news = true;
-                if (job->spec.gang() && job->gang_attempt.started) job->gang_attempt.broken = true;
-                release(*job, task, now);
-                if (job->spec.gang() && job->gang_attempt.broken && !job->cancelled) stop_gang(*job, 0);
-            }
-        }
-    }
-    return news;
-}
-
-const std::vector<PlacedTask>& JobTable::on_machine(const std::string& machine) const {
-    static const std::vector<PlacedTask> none;
-    auto it = by_machine_.find(machine);
-    return it == by_machine_.end() ? none : it->second;
-}
-
-bool JobTable::awaits_commit(const Machine& machine) const {
-    for (const auto& r : on_machine(machine.name)) {
-        const Placement& p = *r.placement;
-        if (!p.from_earlier_leader && r.job->persistence.committed_version < p.job_version &&
-            !r.job->cancelled)
-            return true;
-    }
-    return false;
-}
-
-bool JobTable::all_running_on(const Machine& machine) const {
-    auto running = [](const MachineTask& t) { return t.phase == TaskPhase::kRunning; };
-    auto meant = [](const PlacedTask& r) { return r.placement->acknowledged && !r.placement->stopping; };
-    const auto& here = on_machine(machine.name);
-    return here.size() == machine.tasks.size() &&
-           std::all_of(machine.tasks.begin(), machine.tasks.end(), running) &&
-           std::all_of(here.begin(), here.end(), meant);
-}
-
-std::vector<Command> JobTable::commands(Machine& machine, LaunchCommands launches) {
-    std::vector<Command> out;
-    for (const auto& t : machine.tasks) {
-        if (unreadable(t.name.job)) continue;
-        Job* job = find(t.name.job);
-        if (t.phase == TaskPhase::kExited) {
-            // Forgotten only when the state service has what came of it.
-            if (!job || job->persistence.committed_version >= t.exit_version)
-                out.push_back({CommandKind::kForget, t.name, t.attempt, 0});
-            continue;
-        }
-        auto it = job ? job->live.find(t.name.task) : decltype(job->live.find(0)){};
-        bool mine = job && it != job->live.end() && it->second.machine == machine.name &&
-                    it->second.attempt == t.attempt;
-        if (!mine) {
-            // Nothing accounts for it: its job is over, or its attempt was given up.
-            out.push_back({CommandKind::kStop, t.name, t.attempt, 0});
-        } else if (it->second.stopping && !(t.phase == TaskPhase::kSaving && it->second.grace_s > 0)) {
-            out.push_back({CommandKind::kStop, t.name, t.attempt, it->second.grace_s});
-        }
-    }
-    if (launches == LaunchCommands::kOmit) return out;
-    for (const auto& [job, task, placement] : on_machine(machine.name)) {
-        if (job->cancelled) continue;
-        const std::string& id = job->spec.id;
-        Placement& p = job->live.at(task);
-        if (p.stopping || p.acknowledged) continue;
-        if (find_attempt(machine.tasks, 0, {id, task}, p.attempt) != machine.tasks.end()) continue;
-        if (!p.from_earlier_leader && job->persistence.committed_version < p.job_version) continue;
-        if (job->spec.gang() && job->gang_attempt.broken) continue;
-        out.push_back({CommandKind::kLaunch, {id, task}, p.attempt, 0});
-        if (p.launch.incarnation != machine.incarnation || p.launch.sequence != machine.sequence)
-            ++p.launch.answers;
-        p.launch.incarnation = machine.incarnation;
-        p.launch.sequence = machine.sequence;
+    for (const auto& placed : tasks) {
+        Job& job = *placed.job;
+        if (job.spec.gang() && job.gang_attempt.started) job.gang_attempt.broken = true;
+        release(job, placed.task, now);
     }
-    return out;
 }
 
 }  // namespace hareshore
--- /dev/null
+++ b/src/jobs/machine_commands.cc
@@ -0,0 +1,90 @@
+// What a machine is commanded to do, from its last heartbeat and the placements on it.
+#include <algorithm>
+
+#include "jobs/heartbeat_intake.h"
+#include "jobs/job_table.h"
+#include "jobs/task_lifecycle.h"
+
+namespace hareshore {
+
+namespace {
+
+// The placement that accounts for what the machine reported; null if its job is over or its attempt given up.
+const Placement* placement_of(const Job* job, const Machine& machine, const MachineTask& task) {
+    if (!job) return nullptr;
+    auto it = job->live.find(task.name.task);
+    if (it == job->live.end()) return nullptr;
+    const Placement& placement = it->second;
+    return placement.machine == machine.name && placement.attempt == task.attempt ? &placement : nullptr;
+}
+
+void add_stop(std::vector<Command>& commands, const Machine& machine, const MachineTask& task,
+              const Job* job) {
+    const Placement* placement = placement_of(job, machine, task);
+    if (!placement) {
+        commands.push_back({CommandKind::kStop, task.name, task.attempt, 0});
+        return;
+    }
+    bool saves_already = task.phase == TaskPhase::kSaving && placement->grace_s > 0;
+    if (placement->stopping && !saves_already)
+        commands.push_back({CommandKind::kStop, task.name, task.attempt, placement->grace_s});
+}
+
+bool may_launch(const Job& job, const Placement& placement) {
+    if (!transition(placed_state(job, placement), TaskEvent::kLaunchSent).accepted()) return false;
+    return !(job.spec.gang() && job.gang_attempt.broken);
+}
+
+// Notes that the answer to the machine's newest heartbeat carries the launch.
+void note_launch(LaunchAttempts& launch, const Machine& machine) {
+    if (launch.incarnation != machine.incarnation || launch.sequence != machine.sequence) ++launch.answers;
+    launch.incarnation = machine.incarnation;
+    launch.sequence = machine.sequence;
+}
+
+}  // namespace
+
+std::vector<Command> JobTable::commands(Machine& machine, LaunchCommands launches) {
+    std::vector<Command> commands;
+    for (const auto& task : machine.tasks) {
+        if (unreadable(task.name.job)) continue;
+        const Job* job = find(task.name.job);
+        if (task.phase != TaskPhase::kExited) {
+            add_stop(commands, machine, task, job);
+        } else if (!job || job->persistence.committed(task.exit_version)) {
+            // Forgotten only when the store has what came of it.
+            commands.push_back({CommandKind::kForget, task.name, task.attempt, 0});
+        }
+    }
+    if (launches == LaunchCommands::kOmit) return commands;
+    for (const auto& [job, task, placed] : on_machine(machine.name)) {
+        if (!may_launch(*job, *placed)) continue;
+        TaskName name{job->spec.id, task};
+        if (find_attempt(machine.tasks, 0, name, placed->attempt) != machine.tasks.end()) continue;
+        commands.push_back({CommandKind::kLaunch, std::move(name), placed->attempt, 0});
+        note_launch(job->live.at(task).launch, machine);
+    }
+    return commands;
+}
+
+bool JobTable::awaits_commit(const Machine& machine) const {
+    const auto& here = on_machine(machine.name);
+    return std::any_of(here.begin(), here.end(), [](const PlacedTask& placed) {
+        const Placement& placement = *placed.placement;
+        return !placement.from_earlier_leader && !placed.job->cancelled &&
+               !placed.job->persistence.committed(placement.job_version);
+    });
+}
+
+bool JobTable::all_running_on(const Machine& machine) const {
+    auto runs = [](const MachineTask& task) { return task.phase == TaskPhase::kRunning; };
+    auto is_meant_to = [](const PlacedTask& placed) {
+        return placed.placement->acknowledged && !placed.placement->stopping;
+    };
+    const auto& here = on_machine(machine.name);
+    return here.size() == machine.tasks.size() &&
+           std::all_of(machine.tasks.begin(), machine.tasks.end(), runs) &&
+           std::all_of(here.begin(), here.end(), is_meant_to);
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/jobs/placement_index.cc
@@ -0,0 +1,30 @@
+#include "jobs/placement_index.h"
+
+namespace hareshore {
+
+void PlacementIndex::add(const std::string& machine, const PlacedTask& placed) {
+    by_machine_[machine].push_back(placed);
+    changed_machines_.insert(machine);
+}
+
+void PlacementIndex::remove(const std::string& machine, const Job& job, uint32_t task) {
+    auto it = by_machine_.find(machine);
+    if (it == by_machine_.end()) return;
+    changed_machines_.insert(machine);
+    std::erase_if(it->second,
+                  [&](const PlacedTask& placed) { return placed.job == &job && placed.task == task; });
+    if (it->second.empty()) by_machine_.erase(it);
+}
+
+void PlacementIndex::clear() {
+    by_machine_.clear();
+    changed_machines_.clear();
+}
+
+const std::vector<PlacedTask>& PlacementIndex::on_machine(const std::string& machine) const {
+    static const std::vector<PlacedTask> none;
+    auto it = by_machine_.find(machine);
+    return it == by_machine_.end() ? none : it->second;
+}
+
+}  // namespace hareshore
--- a/src/jobs/resource_accounting.cc
+++ b/src/jobs/resource_accounting.cc
@@ -6,8 +6,8 @@
 
 MachineUsage count_usage(const Machine& machine, const JobTable& jobs) {
     MachineUsage usage;
-    for (const auto& r : jobs.on_machine(machine.name)) {
-        usage.taken += Resources::of(r.job->spec);
+    for (const auto& placed : jobs.on_machine(machine.name)) {
+        usage.taken += Resources::of(placed.job->spec);
         ++usage.placed_tasks;
     }
     for (const auto& task : machine.tasks) {
@@ -25,6 +25,21 @@
     return usage;
 }
 
+// What the job's placements take of its team's limit.
+void add_usage(TeamUsage& usage, const Job& job) {
+    auto placements = static_cast<double>(job.live.size());
+    usage.cpus += placements * job.spec.cpus;
+    usage.gpus += placements * job.spec.gpus;
+}
+
+// Whether tasks may be bound to a machine of a known type.
+bool may_be_scheduled(const Machine& machine, Seconds now, Seconds silent_after) {
+    bool heard = machine.heartbeat_held || now - machine.last_heartbeat <= silent_after;
+    bool stays = !machine.cordoned && !machine.deleting && !machine.draining && !machine.spot_reclaim_at;
+    return heard && stays && machine.has_current_token && !machine.unreachable_since &&
+           machine.usage.all_sizes_known;
+}
+
 }  // namespace
 
 void recount_machine(const Cluster& cluster, Machine& machine, const JobTable& jobs, Seconds now,
@@ -38,10 +53,7 @@
     if (type) machine.cache.set_capacity(type->cache_gb);
     machine.free -= machine.usage.taken;
     machine.placed_tasks = machine.usage.placed_tasks;
-    machine.schedulable = type && machine.has_current_token && !machine.cordoned && !machine.deleting &&
-                          !machine.draining && !machine.spot_reclaim_at && !machine.unreachable_since &&
-                          (machine.heartbeat_held || now - machine.last_heartbeat <= silent_after) &&
-                          machine.usage.all_sizes_known;
+    machine.schedulable = type && may_be_scheduled(machine, now, silent_after);
     if (machine.placed_tasks > 0) {
         machine.idle_since.reset();
     } else if (!machine.idle_since) {
@@ -55,11 +67,7 @@
     cluster.teams.clear();
     for (const auto& [id, job] : jobs.all()) {
         job->wait.has_unplaced_task = false;
-        if (job->live.empty()) continue;
-        auto n = static_cast<double>(job->live.size());
-        TeamUsage& use = cluster.teams[job->spec.team];
-        use.cpus += n * job->spec.cpus;
-        use.gpus += n * job->spec.gpus;
+        if (!job->live.empty()) add_usage(cluster.teams[job->spec.team], *job);
     }
     for (auto& [name, machine] : cluster.machines) {
         recount_machine(cluster, *machine, jobs, now, silent_after);
@@ -67,9 +75,9 @@
         machine->reserved_until = 0;
         for (const auto& task : machine->usage.unplaced) {
             if (Job* job = jobs.find(task.job)) job->wait.has_unplaced_task = true;
-            TeamUsage& use = cluster.teams[task.team];
-            use.cpus += task.amount.cpus;
-            use.gpus += task.amount.gpus;
+            TeamUsage& usage = cluster.teams[task.team];
+            usage.cpus += task.amount.cpus;
+            usage.gpus += task.amount.gpus;
         }
     }
 }
--- /dev/null
+++ b/src/jobs/stragglers.cc
@@ -0,0 +1,40 @@
+// Machines on which tasks run much longer than others of their job did elsewhere.
+#include "base/constants.h"
+#include "base/log.h"
+#include "jobs/job_table.h"
+
+namespace hareshore {
+
+namespace {
+
+bool straggles(const PlacedTask& placed, Seconds now) {
+    const Job& job = *placed.job;
+    if (job.spec.gang() || job.run_times.count < constants::kStragglerComparisons) return false;
+    Seconds ran = placed.placement->ran(now);
+    return ran > constants::kStragglerLeast_s &&
+           ran > constants::kStragglerFactor * job.run_times.sum_s / job.run_times.count;
+}
+
+size_t count_stragglers(const std::vector<PlacedTask>& tasks, Seconds now) {
+    size_t count = 0;
+    for (const auto& placed : tasks) count += straggles(placed, now) ? 1 : 0;
+    return count;
+}
+
+}  // namespace
+
+void JobTable::cordon_stragglers(Cluster& cluster, Seconds now) {
+    for (auto& [name, machine] : cluster.machines) {
+        // Of one that is silent nothing is known; its tasks only seem to go on for long.
+        if (machine->cordoned || !machine->schedulable) continue;
+        if (count_stragglers(on_machine(name), now) < constants::kStragglerTasks) continue;
+        machine->cordoned = true;
+        machine->cordon_reason = "tasks take several times as long as others of their job elsewhere";
+        log::info("machine_cordoned", {{"machine", name}, {"reason", machine->cordon_reason}});
+        for (const auto& placed : on_machine(name))
+            if (placed.job->spec.checkpoint_s > 0 && !placed.job->spec.service())
+                stop(*placed.job, placed.task, StopMode::kSaveFirst);
+    }
+}
+
+}  // namespace hareshore
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -67,7 +67,8 @@
     if (h->heartbeat_received && !r.newer_than(h->incarnation, h->sequence)) co_return no;  // a late copy
     uint64_t mine = ++worker_connection(name).reports;
     bool heard = !h->unreachable_since;
-    h->update_reachability(r, direct, config_.lease_s, loop_.now());
+    h->update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed, config_.lease_s,
+                           loop_.now());
     bool first = !h->answered_at;
     h->heartbeat_received = true;
     h->last_heartbeat = loop_.now();
--- a/src/model/resources.cc
+++ b/src/model/resources.cc
@@ -4,27 +4,30 @@
 
 namespace hareshore {
 
-Resources& Resources::operator+=(const Resources& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
-    memory_gb += o.memory_gb;
+Resources& Resources::operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memory_gb += other.memory_gb;
     return *this;
 }
 
-Resources& Resources::operator-=(const Resources& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
-    memory_gb -= o.memory_gb;
+Resources& Resources::operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    memory_gb -= other.memory_gb;
     return *this;
 }
 
-uint32_t Resources::count_fitting(const JobSpec& s, uint32_t most) const {
-    if (!holds(s)) return 0;
-    double n = most;
-    if (s.cpus > 0) n = std::min(n, std::floor((cpus + kRoundingError) / s.cpus));
-    if (s.gpus > 0) n = std::min(n, std::floor((gpus + kRoundingError) / s.gpus));
-    if (s.memory_gb > 0) n = std::min(n, std::floor((memory_gb + kRoundingError) / s.memory_gb));
-    return n <= 0 ? 0 : static_cast<uint32_t>(n);
+uint32_t Resources::count_fitting(const JobSpec& spec, uint32_t at_most) const {
+    if (!holds(spec)) return 0;
+    double count = at_most;
+    auto bound_by = [&](double available, double needed) {
+        if (needed > 0) count = std::min(count, std::floor((available + kRoundingError) / needed));
+    };
+    bound_by(cpus, spec.cpus);
+    bound_by(gpus, spec.gpus);
+    bound_by(memory_gb, spec.memory_gb);
+    return count <= 0 ? 0 : static_cast<uint32_t>(count);
 }
 
 }  // namespace hareshore
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -10,22 +10,28 @@
 inline constexpr double kRoundingError = 1e-9;  // sums of decimals such as 0.1 are not exact
 
 struct Resources {
-    double cpus = 0, gpus = 0, memory_gb = 0;
-    Resources& operator+=(const Resources& o);
-    Resources& operator-=(const Resources& o);
-    // Whether one task of this size fits; asked of all machines for each job, so it must cost little.
-    bool holds(const Resources& a) const {
-        return cpus + kRoundingError >= a.cpus && gpus + kRoundingError >= a.gpus &&
-               memory_gb + kRoundingError >= a.memory_gb;
+    double cpus = 0;
+    double gpus = 0;
+    double memory_gb = 0;
+
+    // What one task of the job takes.
+    static Resources of(const JobSpec& spec) { return {spec.cpus, spec.gpus, spec.memory_gb}; }
+
+    Resources& operator+=(const Resources& other);
+    Resources& operator-=(const Resources& other);
+    // Whether these amounts fit into this room; asked of all machines for each job, so it must cost little.
+    bool holds(const Resources& needed) const {
+        return cpus + kRoundingError >= needed.cpus && gpus + kRoundingError >= needed.gpus &&
+               memory_gb + kRoundingError >= needed.memory_gb;
     }
-    bool holds(const JobSpec& s) const { return holds(of(s)); }
-    // The smaller of each.
-    Resources componentwise_min(const Resources& o) const {
-        return {std::min(cpus, o.cpus), std::min(gpus, o.gpus), std::min(memory_gb, o.memory_gb)};
+    // Whether one task of the job fits.
+    bool holds(const JobSpec& spec) const { return holds(of(spec)); }
+    // How many tasks of the job fit, at most `at_most`.
+    uint32_t count_fitting(const JobSpec& spec, uint32_t at_most) const;
+    // The smaller amount of each.
+    Resources componentwise_min(const Resources& other) const {
+        return {std::min(cpus, other.cpus), std::min(gpus, other.gpus), std::min(memory_gb, other.memory_gb)};
     }
-    // How many tasks of this size fit, at most `most`.
-    uint32_t count_fitting(const JobSpec& s, uint32_t most) const;
-    static Resources of(const JobSpec& s) { return {s.cpus, s.gpus, s.memory_gb}; }
 };
 
 }  // namespace hareshore
--- a/src/model/task_name.h
+++ b/src/model/task_name.h
@@ -1,4 +1,4 @@
-// The name of a task as workers report it: the job's id and the task's index.
+// The name of a task as workers report it: the job's id and the task's index, "job-000412/3".
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -7,12 +7,13 @@
 
 namespace hareshore {
 
-// "job-000412/3" to the job's id and the task's number.
 struct TaskName {
     std::string job;
     uint32_t task = 0;
+
     std::string text() const { return job + '/' + std::to_string(task); }
-    static std::optional<TaskName> parse(const std::string& text);
+    // Nothing if the text is not that of a task's name.
+    [[nodiscard]] static std::optional<TaskName> parse(const std::string& text);
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
     auto operator<=>(const TaskName&) const = default;
 };
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -628,7 +628,8 @@
         WorkerHeartbeat r = heartbeat(machine, {});
         r.incarnation = incarnation;
         r.sequence = sequence;
-        machine.update_reachability(r, direct, config.lease_s, now += 3);
+        machine.update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed,
+                                    config.lease_s, now += 3);
         jobs.apply_heartbeat(cluster, machine, r, Absence::kProven, now);
         machine.answered(direct, now);
         return !machine.unreachable_since;
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "base/constants.h"
-#include "jobs/compact.h"
+#include "jobs/compact_wire.h"
 #include "standins/records.h"
 
 using namespace hareshore;
