--- a/src/leader/cloud_inventory.cc
+++ b/src/leader/cloud_inventory.cc
@@ -52,7 +52,7 @@
     if (!machine.listed) {
         machine.listed = true;
         machine.created_at = requested_at - listed.age_s;
-        if (!machine.reported) {
+        if (!machine.heartbeat_received) {
             machine.addr = listed.addr;
             machine.machine_type = listed.machine_type;
             machine.zone = listed.zone;
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -6,7 +6,7 @@
 namespace hareshore {
 
 void CommandSender::send_urgent_stops() {
-    for (const auto& name : parts_.jobs.take_urgent()) {
+    for (const auto& name : parts_.jobs.take_machines_with_new_stops()) {
         WorkerConnection& connection = parts_.connections.of(name);
         if (connection.command_in_flight) {
             connection.resend = true;
@@ -48,7 +48,7 @@
 }
 
 std::vector<Command> CommandSender::stops_for(Machine& machine) {
-    std::vector<Command> stops = parts_.jobs.commands(machine, false);
+    std::vector<Command> stops = parts_.jobs.commands(machine, LaunchCommands::kOmit);
     std::erase_if(stops, [](const Command& command) { return command.kind != CommandKind::kStop; });
     if (machine.incarnation != 0) return stops;
     // A machine that has not reported to this leader may still answer to an earlier one. Its incarnation is
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -170,7 +170,7 @@
         co_return std::nullopt;
     }
     if (record_format.status == StoreStatus::kOk &&
-        unpack_record_format(record_format.entry.data) > kNewestRecordFormat) {
+        !reads_record_format(record_format.entry.data)) {
         log::error("election_not_joined", {{"reason", "newer_record_format"}});
         stop_campaigning();
         co_return std::nullopt;
--- a/src/leader/fleet_report.cc
+++ b/src/leader/fleet_report.cc
@@ -25,11 +25,11 @@
 FleetCounts count_fleet(const Cluster& cluster) {
     FleetCounts counts;
     for (const auto& [name, machine] : cluster.machines) {
-        counts.booting += machine->reported ? 0 : 1;
+        counts.booting += machine->heartbeat_received ? 0 : 1;
         counts.spot += machine->spot ? 1 : 0;
-        counts.idle += machine->reported && machine->idle() ? 1 : 0;
+        counts.idle += machine->heartbeat_received && machine->idle() ? 1 : 0;
         const MachineType* type = cluster.machine_type(machine->machine_type);
-        if (!type || !machine->reported) continue;
+        if (!type || !machine->heartbeat_received) continue;
         counts.gpus += type->gpus;
         counts.free_gpus += machine->free.gpus;
     }
@@ -60,13 +60,13 @@
                                       {"replicas", job.spec.tasks},
                                       {"waiting", job.pending.size()},
                                       {"waited_s", waited},
-                                      {"reason", wait_reason_text(job.wait_reason)}});
+                                      {"reason", wait_reason_text(job.wait.reason)}});
     else
         log::info("job_waiting", {{"job", id},
                                   {"waiting", job.pending.size()},
                                   {"tasks", job.spec.tasks},
                                   {"waited_s", waited},
-                                  {"reason", wait_reason_text(job.wait_reason)}});
+                                  {"reason", wait_reason_text(job.wait.reason)}});
 }
 
 }  // namespace
@@ -75,7 +75,7 @@
     for (const auto& [name, machine] : parts_.cluster.machines) {
         const MachineType* type = parts_.cluster.machine_type(machine->machine_type);
         if (!type || machine->phase == MachinePhase::kFailed) continue;
-        if (!machine->reported) {
+        if (!machine->heartbeat_received) {
             gpu_time_.booting += type->gpus * elapsed;
         } else if (machine->idle()) {
             gpu_time_.idle += type->gpus * elapsed;
@@ -97,10 +97,10 @@
 void FleetReport::log_waiting_jobs() const {
     const Seconds now = parts_.loop.now();
     for (const auto& [id, job] : parts_.jobs.all()) {
-        const Seconds waited = now - job->waiting_since;
+        const Seconds waited = now - job->wait.since;
         if (!job->waiting() || waited < constants::kWaitLogInterval_s) continue;
-        if (now - job->why_logged < constants::kWaitLogInterval_s) continue;
-        job->why_logged = now;
+        if (now - job->wait.reason_logged_at < constants::kWaitLogInterval_s) continue;
+        job->wait.reason_logged_at = now;
         log_waiting_job(id, *job, waited);
     }
 }
@@ -119,7 +119,7 @@
                         {"gpus", fleet.gpus},
                         {"tasks_waiting", waiting.tasks},
                         {"jobs_waiting", waiting.jobs},
-                        {"unwritten_records", parts_.jobs.backlog()},
+                        {"unwritten_records", parts_.jobs.unwritten_count()},
                         {"longest_pass_s", parts_.scheduling.take_longest_pass()}});
     log_gpu_time();
 }
--- a/src/leader/fleet_scaler.h
+++ b/src/leader/fleet_scaler.h
@@ -35,7 +35,7 @@
 
   private:
     void note_stall(Seconds stalled_s);
-    void repeat_stops();
+    void repeat_stops_of_cancelled();
     void delete_machines_holding_cancelled();
     [[nodiscard]] bool may_scale() const;
     void scale();
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -24,7 +24,7 @@
     HeldHeartbeat(const HeldHeartbeat&) = delete;
     HeldHeartbeat& operator=(const HeldHeartbeat&) = delete;
     ~HeldHeartbeat() {
-        if (Machine* machine = cluster_.machine(name_)) machine->holding = false;
+        if (Machine* machine = cluster_.machine(name_)) machine->heartbeat_held = false;
     }
 
   private:
@@ -49,7 +49,7 @@
 
     const std::string name = heartbeat.machine;
     Machine* machine = &parts_.cluster.ensure(name, loop.now());
-    if (machine->reported && !heartbeat.newer_than(machine->incarnation, machine->sequence))
+    if (machine->heartbeat_received && !heartbeat.newer_than(machine->incarnation, machine->sequence))
         co_return not_answered();  // a late copy
     const uint64_t number = ++parts_.connections.of(name).heartbeats;
     const bool has_news = accept(*machine, heartbeat, route);
@@ -72,7 +72,7 @@
             awaits_commit ? commit_deadline : hold_for_work_until(*machine, received_at, hold);
         if (!until || loop.now() >= *until) break;
         HeldHeartbeat held(parts_.cluster, name);
-        machine->holding = !awaits_commit;
+        machine->heartbeat_held = !awaits_commit;
         co_await loop.wait(parts_.connections.of(name).wake, *until);
     }
     co_return answer(*machine, route);
@@ -81,34 +81,34 @@
 // Returns whether the heartbeat brings anything that a scheduling pass should see at once.
 bool HeartbeatHandler::accept(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route) {
     const bool was_reachable = !machine.unreachable_since;
-    const bool was_current = machine.current;
+    const bool was_current = machine.has_current_token;
     const bool had_spot_notice = machine.spot_reclaim_at.has_value();
     const bool first = !machine.answered_at;
     update_reachability(machine, heartbeat, route);
     // Only a machine that has seen this leader's fencing token can no longer be given launches by an earlier
     // leader, so only then does a task's absence prove anything.
-    bool has_news = parts_.jobs.apply(parts_.cluster, machine, heartbeat, machine.current, parts_.loop.now());
+    bool has_news = parts_.jobs.apply(parts_.cluster, machine, heartbeat, machine.has_current_token, parts_.loop.now());
     if (machine.spot_reclaim_at && !had_spot_notice) {
         drain_machine(parts_.jobs, machine, parts_.loop.now());
         has_news = true;
     }
     const bool reachable = !machine.unreachable_since;
-    return has_news || first || machine.current != was_current || reachable != was_reachable;
+    return has_news || first || machine.has_current_token != was_current || reachable != was_reachable;
 }
 
 void HeartbeatHandler::update_reachability(Machine& machine, const WorkerHeartbeat& heartbeat,
                                            HeartbeatRoute route) {
     const Seconds now = parts_.loop.now();
     const bool was_reachable = !machine.unreachable_since;
-    const bool was_current = machine.current;
+    const bool was_current = machine.has_current_token;
     machine.update_reachability(heartbeat, route, parts_.config.lease_s, now);
-    machine.reported = true;
+    machine.heartbeat_received = true;
     machine.last_heartbeat = now;
-    machine.current = heartbeat.fencing_token == parts_.fencing_token;
+    machine.has_current_token = heartbeat.fencing_token == parts_.fencing_token;
     // A machine that was answered and does not take up this leader's fencing token receives no answers
     // either.
-    if (machine.current && !was_current) machine.unreachable_since.reset();
-    if (!machine.current && machine.answered_at && !machine.unreachable_since)
+    if (machine.has_current_token && !was_current) machine.unreachable_since.reset();
+    if (!machine.has_current_token && machine.answered_at && !machine.unreachable_since)
         machine.unreachable_since = now;
     if (was_reachable == !machine.unreachable_since) return;
     log::debug("machine_reachability", {{"machine", machine.name}, {"reachable", !was_reachable}});
@@ -119,7 +119,7 @@
     Loop& loop = parts_.loop;
     SchedulingLoop& scheduling = parts_.scheduling;
     HeldHeartbeat held(parts_.cluster, name);
-    parts_.cluster.machine(name)->holding = true;
+    parts_.cluster.machine(name)->heartbeat_held = true;
     const uint64_t passes_before = scheduling.passes_done();
     parts_.pass_requests.request();
     const Seconds until = std::min(answer_by, loop.now() + constants::kHeartbeatSchedulingWait_s);
@@ -134,7 +134,7 @@
     if (machine.idle()) return received_at + hold;
     // A replica that is to be started or stopped does not wait for the next heartbeat. Not for long: changes
     // on the machine are reported in its next heartbeat, which is not sent before this one is answered.
-    if (parts_.scheduling.could_take_replica(machine) && parts_.jobs.settled_on(machine))
+    if (parts_.scheduling.could_take_replica(machine) && parts_.jobs.all_running_on(machine))
         return received_at + std::min(hold, constants::kBusyHeartbeatHold_s);
     return std::nullopt;
 }
@@ -145,7 +145,7 @@
                   {{"machine", machine.name}, {"reason", "cancellation_could_be_missing"}});
         return not_answered();
     }
-    const std::vector<Command> commands = parts_.jobs.commands(machine, machine.current);
+    const std::vector<Command> commands = parts_.jobs.commands(machine, machine.has_current_token ? LaunchCommands::kInclude : LaunchCommands::kOmit);
     for (const auto& command : commands)
         log::debug("command_sent", {{"command", command_name(command.kind)},
                                     {"task", command.name.text()},
--- a/src/leader/machine_drain.cc
+++ b/src/leader/machine_drain.cc
@@ -7,7 +7,7 @@
     const std::vector<PlacedTask> tasks = jobs.on_machine(machine.name);  // a copy: stop() may change it
     for (const auto& placed : tasks) {
         const JobSpec& spec = placed.job->spec;
-        if (spec.service() ? reclaimed : spec.checkpoint_s > 0) jobs.stop(*placed.job, placed.task, now);
+        if (spec.service() ? reclaimed : spec.checkpoint_s > 0) jobs.stop(*placed.job, placed.task, StopMode::kSaveFirst);
     }
 }
 
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -46,7 +46,7 @@
     for (const auto& name : names) {
         if (parts_.deleted_machines.contains(name)) continue;
         Machine& machine = parts_.cluster.ensure(name, parts_.loop.now());
-        if (machine.reported) continue;
+        if (machine.heartbeat_received) continue;
         machine.machine_type = kind.machine_type;
         machine.zone = kind.zone;
         machine.spot = kind.spot;
--- a/src/leader/operator_pages.cc
+++ b/src/leader/operator_pages.cc
@@ -36,8 +36,8 @@
                             job->pending.size());
         if (job->cancelled) page += ", cancelled";
         if (job->waiting())
-            page += fmt::format(" for {:.0f} s: {}", now - job->waiting_since,
-                                wait_reason_text(job->wait_reason));
+            page += fmt::format(" for {:.0f} s: {}", now - job->wait.since,
+                                wait_reason_text(job->wait.reason));
         page += '\n';
     }
     return page;
--- a/src/leader/record_writer.h
+++ b/src/leader/record_writer.h
@@ -38,7 +38,7 @@
     Task<void> raise_record_format();
     // Jobs may have changed.
     void notify_changed() {
-        if (parts_.jobs.any_dirty()) changed_.notify();
+        if (parts_.jobs.has_unwritten()) changed_.notify();
     }
 
   private:
@@ -55,7 +55,7 @@
     bool add_live_record(Job& job, Transaction& transaction);
     void accept_commit(const Batch& batch, uint64_t revision);
     void defer_refused(const std::string& job_id);
-    void requeue(const Batch& batch);
+    void queue_write(const Batch& batch);
     Task<void> reread_conflicts(const Batch& batch, const TransactionResult& result);
     Task<void> back_off(StoreStatus status);
     void defer(Job& job, uint64_t version, DeferReason reason) const;
--- a/tests/standins/scheduling_fixture.h
+++ b/tests/standins/scheduling_fixture.h
@@ -40,7 +40,7 @@
     // The machine is deleted with all that is on it.
     void delete_machine(std::string name);
 
-    static void mark_committed(Job& job) { job.committed = job.version; }
+    static void mark_committed(Job& job) { job.persistence.committed_version = job.persistence.version; }
     static size_t count_launches(const std::vector<Command>& commands);
     static size_t count_stopping(const Job& job);
 
