--- a/src/fleet/scaling_plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -28,7 +28,7 @@
     ScalingPlan run() {
         judge();
         collect();
-        SchedulerInput m{in_.config, in_.settings, in_.now, {}};
+        SchedulerInput m{in_.config, in_.settings, in_.now, {}, kNewestRecordFormat};
         auto queue = queue_order(jobs_, m, jobs_within_guarantee(in_.config, jobs_));
         least_ = least_of(queue);
         for (size_t i = 0; i < slots_.size(); ++i) open_.push_back(i);
@@ -39,15 +39,14 @@
         std::map<MachineKind, int> wanted;
         for (const auto& s : slots_)
             if (s.fresh) ++wanted[s.kind];
-        for (const auto& [kind, n] : wanted) plan_.rent.push_back({kind, n});
+        for (const auto& [kind, n] : wanted) plan_.scale_out.push_back({kind, n});
         return std::move(plan_);
     }
 
   private:
-    void scale_in(const Machine& h, std::string why, bool silent = false) {
-        plan_.scale_in.push_back(h.name);
-        if (silent) plan_.silent.insert(h.name);
-        plan_.reasons[h.name] = std::move(why);
+    void scale_in(const Machine& h, ScaleInReason reason, bool only_if_silent) {
+        plan_.scale_in.push_back({h.name, reason, only_if_silent});
+        scaled_in_.insert(&h);
     }
 
     // Machines that are of no use. A machine is returned with tasks on it only when nothing can be saved
@@ -57,31 +56,30 @@
         for (const auto& [name, h] : cluster_.machines) {
             if (h->deleting) continue;
             const MachineType* f = cluster_.machine_type(h->machine_type);
-            bool cut = plan_.cut.contains(h->zone);
+            bool cut = plan_.partitioned_zones.contains(h->zone);
             Seconds patience = cut ? constants::kPartitionTimeoutLeases * in_.config.lease_s : silent_after();
             if (h->phase == MachinePhase::kFailed) {
-                scale_in(*h, "it failed");
+                scale_in(*h, ScaleInReason::kFailed, false);
             } else if (h->phase == MachinePhase::kRunning && h->reported && !h->holding &&
                        quiet(*h) > patience) {
-                scale_in(*h, "it is unreachable", true);
+                scale_in(*h, ScaleInReason::kUnreachable, true);
             } else if (h->phase == MachinePhase::kRunning && !h->reported &&
                        quiet(*h) > patience + (cut ? 0 : in_.config.lease_s)) {
-                scale_in(*h, "it never reported", true);
+                scale_in(*h, ScaleInReason::kNeverReported, true);
             } else if (h->phase == MachinePhase::kBooting && f &&
                        in_.now - h->created_at >
                            constants::kBootTimeoutFactor * f->boot_s + constants::kBootTimeoutExtra_s &&
                        quiet(*h) > silent_after()) {
-                scale_in(*h, "it does not come up", true);
+                scale_in(*h, ScaleInReason::kBootTimeout, true);
             } else if (h->phase == MachinePhase::kBooting && !f &&
                        quiet(*h) > patience + in_.config.lease_s) {
-                scale_in(*h, "nothing is known of it",
-                         true);  // a record names it, the cloud does not list it
+                scale_in(*h, ScaleInReason::kUnlisted, true);
             } else if (h->unreachable_since && in_.now - *h->unreachable_since > unheard_patience(cut)) {
-                scale_in(*h, "its reports arrive, but it does not hear their answers");
+                scale_in(*h, ScaleInReason::kAnswersLost, false);
             } else if (h->draining && h->idle()) {
-                scale_in(*h, "its work was moved");
+                scale_in(*h, ScaleInReason::kDrained, false);
             } else if (h->cordoned && h->idle()) {
-                scale_in(*h, h->cordon_reason);
+                scale_in(*h, ScaleInReason::kCordoned, false);
             }
         }
     }
@@ -89,8 +87,9 @@
     // Counted anew from the end of a cut: when half of a zone is heard again, the rest is still on its way,
     // and was returned at once for a silence that was the cut's.
     Seconds quiet(const Machine& h) const {
-        auto cut = in_.cut_at.find(h.zone);
-        Seconds since = cut == in_.cut_at.end() || plan_.cut.contains(h.zone) ? -1e9 : cut->second;
+        auto cut = in_.partitioned_at.find(h.zone);
+        Seconds since =
+            cut == in_.partitioned_at.end() || plan_.partitioned_zones.contains(h.zone) ? -1e9 : cut->second;
         return in_.now - std::max({h.last_heartbeat, in_.leading_since, since});
     }
 
@@ -113,7 +112,7 @@
             if (late(*h) || h->unreachable_since) ++quiet;
         }
         for (const auto& [zone, n] : zones)
-            if (n.first >= 3 && n.first * 2 > n.second) plan_.cut.insert(zone);
+            if (n.first >= 3 && n.first * 2 > n.second) plan_.partitioned_zones.insert(zone);
     }
 
     // A worker silent this long is unreachable: reports are missing, not only on a detour to another node.
@@ -126,7 +125,7 @@
     Seconds unheard_patience(bool cut) const { return (cut ? 2 : 1) * in_.config.lease_s; }
 
     bool leaving(const Machine& h) const {
-        return h.deleting || h.cordoned || h.draining || h.spot_reclaim_at || plan_.reasons.contains(h.name);
+        return h.deleting || h.cordoned || h.draining || h.spot_reclaim_at || scaled_in_.contains(&h);
     }
 
     void collect() {
@@ -137,7 +136,7 @@
             // machine takes up the epoch or the cloud lists it, it is no room to count on.
             if (h->reported && !h->current && !h->listed) continue;
             if (h->unreachable_since) continue;
-            if (plan_.cut.contains(h->zone) && late(*h)) continue;
+            if (plan_.partitioned_zones.contains(h->zone) && late(*h)) continue;
             Slot s;
             s.machine = h.get();
             s.kind = {h->machine_type, h->zone, h->spot};
@@ -153,7 +152,7 @@
             slots_.push_back(s);
             ++in_zone_[h->zone];
         }
-        for (const auto& r : in_.on_order)
+        for (const auto& r : in_.pending_scale_out)
             for (int i = 0; i < r.number; ++i) add(r.kind, false);
     }
 
@@ -181,9 +180,9 @@
     }
 
     bool refused(const MachineKind& k) const {
-        if (plan_.cut.contains(k.zone)) return true;
-        auto it = in_.refused_until.find(k);
-        return it != in_.refused_until.end() && in_.now < it->second;
+        if (plan_.partitioned_zones.contains(k.zone)) return true;
+        auto it = in_.no_capacity_until.find(k);
+        return it != in_.no_capacity_until.end() && in_.now < it->second;
     }
 
     // Kinds that the job may run on, cheapest for its tasks first.
@@ -331,7 +330,7 @@
                         std::max(s->machine->idle_since.value_or(in_.leading_since), in_.leading_since) <
                     patience)
                     continue;
-                scale_in(*s->machine, "it was idle");
+                scale_in(*s->machine, ScaleInReason::kIdle, false);
                 --spare;
             }
         }
@@ -403,10 +402,42 @@
     std::map<std::string, int> in_zone_;
     size_t ordered_ = 0;  // machines asked for and not rented yet, with those of this plan
     ScalingPlan plan_;
+    std::set<const Machine*> scaled_in_;  // of the plan
 };
 
 }  // namespace
 
+std::string_view scale_in_reason_text(ScaleInReason reason) {
+    switch (reason) {
+        case ScaleInReason::kFailed:
+            return "failed";
+        case ScaleInReason::kUnreachable:
+            return "unreachable";
+        case ScaleInReason::kNeverReported:
+            return "never_reported";
+        case ScaleInReason::kBootTimeout:
+            return "boot_timeout";
+        case ScaleInReason::kUnlisted:
+            return "unlisted";
+        case ScaleInReason::kAnswersLost:
+            return "answers_lost";
+        case ScaleInReason::kDrained:
+            return "drained";
+        case ScaleInReason::kCordoned:
+            return "cordoned";
+        case ScaleInReason::kIdle:
+            return "idle";
+        case ScaleInReason::kHoldsCancelledTask:
+            return "holds_cancelled_task";
+    }
+    return "";
+}
+
+bool ScalingPlan::scales_in(const std::string& machine) const {
+    return std::any_of(scale_in.begin(), scale_in.end(),
+                       [&](const ScaleInDecision& decision) { return decision.machine == machine; });
+}
+
 std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
                                                     const Config& config, Seconds now,
                                                     Seconds leading_since) {
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -63,7 +63,7 @@
     Task<void> rent(ScaleOutRequest rental);
     Task<void> confirmation();
     Task<void> remove(std::vector<std::string> names, std::set<std::string> silent);
-    void return_machines(const ScalingPlan& plan);
+    void return_machines(const std::vector<ScaleInDecision>& decisions);
     void return_machines_holding_cancelled();
     bool holds_cancelled(const std::string& machine) const;
     void gone(const std::vector<std::string>& names);
--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -91,18 +91,18 @@
         if (term_.fencing_token > 1 && loop_.now() - loaded_at_ < constants::kLeaderSettle_s) continue;
         jobs_.find_stragglers(cluster_, loop_.now());
         jobs_.move_replicas(cluster_, loop_.now());
-        ScalingInput in{config_,        settings_, loop_.now(), std::max(loaded_at_, listening_since_),
-                        refused_until_, on_order_, true,        kind_seen_spot_only(),
-                        cut_at_};
+        ScalingInput in{
+            config_,        settings_, loop_.now(),           std::max(loaded_at_, listening_since_),
+            refused_until_, on_order_, kind_seen_spot_only(), cut_at_};
         recount(cluster_, jobs_, loop_.now(), silent_after());  // without what is kept
         account(constants::kFleetTick_s);
         ScalingPlan plan = plan_scaling(cluster_, jobs_, in);
-        for (const auto& zone : plan.cut) {
+        for (const auto& zone : plan.partitioned_zones) {
             if (loop_.now() - cut_at_[zone] > constants::kWaitLogInterval_s)
                 log::info("zone_partitioned", {{"zone", zone}});
             cut_at_[zone] = loop_.now();
         }
-        for (auto& r : plan.rent) {
+        for (auto& r : plan.scale_out) {
             while (r.number > 0) {
                 ScaleOutRequest part{r.kind, std::min(r.number, constants::kMachinesPerRental)};
                 r.number -= part.number;
@@ -110,7 +110,7 @@
                 spawn(rent(part), "rent");
             }
         }
-        return_machines(plan);
+        return_machines(plan.scale_in);
         for (const auto& name : plan.drain) {
             Machine* h = cluster_.machine(name);
             if (!h) continue;
@@ -124,19 +124,20 @@
     }
 }
 
-void Leader::return_machines(const ScalingPlan& plan) {
+void Leader::return_machines(const std::vector<ScaleInDecision>& decisions) {
     std::vector<std::string> names;
     std::set<std::string> silent;
     auto send = [&] {
         if (!names.empty()) spawn(remove(std::exchange(names, {}), std::exchange(silent, {})), "return");
     };
-    for (const auto& name : plan.scale_in) {
-        Machine* h = cluster_.machine(name);
+    for (const auto& decision : decisions) {
+        Machine* h = cluster_.machine(decision.machine);
         if (!h || h->deleting) continue;
         h->deleting = true;
-        log::info("machine_returned", {{"machine", name}, {"reason", plan.reasons.at(name)}});
-        names.push_back(name);
-        if (plan.silent.contains(name)) silent.insert(name);
+        log::info("machine_returned",
+                  {{"machine", decision.machine}, {"reason", scale_in_reason_text(decision.reason)}});
+        names.push_back(decision.machine);
+        if (decision.only_if_silent) silent.insert(decision.machine);
         if (names.size() == constants::kMachinesPerDeletion) send();
     }
     send();
@@ -248,14 +249,11 @@
 // machine that is deleted runs nothing.
 void Leader::return_machines_holding_cancelled() {
     if (!leadership_->confirmed() && !leadership_->no_other_leader()) return;
-    ScalingPlan plan;
-    plan.scale_in = machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
-                                               std::max(loaded_at_, listening_since_));
-    for (const auto& name : plan.scale_in) {
-        plan.silent.insert(name);
-        plan.reasons[name] = "it may hang with a task of a cancelled job";
-    }
-    return_machines(plan);
+    std::vector<ScaleInDecision> decisions;
+    for (auto& name : machines_holding_cancelled(cluster_, jobs_, config_, loop_.now(),
+                                                 std::max(loaded_at_, listening_since_)))
+        decisions.push_back({std::move(name), ScaleInReason::kHoldsCancelledTask, true});
+    return_machines(decisions);
 }
 
 size_t Leader::machines_seen() const {
--- a/src/leader/workers.cc
+++ b/src/leader/workers.cc
@@ -178,7 +178,7 @@
 void Leader::step() {
     if (!loaded_ || stopped_) return;
     recount(cluster_, jobs_, loop_.now(), silent_after());
-    SchedulerInput in{config_, settings_, loop_.now(), {}, nullptr, record_format_.in_force()};
+    SchedulerInput in{config_, settings_, loop_.now(), {}, record_format_.in_force()};
     for (auto& [name, h] : cluster_.machines)
         if (h->holding) in.requesting_machines.push_back(h.get());
     for (const auto& b : schedule(cluster_, jobs_, in))
--- a/src/scheduler/queue.h
+++ b/src/scheduler/queue.h
@@ -12,12 +12,12 @@
 struct SchedulerInput {
     const Config& config;
     const Settings& settings;
-    Seconds now = 0;
+    Seconds now;
     // Machines whose reports ask for work now: the one that reports, and those whose reports are held.
     std::vector<Machine*> requesting_machines;
+    uint64_t record_format;  // of the records that are written now
     uint64_t* steps =
         nullptr;  // counts the steps taken, machines looked at above all; for tests of their growth
-    uint64_t record_format = kNewestRecordFormat;  // of the records that are written now
 };
 
 // Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
--- a/tests/lifecycle_test.cc
+++ b/tests/lifecycle_test.cc
@@ -82,7 +82,7 @@
     std::vector<Binding> pull(std::vector<Machine*> requesting_machines) {
         for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
         recount(cluster, jobs, now, 6);
-        SchedulerInput in{config, settings, now, std::move(requesting_machines)};
+        SchedulerInput in{config, settings, now, std::move(requesting_machines), kNewestRecordFormat};
         return schedule(cluster, jobs, in);
     }
     void committed(Job& j) { j.committed = j.version; }
@@ -469,21 +469,21 @@
     EXPECT_LE(j.pending.pieces(), 1u);
     EXPECT_LT(j.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
-    ScalingInput in{config, settings, now, now, {}, {}, true, false};
+    ScalingInput in{config, settings, now, now, {}, {}, false};
     auto plan = plan_scaling(cluster, jobs, in);
     int number = 0;
-    for (auto& r : plan.rent) number += r.number;
+    for (auto& r : plan.scale_out) number += r.number;
     EXPECT_EQ(number, 80) << "up to the most machines in each of two zones, and not one a task";
     // By default only the cloud's capacity bounds a zone: with 200 machines a zone as the default a fleet of
     // 700 stayed at 400, and most of a class was not served. What is asked for at once stays bounded.
     settings.max_machines = 0;
     for (int i = 0; i < 260; ++i) machine("vm-b" + std::to_string(100 + i)).free = {};
     number = 0;
-    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).scale_out) number += r.number;
     EXPECT_EQ(number, 300);
-    in.on_order = {{{"g2", "a", false}, 50}, {{"g2", "b", false}, 50}};
+    in.pending_scale_out = {{{"g2", "a", false}, 50}, {{"g2", "b", false}, 50}};
     number = 0;
-    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).scale_out) number += r.number;
     EXPECT_EQ(number, 200);
 }
 
@@ -495,7 +495,7 @@
         for (int i = 0; i < 6; ++i)
             cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? then : now;
         recount(cluster, jobs, now, 6);
-        ScalingInput in{config, settings, now, then, {}, {}, true, false};
+        ScalingInput in{config, settings, now, then, {}, {}, false};
         return plan_scaling(cluster, jobs, in).scale_in.size();
     };
     EXPECT_EQ(silent(1), 1u);
@@ -503,7 +503,7 @@
     // Not one by one either, when the others have only just fallen quiet.
     for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = now - 8;
     cluster.machine("vm-0")->last_heartbeat = then;
-    ScalingInput in{config, settings, now, then, {}, {}, true, false};
+    ScalingInput in{config, settings, now, then, {}, {}, false};
     EXPECT_TRUE(plan_scaling(cluster, jobs, in).scale_in.empty());
     // Nor is anything rented where it would not be heard, and the silent ones are no room to count on. A new
     // leader, who has heard none of them, sees the cut by what the cloud lists as up. With the zone's 260
@@ -519,26 +519,29 @@
         }
         now = then + 2 * config.lease_s;
         recount(cluster, jobs, now, 6);
-        ScalingInput cut{config, settings, now, then, {}, {}, true, false};
+        ScalingInput cut{config, settings, now, then, {}, {}, false};
         ScalingPlan plan = plan_scaling(cluster, jobs, cut);
         EXPECT_TRUE(plan.scale_in.empty()) << heard;
-        ASSERT_EQ(plan.rent.size(), 1u);
-        EXPECT_EQ(plan.rent[0].kind.zone, "b");
-        EXPECT_EQ(plan.rent[0].number, 2);
+        ASSERT_EQ(plan.scale_out.size(), 1u);
+        EXPECT_EQ(plan.scale_out[0].kind.zone, "b");
+        EXPECT_EQ(plan.scale_out[0].number, 2);
         cut.now = then + constants::kPartitionTimeoutLeases * config.lease_s + 1;
         EXPECT_EQ(plan_scaling(cluster, jobs, cut).scale_in.size(), 6u) << "some day they are given up";
         // The cut ends, and most are heard again: the others have as long as any that falls silent.
         cut.now = now + 1;
-        cut.cut_at["a"] = now;
+        cut.partitioned_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
             Machine& h = *cluster.machine("vm-" + std::to_string(i));
             h.reported = true;
             h.last_heartbeat = cut.now;
         }
-        EXPECT_TRUE(plan_scaling(cluster, jobs, cut).silent.empty());
+        EXPECT_TRUE(std::ranges::none_of(plan_scaling(cluster, jobs, cut).scale_in,
+                                         &ScaleInDecision::only_if_silent));
         cut.now += 2 * config.lease_s;
         for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = cut.now;
-        EXPECT_EQ(plan_scaling(cluster, jobs, cut).silent.size(), 2u);
+        EXPECT_EQ(std::ranges::count_if(plan_scaling(cluster, jobs, cut).scale_in,
+                                        &ScaleInDecision::only_if_silent),
+                  2u);
     }
 }
 
@@ -557,7 +560,7 @@
     auto moved = [&] {
         x.last_heartbeat = y.last_heartbeat = now;
         recount(cluster, jobs, now, 6);
-        ScalingInput in{config, settings, now, 0, {}, {}, true, false};
+        ScalingInput in{config, settings, now, 0, {}, {}, false};
         return plan_scaling(cluster, jobs, in).drain.size();
     };
     now += settings.calm_s - 1;
@@ -677,8 +680,8 @@
     other.cordoned = false;
     EXPECT_EQ(pull({&deaf, &other}).size(), 1u);
     auto returned = [&] {
-        ScalingInput in{config, settings, now, 0, {}, {}, true, false};
-        return plan_scaling(cluster, jobs, in).reasons.count("vm-1");
+        ScalingInput in{config, settings, now, 0, {}, {}, false};
+        return plan_scaling(cluster, jobs, in).scales_in("vm-1");
     };
     EXPECT_EQ(returned(), 0u);
     now += config.lease_s + 1;
@@ -724,9 +727,9 @@
     recount(cluster, jobs, now, 6);
     EXPECT_FALSE(h.schedulable);
     auto rented = [&] {
-        ScalingInput in{config, settings, now, now, {}, {}, true, false};
+        ScalingInput in{config, settings, now, now, {}, {}, false};
         int n = 0;
-        for (auto& r : plan_scaling(cluster, jobs, in).rent) n += r.number;
+        for (auto& r : plan_scaling(cluster, jobs, in).scale_out) n += r.number;
         return n;
     };
     EXPECT_EQ(rented(), 1) << "it does not stand in for a machine";
@@ -930,12 +933,12 @@
         }
         Cost c;
         recount(cluster, jobs, now, 6);
-        SchedulerInput in{config, settings, now, {}, &c.round};
+        SchedulerInput in{config, settings, now, {}, kNewestRecordFormat, &c.round};
         for (int i = 0; i < machines; i += 50)
             in.requesting_machines.push_back(fleet_machines[static_cast<size_t>(i)]);
         schedule(cluster, jobs, in);
         recount(cluster, jobs, now, 6);
-        ScalingInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
+        ScalingInput f{config, settings, now, now, {}, {}, false, {}, &c.plan};
         plan_scaling(cluster, jobs, f);
         return c;
     };
--- a/tests/service_rules_test.cc
+++ b/tests/service_rules_test.cc
@@ -65,7 +65,9 @@
         size_t all = 0;
         while (true) {
             recount(cluster, jobs, now, 8);
-            size_t n = schedule(cluster, jobs, {config, settings, now, requesting_machines}).size();
+            size_t n =
+                schedule(cluster, jobs, {config, settings, now, requesting_machines, kNewestRecordFormat})
+                    .size();
             if (n == 0) return all;
             all += n;
         }
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -124,12 +124,13 @@
     std::vector<Binding> pull(std::vector<Machine*> requesting_machines) {
         for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
         recount(cluster, jobs, now, 8);
-        return schedule(cluster, jobs, {config, settings, now, std::move(requesting_machines)});
+        return schedule(cluster, jobs,
+                        {config, settings, now, std::move(requesting_machines), kNewestRecordFormat});
     }
     ScalingPlan plan() {
         for (auto& [n, h] : cluster.machines) h->last_heartbeat = now;
         recount(cluster, jobs, now, 8);
-        return plan_scaling(cluster, jobs, {config, settings, now, 0, {}, {}, true, false});
+        return plan_scaling(cluster, jobs, {config, settings, now, 0, {}, {}, false});
     }
     static std::map<std::string, int> by(const Job& j, std::string Placement::*what) {
         std::map<std::string, int> n;
@@ -230,7 +231,7 @@
     Job& busy = add(batch("job-2", 1, PriorityClass::kStandard));
     jobs.bind(busy, 0, y, 1, now);
     Job& waits = add(batch("job-3", 1, PriorityClass::kStandard));
-    EXPECT_EQ(plan().rent.size(), 1u);
+    EXPECT_EQ(plan().scale_out.size(), 1u);
     jobs.erase(waits.spec.id);
     // And a gang that would need its machine is not in sight: what is kept for it meanwhile is lent.
     jobs.erase(busy.spec.id);
@@ -294,8 +295,8 @@
     jobs.erase("job-2");
     cluster.machines.erase("vm-2");
     ScalingPlan p = plan();
-    ASSERT_EQ(p.rent.size(), 1u);
-    EXPECT_EQ(p.rent[0].kind.zone, "b");
+    ASSERT_EQ(p.scale_out.size(), 1u);
+    EXPECT_EQ(p.scale_out[0].kind.zone, "b");
 }
 
 TEST_F(Service, IsApartInAReplacementToo) {
--- a/tests/starvation_test.cc
+++ b/tests/starvation_test.cc
@@ -100,7 +100,7 @@
     // The machine in the other zone asks for work.
     std::vector<Binding> round() {
         recount(cluster, jobs, kNow, 10);
-        return schedule(cluster, jobs, {config, settings, kNow, {other_zone}});
+        return schedule(cluster, jobs, {config, settings, kNow, {other_zone}, kNewestRecordFormat});
     }
 };
 
