--- a/src/fleet/scaling_plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -5,6 +5,8 @@
 #include <tuple>
 
 #include "base/constants.h"
+#include "scheduler/queue.h"
+#include "scheduler/zone_rule.h"
 
 namespace hareshore {
 
@@ -28,9 +30,10 @@
     ScalingPlan run() {
         judge();
         collect();
-        SchedulerInput m{in_.config, in_.settings, in_.now, {}, kNewestRecordFormat};
-        auto queue = queue_order(jobs_, m, jobs_within_guarantee(in_.config, jobs_));
-        least_ = least_of(queue);
+
+        auto queue =
+            queue_order(jobs_, in_.config, in_.settings, in_.now, jobs_within_guarantee(in_.config, jobs_));
+        least_ = smallest_request(queue);
         for (size_t i = 0; i < slots_.size(); ++i) open_.push_back(i);
         for (const auto& q : queue) cover(*q.job);
         reserve();
@@ -234,7 +237,7 @@
             // What must be apart counts on no more of a zone than it may use.
             ZoneRule rule(job);
             auto put_apart = [&](Slot& x) {
-                uint32_t k = put(x, s, std::min(n, rule.room(x.kind.zone)));
+                uint32_t k = put(x, s, std::min(n, rule.remaining(x.kind.zone)));
                 for (uint32_t i = 0; i < k; ++i) rule.add(x.kind.zone);
                 n -= k;
             };
@@ -249,7 +252,7 @@
                         n > 0 && x.machine && s.allows(x.kind.machine_type, x.kind.zone, x.kind.spot))
                         n -= put(x, s, n, &Slot::soon);
             for (const MachineKind& kind : kinds(s)) {
-                while (n > 0 && rule.room(kind.zone) > 0 && add(kind, true)) put_apart(slots_.back());
+                while (n > 0 && rule.remaining(kind.zone) > 0 && add(kind, true)) put_apart(slots_.back());
             }
             return;
         }
@@ -264,7 +267,7 @@
         uint32_t best_lack = UINT32_MAX;
         auto options = kinds(s);
         for (const auto& zone : in_.config.zones) {
-            if (rule.room(zone) == 0) continue;
+            if (rule.remaining(zone) == 0) continue;
             uint32_t have = 0;
             for (size_t i : open_)
                 if (const Slot& x = slots_[i];
--- a/src/fleet/scaling_plan.h
+++ b/src/fleet/scaling_plan.h
@@ -2,7 +2,9 @@
 #pragma once
 #include <string_view>
 
-#include "scheduler/scheduler.h"
+#include "cloud/cloud.h"
+#include "config/config.h"
+#include "jobs/table.h"
 
 namespace hareshore {
 
--- /dev/null
+++ b/src/scheduler/preemption.cc
@@ -0,0 +1,128 @@
+#include "scheduler/preemption.h"
+
+#include <algorithm>
+#include <cmath>
+#include <compare>
+#include <tuple>
+
+#include "base/log.h"
+
+namespace hareshore {
+
+namespace {
+
+// The sort key of a victim; the smallest is stopped first.
+struct VictimRank {
+    bool gang = false;
+    bool cannot_checkpoint = false;
+    PriorityClass priority = PriorityClass::kIdle;
+    bool on_time = false;
+    double loss = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
+    auto operator<=>(const VictimRank&) const = default;
+};
+
+VictimRank rank_of(const PassContext& pass, const Victim& victim) {
+    const Job& job = *victim.job;
+    Seconds now = pass.input.now;
+    return {job.spec.gang(), job.spec.checkpoint_s <= 0, job.spec.priority, !job.late(pass.input.config, now),
+            preemption_loss(victim, now)};
+}
+
+// Whether a team's own job yields its share of the team's limit to another of the team. A gang is stopped
+// whole, which may free more than is needed, so only gangs of one task yield.
+bool yields_team_limit(const Job& job, const JobSpec& beneficiary) {
+    return job.spec.priority < beneficiary.priority && !job.cancelled && !job.spec.service() &&
+           (!job.spec.gang() || job.spec.tasks == 1);
+}
+
+// What preemption can free of a team's limit.
+struct TeamPreemption {
+    std::vector<Victim> victims;
+    TeamUsage freed;  // by tasks that are being stopped already
+};
+
+TeamPreemption find_team_preemption(PassContext& pass, const JobSpec& beneficiary) {
+    TeamPreemption found;
+    for (const auto& [id, job] : pass.jobs.all()) {
+        if (job->spec.team != beneficiary.team) continue;
+        bool yields = yields_team_limit(*job, beneficiary);
+        for (const auto& [task, placement] : job->live) {
+            if (placement.stopping) {
+                found.freed.cpus += job->spec.cpus;
+                found.freed.gpus += job->spec.gpus;
+            } else if (Machine* machine = yields ? pass.cluster.machine(placement.machine) : nullptr) {
+                found.victims.push_back({job.get(), task, &placement, machine});
+            }
+        }
+    }
+    return found;
+}
+
+}  // namespace
+
+bool may_preempt(const PassContext& pass, const QueuedJob& queued, const Job& running) {
+    if (&running == queued.job || running.cancelled) return false;
+    if (running.spec.service()) return false;  // its replicas make room for nobody
+    // Stopped, its only task would be what a starved job began with, and it would take the room again.
+    if (pass.input.now - running.accepted > pass.input.settings.begin_bound_s && running.done.empty() &&
+        running.live.size() == 1)
+        return false;
+    bool running_guaranteed = pass.within_guarantee.contains(&running);
+    bool guarded = running_guaranteed && !queued.within_guarantee && !queued.production_service;
+    if (running.spec.priority < queued.job->spec.priority && !guarded) return true;
+    return queued.within_guarantee && running.spec.team != queued.job->spec.team && !running_guaranteed;
+}
+
+double preemption_loss(const Victim& victim, Seconds now) {
+    const Placement& placement = *victim.placement;
+    const JobSpec& spec = victim.job->spec;
+    Seconds lost = now - (placement.running_since.value_or(placement.bound_at));
+    // A start counts for the objectives only if the task is not stopped soon after it.
+    if (!placement.running_since || lost < constants::kStartCounts_s)
+        lost += constants::kStartCounts_s;
+    else if (spec.checkpoint_s > 0)
+        lost = std::fmod(lost, spec.checkpoint_s);
+    // A gang is stopped whole.
+    uint32_t tasks = spec.gang() ? spec.tasks : 1;
+    return tasks * spec.gpus * (lost + constants::kStartLatency_s);
+}
+
+void sort_by_loss(const PassContext& pass, std::vector<Victim>& victims) {
+    std::sort(victims.begin(), victims.end(), [&](const Victim& a, const Victim& b) {
+        auto order = rank_of(pass, a) <=> rank_of(pass, b);
+        if (std::is_neq(order)) return std::is_lt(order);
+        return std::tie(a.job->spec.id, a.task) < std::tie(b.job->spec.id, b.task);
+    });
+}
+
+void preempt(PassContext& pass, const Job& beneficiary, const std::vector<Victim>& victims) {
+    for (const Victim& victim : victims) {
+        log::debug("task_preempted",
+                   {{"job", victim.job->spec.id}, {"task", victim.task}, {"for_job", beneficiary.spec.id}});
+        ++victim.machine->changes;
+        pass.jobs.stop(*victim.job, victim.task, pass.input.now, true);
+    }
+}
+
+void preempt_for_team_limit(PassContext& pass, const QueuedJob& queued, uint32_t tasks) {
+    const JobSpec& spec = queued.job->spec;
+    if (!pass.input.config.team(spec.team)) return;
+    if (!queued.starved || !pass.start_room_search()) return;
+    TeamPreemption found = find_team_preemption(pass, spec);
+    auto enough = [&] {
+        return pass.cluster.within_limit(pass.input.config, spec, tasks,
+                                         {-found.freed.cpus, -found.freed.gpus});
+    };
+    sort_by_loss(pass, found.victims);
+    size_t needed = 0;
+    for (; !enough() && needed < found.victims.size(); ++needed) {
+        found.freed.cpus += found.victims[needed].job->spec.cpus;
+        found.freed.gpus += found.victims[needed].job->spec.gpus;
+    }
+    if (!enough()) return;
+    found.victims.resize(needed);
+    preempt(pass, *queued.job, found.victims);
+}
+
+}  // namespace hareshore
--- a/src/scheduler/queue.cc
+++ b/src/scheduler/queue.cc
@@ -1,90 +1,102 @@
 #include "scheduler/queue.h"
 
 #include <algorithm>
+#include <compare>
+#include <map>
 #include <tuple>
 
 namespace hareshore {
 
-ZoneRule::ZoneRule(const Job& job) : job_(job) {
-    if (!job.spec.single_zone && !job.spec.spread_across_zones)
-        return;  // an array may have thousands of placements
-    for (const auto& [task, p] : job.live) ++in_zone_[p.zone];
+namespace {
+
+// The sort key of a queued job; the smallest is served first.
+struct QueueRank {
+    bool not_starved = false;
+    bool not_production_service = false;
+    bool outside_guarantee = false;
+    int negated_priority = 0;
+    int missed_objectives = 0;
+    bool not_aged = false;
+    Seconds accepted = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
+    auto operator<=>(const QueueRank&) const = default;
+};
+
+QueueRank rank_of(const QueuedJob& queued) {
+    QueueRank rank;
+    rank.accepted = queued.job->accepted;
+    if (queued.starved) return rank;  // by age alone
+    rank.not_starved = true;
+    rank.not_production_service = !queued.production_service;
+    rank.outside_guarantee = !queued.within_guarantee;
+    rank.negated_priority = -static_cast<int>(queued.job->spec.priority);
+    rank.missed_objectives = queued.missed_objectives;
+    rank.not_aged = !queued.aged;
+    return rank;
+}
+
+bool has_guarantee(const Team& team) {
+    return team.cpus > 0 || team.gpus > 0;
 }
 
-uint32_t ZoneRule::room(const std::string& zone) const {
-    const JobSpec& s = job_.spec;
-    if (!s.zone.empty() && s.zone != zone) return 0;
-    auto it = in_zone_.find(zone);
-    uint32_t here = it == in_zone_.end() ? 0 : it->second;
-    if (s.single_zone)
-        for (const auto& [z, n] : in_zone_)
-            if (n > 0 && z != zone) return 0;
-    if (s.spread_across_zones) {
-        uint32_t most = (s.tasks + 1) / 2;
-        return here >= most ? 0 : most - here;
+// Adds the team's oldest jobs, as many as its guarantee holds. Sorts `jobs` by age.
+void add_jobs_within_guarantee(const Team& team, std::vector<const Job*>& jobs, std::set<const Job*>& out) {
+    std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
+        return std::tie(a->accepted, a->spec.id) < std::tie(b->accepted, b->spec.id);
+    });
+    double cpus = 0;
+    double gpus = 0;
+    for (const Job* job : jobs) {
+        uint32_t unfinished = job->spec.tasks - job->done.size();
+        cpus += unfinished * job->spec.cpus;
+        gpus += unfinished * job->spec.gpus;
+        if ((team.cpus > 0 && cpus > team.cpus) || (team.gpus > 0 && gpus > team.gpus)) break;
+        out.insert(job);
     }
-    return s.tasks;
 }
 
+}  // namespace
+
 std::set<const Job*> jobs_within_guarantee(const Config& config, const JobTable& jobs) {
+    if (std::none_of(config.teams.begin(), config.teams.end(), has_guarantee)) return {};
     std::map<std::string, std::vector<const Job*>> by_team;
-    bool guarantees = std::any_of(config.teams.begin(), config.teams.end(),
-                                  [](const Team& t) { return t.cpus > 0 || t.gpus > 0; });
-    if (!guarantees) return {};
     for (const auto& [id, job] : jobs.all())
         if (!job->cancelled && !job->finished()) by_team[job->spec.team].push_back(job.get());
     std::set<const Job*> out;
-    for (auto& [name, list] : by_team) {
-        const Team* t = config.team(name);
-        if (!t || (t->cpus <= 0 && t->gpus <= 0)) continue;
-        std::sort(list.begin(), list.end(), [](const Job* a, const Job* b) {
-            return std::tie(a->accepted, a->spec.id) < std::tie(b->accepted, b->spec.id);
-        });
-        double cpus = 0, gpus = 0;
-        for (const Job* j : list) {
-            uint32_t left = j->spec.tasks - j->done.size();
-            cpus += left * j->spec.cpus;
-            gpus += left * j->spec.gpus;
-            if ((t->cpus > 0 && cpus > t->cpus) || (t->gpus > 0 && gpus > t->gpus)) break;
-            out.insert(j);
-        }
+    for (auto& [name, team_jobs] : by_team) {
+        const Team* team = config.team(name);
+        if (team && has_guarantee(*team)) add_jobs_within_guarantee(*team, team_jobs, out);
     }
     return out;
 }
 
-std::vector<QueuedJob> queue_order(const JobTable& jobs, const SchedulerInput& in,
-                                   const std::set<const Job*>& within_guarantee) {
-    std::vector<QueuedJob> q;
+std::vector<QueuedJob> queue_order(const JobTable& jobs, const Config& config, const Settings& settings,
+                                   Seconds now, const std::set<const Job*>& within_guarantee) {
+    std::vector<QueuedJob> queue;
     for (const auto& [id, job] : jobs.all()) {
         if (!job->waiting()) continue;
-        QueuedJob e;
-        e.job = job.get();
-        e.within_guarantee = within_guarantee.contains(job.get());
-        e.first = job->spec.service() && job->spec.priority == PriorityClass::kProduction;
-        e.starved = in.now - job->accepted > in.settings.begin_bound_s && job->live.empty() &&
-                    job->done.empty() && !job->failing;
-        e.aged = in.now - job->waiting_since > in.settings.age_bound_s;
-        e.lost = job->missed_objectives(in.config, in.now);
-        q.push_back(e);
+        QueuedJob queued;
+        queued.job = job.get();
+        queued.starved = now - job->accepted > settings.begin_bound_s && job->live.empty() &&
+                         job->done.empty() && !job->failing;
+        queued.production_service = job->spec.service() && job->spec.priority == PriorityClass::kProduction;
+        queued.within_guarantee = within_guarantee.contains(job.get());
+        queued.aged = now - job->waiting_since > settings.age_bound_s;
+        queued.missed_objectives = job->missed_objectives(config, now);
+        queue.push_back(queued);
     }
-    std::sort(q.begin(), q.end(), [](const QueuedJob& a, const QueuedJob& b) {
-        auto key = [](const QueuedJob& queued) {
-            if (queued.starved) return std::tuple(false, false, false, 0, 0, false, queued.job->accepted);
-            return std::tuple(true, !queued.first, !queued.within_guarantee,
-                              -static_cast<int>(queued.job->spec.priority), queued.lost, !queued.aged,
-                              queued.job->accepted);
-        };
-        auto x = key(a), y = key(b);
-        return x != y ? x < y : a.job->spec.id < b.job->spec.id;
+    std::sort(queue.begin(), queue.end(), [](const QueuedJob& a, const QueuedJob& b) {
+        auto order = rank_of(a) <=> rank_of(b);
+        return std::is_neq(order) ? std::is_lt(order) : a.job->spec.id < b.job->spec.id;
     });
-    return q;
+    return queue;
 }
 
-Resources least_of(const std::vector<QueuedJob>& jobs) {
+Resources smallest_request(const std::vector<QueuedJob>& jobs) {
     if (jobs.empty()) return {};
-    Resources least = Resources::of(jobs.front().job->spec);
-    for (const auto& q : jobs) least = least.lesser(Resources::of(q.job->spec));
-    return least;
+    Resources smallest = Resources::of(jobs.front().job->spec);
+    for (const auto& queued : jobs) smallest = smallest.lesser(Resources::of(queued.job->spec));
+    return smallest;
 }
 
 }  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/replica_preemption.cc
@@ -0,0 +1,64 @@
+#include "scheduler/replica_preemption.h"
+
+#include <algorithm>
+#include <tuple>
+
+#include "scheduler/task_fit.h"
+#include "scheduler/zone_rule.h"
+
+namespace hareshore {
+
+namespace {
+
+// Counts the replicas that still lack a slot, and in which zones they may start.
+class MissingReplicas {
+  public:
+    MissingReplicas(const Job& job, uint32_t number) : rule_(job), number_(number) {}
+
+    [[nodiscard]] bool none() const { return number_ == 0; }
+    // Whether a slot on the machine serves one of them, which then lacks none.
+    bool take_slot(const Machine& machine) {
+        if (number_ == 0 || rule_.remaining(machine.zone) == 0) return false;
+        rule_.add(machine.zone);
+        --number_;
+        return true;
+    }
+
+  private:
+    ZoneRule rule_;
+    uint32_t number_;
+};
+
+}  // namespace
+
+void preempt_for_replicas(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
+                          const QueuedJob& service) {
+    const Job& job = *service.job;
+    uint32_t startable = quota.most_within_limit(job.spec, job.pending.size());
+    if (startable == 0 || pass.input.now - job.waiting_since < pass.input.settings.preempt_after_s) return;
+    const std::vector<MachineCapacity>& usable = capacities.find(service);
+    MissingReplicas missing(job, startable);
+    std::vector<StepReference> steps;
+    pass.count_steps(usable.size());
+    for (const MachineCapacity& capacity : usable) {
+        if (avoids(job, *capacity.machine)) continue;
+        for (uint32_t i = 0; i < capacity.free_slots; ++i)
+            if (!missing.take_slot(*capacity.machine)) break;
+        for (size_t i = 0; i < capacity.preemptions.size(); ++i) steps.push_back({&capacity, i});
+    }
+    if (missing.none()) return;
+    // A machine's steps build on each other; the first of them loses least.
+    std::sort(steps.begin(), steps.end(), [](const StepReference& a, const StepReference& b) {
+        return std::tie(a.index, a.step().loss, a.capacity->machine->name) <
+               std::tie(b.index, b.step().loss, b.capacity->machine->name);
+    });
+    std::vector<Victim> victims;
+    for (const StepReference& reference : steps) {
+        if (!missing.take_slot(*reference.capacity->machine)) continue;
+        const auto& step_victims = reference.step().victims;
+        victims.insert(victims.end(), step_victims.begin(), step_victims.end());
+    }
+    preempt(pass, job, victims);
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/reservation.cc
@@ -0,0 +1,71 @@
+#include "scheduler/reservation.h"
+
+#include <algorithm>
+
+#include "scheduler/replica_preemption.h"
+#include "scheduler/slot_selection.h"
+#include "scheduler/task_fit.h"
+#include "scheduler/zone_rule.h"
+
+namespace hareshore {
+
+namespace {
+
+// How many tasks of an array or gang room is to be made for; 0 if for none.
+uint32_t tasks_to_make_room_for(const TeamQuota& quota, const QueuedJob& queued) {
+    const Job& job = *queued.job;
+    uint32_t pending = job.pending.size();
+    if (job.spec.gang()) {
+        // A gang that has started or is ending takes no replacement.
+        if (!job.live.empty() && (job.started || job.broken)) return 0;
+        return quota.within_limit(job.spec, pending) ? pending : 0;
+    }
+    // An array preempts others only for what its team is guaranteed, and for no more than its team's limit
+    // lets it use: what is stopped beyond that is stopped for nothing.
+    return queued.within_guarantee ? quota.most_within_limit(job.spec, pending) : 0;
+}
+
+SlotSelection select_best_slots(const PassContext& pass, const Job& job, uint32_t tasks,
+                                const std::vector<MachineCapacity>& capacities) {
+    SlotSelection best;
+    for (const auto& zone : zones_to_try(job.spec, pass.input.config)) {
+        if (!zone.empty() && ZoneRule(job).remaining(zone) == 0) continue;
+        SlotSelection selection = select_slots(pass, zone, job, tasks, capacities);
+        if (best.machines.empty() || selection.better_than(best)) best = std::move(selection);
+    }
+    return best;
+}
+
+}  // namespace
+
+void reserve(const Job& job, const std::vector<Machine*>& machines, Seconds until) {
+    for (Machine* machine : machines) {
+        machine->reserved += Resources::of(job.spec);
+        machine->reserved_until = std::max(machine->reserved_until, until);
+        ++machine->changes;
+    }
+}
+
+std::optional<Seconds> make_room(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
+                                 const QueuedJob& queued) {
+    Job& job = *queued.job;
+    Seconds now = pass.input.now;
+    if (job.pending.empty() || !may_start(job, now) || !pass.start_room_search()) return std::nullopt;
+    if (job.spec.service()) {
+        preempt_for_replicas(pass, quota, capacities, queued);
+        return std::nullopt;
+    }
+    uint32_t tasks = tasks_to_make_room_for(quota, queued);
+    if (tasks == 0) return std::nullopt;
+    SlotSelection best = select_best_slots(pass, job, tasks, capacities.find(queued));
+    // A gang that cannot be completed so stops nobody; it waits for what comes free by itself.
+    bool worth_stopping = best.complete || !job.spec.gang();
+    if (worth_stopping && now - job.waiting_since >= pass.input.settings.preempt_after_s)
+        preempt(pass, job, best.victims);
+    if (!job.spec.gang()) return std::nullopt;
+    Seconds room_at = best.complete ? now : best.available_at;
+    reserve(job, best.machines, room_at);
+    return room_at;
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/slot_selection.cc
@@ -0,0 +1,115 @@
+#include "scheduler/slot_selection.h"
+
+#include <algorithm>
+#include <map>
+
+#include "base/constants.h"
+#include "scheduler/task_fit.h"
+
+namespace hareshore {
+
+namespace {
+
+// The sort key of a preemption step among those of all machines; the smallest is taken first.
+struct StepRank {
+    bool lacks_image;
+    double loss;
+    const MachineCapacity* capacity;
+    size_t index;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
+    auto operator<=>(const StepRank&) const = default;
+};
+
+StepRank rank_of(const StepReference& reference, const Job& job) {
+    return {!reference.capacity->machine->cache.has(job.spec.image), reference.step().loss,
+            reference.capacity, reference.index};
+}
+
+// A slot that comes free by itself.
+struct ExpectedSlot {
+    Seconds at;
+    Machine* machine;
+};
+
+// What the machines of a zone can give.
+struct Candidates {
+    std::vector<Machine*> free;  // one entry a slot, no more than are needed
+    std::vector<StepReference> steps;
+    std::vector<ExpectedSlot> expected;
+};
+
+Candidates collect_candidates(const std::string& zone, const Job& job, uint32_t tasks,
+                              const std::vector<MachineCapacity>& capacities) {
+    Candidates candidates;
+    uint32_t missing = tasks;
+    for (const MachineCapacity& capacity : capacities) {
+        Machine* machine = capacity.machine;
+        if ((!zone.empty() && machine->zone != zone) || avoids(job, *machine)) continue;
+        uint32_t taken = std::min(missing, capacity.free_slots);
+        missing -= taken;
+        for (uint32_t i = 0; i < taken; ++i) candidates.free.push_back(machine);
+        for (size_t i = 0; i < capacity.preemptions.size(); ++i) candidates.steps.push_back({&capacity, i});
+        for (Seconds at : capacity.expected_slots) candidates.expected.push_back({at, machine});
+    }
+    return candidates;
+}
+
+// Adds up to `missing` slots by preemption; returns how many are still missing.
+uint32_t take_preemptions(const Job& job, std::vector<StepReference>& steps, uint32_t missing,
+                          SlotSelection& selection) {
+    // Steps of one machine are taken in order, so that at most as many are passed over as are taken.
+    auto end = steps.begin() + static_cast<long>(std::min<size_t>(steps.size(), size_t{2} * missing));
+    std::partial_sort(steps.begin(), end, steps.end(), [&](const StepReference& a, const StepReference& b) {
+        return rank_of(a, job) < rank_of(b, job);
+    });
+    steps.erase(end, steps.end());
+    std::map<const MachineCapacity*, size_t> steps_taken;
+    for (const StepReference& step : steps) {
+        for (size_t i = steps_taken[step.capacity]; i <= step.index && missing > 0; ++i) {
+            const auto& victims = step.capacity->preemptions[i].victims;
+            selection.victims.insert(selection.victims.end(), victims.begin(), victims.end());
+            selection.machines.push_back(step.capacity->machine);
+            steps_taken[step.capacity] = i + 1;
+            --missing;
+        }
+    }
+    return missing;
+}
+
+// Adds up to `missing` slots that come free by themselves, soonest first, and sets when they are available.
+void take_expected(std::vector<ExpectedSlot>& expected, uint32_t missing, Seconds now,
+                   SlotSelection& selection) {
+    auto end = expected.begin() + static_cast<long>(std::min<size_t>(expected.size(), missing));
+    std::partial_sort(expected.begin(), end, expected.end(),
+                      [](const ExpectedSlot& a, const ExpectedSlot& b) {
+                          return a.at != b.at ? a.at < b.at : a.machine->name < b.machine->name;
+                      });
+    selection.available_at = now;
+    for (const ExpectedSlot& slot : expected) {
+        if (missing == 0) break;
+        selection.machines.push_back(slot.machine);
+        selection.available_at = slot.at;
+        --missing;
+    }
+    if (missing > 0) selection.available_at = now + constants::kNoExpectedEnd_s;
+}
+
+}  // namespace
+
+SlotSelection select_slots(const PassContext& pass, const std::string& zone, const Job& job, uint32_t tasks,
+                           const std::vector<MachineCapacity>& capacities) {
+    pass.count_steps(capacities.size());
+    Candidates candidates = collect_candidates(zone, job, tasks, capacities);
+    SlotSelection selection;
+    selection.machines = std::move(candidates.free);
+    size_t free_slots = selection.machines.size();
+    auto missing = tasks - static_cast<uint32_t>(free_slots);
+    selection.complete = take_preemptions(job, candidates.steps, missing, selection) == 0;
+    if (selection.complete) return selection;
+    // Even with victims there is not room for all: the slots that come free first are reserved instead.
+    selection.machines.resize(free_slots);
+    take_expected(candidates.expected, missing, pass.input.now, selection);
+    return selection;
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/task_fit.h
@@ -0,0 +1,47 @@
+// Whether a task of a job may start now, and whether it fits on a machine. Asked of each job and machine of a
+// pass: what most machines fail is inline.
+#pragma once
+#include "scheduler/pass_context.h"
+
+namespace hareshore {
+
+// Whether the job may start tasks at all now; sets its wait reason if not.
+[[nodiscard]] inline bool may_start(Job& job, Seconds now) {
+    if (now < job.not_before) {
+        job.wait_reason = WaitReason::kBackoff;
+        return false;
+    }
+    if (job.has_unplaced_task) {
+        job.wait_reason = WaitReason::kOldAttempt;
+        return false;
+    }
+    return true;
+}
+
+// Whether the job keeps away from a machine that its tasks failed on. A failing job does not: the fault is
+// its own.
+[[nodiscard]] inline bool avoids(const Job& job, const Machine& machine) {
+    return !job.failing && job.failed_on.contains(machine.name);
+}
+
+// What the job may use of a machine with reservations: also what is reserved, as backfill, if its tasks are
+// expected to end before the reservation begins.
+Resources resources_beside_reservations(const PassContext& pass, const Job& job, const Machine& machine);
+
+// What the job may use of a machine's free resources.
+[[nodiscard]] inline Resources available_resources(const PassContext& pass, const Job& job,
+                                                   const Machine& machine) {
+    const Resources& reserved = machine.reserved;
+    if (reserved.cpus <= 0 && reserved.gpus <= 0 && reserved.memory_gb <= 0) return machine.free;
+    return resources_beside_reservations(pass, job, machine);
+}
+
+// Whether a task of the job can run on the machine now, its zone constraints apart. The cheapest checks come
+// first: most machines of a busy fleet are full.
+[[nodiscard]] inline bool fits(const PassContext& pass, const Job& job, const Machine& machine) {
+    return machine.schedulable && machine.free.holds(job.spec) &&
+           available_resources(pass, job, machine).holds(job.spec) &&
+           job.spec.allows(machine.machine_type, machine.zone, machine.spot) && !avoids(job, machine);
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/task_matching.cc
@@ -0,0 +1,131 @@
+#include "scheduler/task_matching.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "scheduler/task_fit.h"
+#include "scheduler/zone_rule.h"
+
+namespace hareshore {
+
+namespace {
+
+// Whether tasks of the queued job are placed one by one and one of them may start now.
+bool has_startable_task(const QueuedJob& queued, Seconds now) {
+    Job& job = *queued.job;
+    if (job.pending.empty() || (job.spec.gang() && job.spec.tasks > 1) || !may_start(job, now)) return false;
+    // A starved array is let begin; the rest of it takes its usual place.
+    return !queued.starved || job.live.empty();
+}
+
+// How much of what the job has would be lost with the machine: its replicas there, and one that is too many
+// on spot machines, which are reclaimed in waves.
+size_t replica_crowding(const Job& job, const Machine& machine, size_t spot_replicas) {
+    auto here = std::count_if(job.live.begin(), job.live.end(),
+                              [&](const auto& live) { return live.second.machine == machine.name; });
+    bool too_many_spot = machine.spot && 2 * (spot_replicas + 1) > job.spec.tasks;
+    return static_cast<size_t>(here) + (too_many_spot ? 1 : 0);
+}
+
+size_t count_spot_replicas(Cluster& cluster, const Job& job) {
+    size_t spot_replicas = 0;
+    for (const auto& [task, placement] : job.live)
+        if (const Machine* machine = cluster.machine(placement.machine); machine && machine->spot)
+            ++spot_replicas;
+    return spot_replicas;
+}
+
+}  // namespace
+
+void TaskMatcher::pull(const std::vector<QueuedJob>& jobs, Machine& machine) {
+    while (Job* job = pick(jobs, machine)) {
+        if (job->spec.gang()) job->attempt = job->next_attempt;
+        pass_.bind(*job, *job->pending.first(), machine, job->next_attempt++);
+    }
+}
+
+Job* TaskMatcher::pick(const std::vector<QueuedJob>& jobs, Machine& machine) {
+    Job* best = nullptr;
+    double best_cached_gb = -1;
+    const QueuedJob* first = nullptr;  // the first in the queue that fits
+    for (const auto& queued : jobs) {
+        Job& job = *queued.job;
+        if (first &&
+            (first->aged || job.accepted - first->job->accepted > pass_.input.settings.similar_age_s))
+            break;
+        if (!has_startable_task(queued, pass_.input.now)) continue;
+        if (auto reason = reason_to_wait(job, machine)) {
+            // That one machine lacks room does not hide that it waits for others.
+            if (*reason != WaitReason::kNoRoom || job.wait_reason != WaitReason::kHeldForImage)
+                job.wait_reason = *reason;
+            continue;
+        }
+        double cached_gb = machine.cache.has(job.spec.image) ? job.spec.image_gb : 0;
+        if (!first) first = &queued;
+        if (cached_gb > best_cached_gb) {
+            best = &job;
+            best_cached_gb = cached_gb;
+        }
+    }
+    return best;
+}
+
+std::optional<WaitReason> TaskMatcher::reason_to_wait(const Job& job, const Machine& machine) {
+    if (!quota_.within_limit(job.spec, 1)) return WaitReason::kTeamLimit;
+    if (!fits(pass_, job, machine) || ZoneRule(job).remaining(machine.zone) == 0) return WaitReason::kNoRoom;
+    const Machine* one[] = {&machine};
+    if (!job.room_in_record(pass_.input.config, pass_.input.record_format, one))
+        return WaitReason::kRecordFull;
+    if (!machine.cache.has(job.spec.image) &&
+        (pass_.input.now < job.image_preemption_until || should_wait_for_image(job, machine)))
+        return WaitReason::kHeldForImage;
+    if (job.spec.service() && should_wait_for_spread(job, machine)) return WaitReason::kHeldForSpread;
+    return std::nullopt;
+}
+
+// A replica's time counts from the first second: it waits only while a machine with the image is likely to
+// request work before the image would be fetched, and no longer than that takes.
+bool TaskMatcher::should_wait_for_image(const Job& job, const Machine& requesting) {
+    Seconds waited = pass_.input.now - job.waiting_since;
+    if (waited >= pass_.input.settings.hold_s) return false;
+    if (!job.spec.service()) return count_image_holders(job, requesting, 1) > 0;
+    const MachineType* type = pass_.cluster.machine_type(requesting.machine_type);
+    Seconds fetch_s = type && type->fetch_gb_per_s > 0 ? job.spec.image_gb / type->fetch_gb_per_s : 0;
+    if (waited >= constants::kImageHoldShare * fetch_s) return false;
+    auto holders = static_cast<double>(count_image_holders(job, requesting, UINT32_MAX));
+    return holders * fetch_s > pass_.input.config.heartbeat_interval_s;
+}
+
+uint32_t TaskMatcher::count_image_holders(const Job& job, const Machine& requesting, uint32_t most) {
+    auto [it, inserted] = image_holders_.try_emplace(job.spec.image);
+    std::vector<Machine*>& holders = it->second;
+    if (inserted) {
+        pass_.count_steps(pass_.schedulable.size());
+        for (Machine* machine : pass_.schedulable)
+            if (machine->cache.has(job.spec.image)) holders.push_back(machine);
+    }
+    uint32_t count = 0;
+    for (const Machine* machine : holders)
+        if (count < most && machine != &requesting && fits(pass_, job, *machine) &&
+            ZoneRule(job).remaining(machine->zone) > 0)
+            ++count;
+    return count;
+}
+
+// The longer a replica waits the more crowding it accepts: a machine that requests work is better than one
+// that may.
+bool TaskMatcher::should_wait_for_spread(const Job& job, const Machine& requesting) {
+    size_t spot_replicas = count_spot_replicas(pass_.cluster, job);
+    Seconds waited = pass_.input.now - job.waiting_since;
+    auto accepted = static_cast<size_t>(waited / constants::kSpreadWait_s);
+    size_t crowding = replica_crowding(job, requesting, spot_replicas);
+    if (crowding <= accepted) return false;
+    ZoneRule rule(job);
+    pass_.count_steps(pass_.schedulable.size());
+    return std::any_of(pass_.schedulable.begin(), pass_.schedulable.end(), [&](const Machine* machine) {
+        return machine != &requesting && fits(pass_, job, *machine) && rule.remaining(machine->zone) > 0 &&
+               replica_crowding(job, *machine, spot_replicas) < crowding;
+    });
+}
+
+}  // namespace hareshore
--- /dev/null
+++ b/src/scheduler/team_quota.cc
@@ -0,0 +1,44 @@
+#include "scheduler/team_quota.h"
+
+namespace hareshore {
+
+TeamUsage TeamQuota::reserved_before(const JobSpec& spec) const {
+    TeamUsage reserved;
+    auto it = reservations_.find(spec.team);
+    if (it == reservations_.end()) return reserved;
+    for (const Reservation& reservation : it->second) {
+        if (!reservation.starved && reservation.priority <= spec.priority) continue;
+        bool backfills = !spec.service() && pass_.input.now + spec.estimate_s < reservation.backfill_until;
+        if (backfills) continue;
+        reserved.cpus += reservation.usage.cpus;
+        reserved.gpus += reservation.usage.gpus;
+    }
+    return reserved;
+}
+
+// By halving, not counting down: an array may have 100,000 tasks.
+uint32_t TeamQuota::most_within_limit(const JobSpec& spec, uint32_t tasks) const {
+    if (within_limit(spec, tasks)) return tasks;
+    uint32_t allowed = 0;
+    uint32_t refused = tasks;
+    while (refused - allowed > 1) {
+        uint32_t middle = allowed + (refused - allowed) / 2;
+        (within_limit(spec, middle) ? allowed : refused) = middle;
+    }
+    return allowed;
+}
+
+void TeamQuota::reserve(const QueuedJob& gang, std::optional<Seconds> room_at) {
+    const Job& job = *gang.job;
+    if (job.pending.empty()) return;
+    bool lacks_machines = job.wait_reason == WaitReason::kGangRoom && (gang.starved || room_at);
+    if (job.wait_reason != WaitReason::kTeamLimit && !lacks_machines) return;
+    Seconds now = pass_.input.now;
+    double tasks = job.pending.size();
+    reservations_[job.spec.team].push_back({job.spec.priority,
+                                            gang.starved,
+                                            {tasks * job.spec.cpus, tasks * job.spec.gpus},
+                                            gang.starved ? now : room_at.value_or(now)});
+}
+
+}  // namespace hareshore
