--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -11,9 +11,8 @@
 
 namespace {
 
-constexpr size_t kConnections = 4;  // The leader's calls are few, and answered within some 250 ms.
-constexpr Seconds kRateWaitMargin_s =
-    0.001;  // beyond the wait for a token, so that rounding cannot repeat it
+constexpr size_t kConnections = 4;            // The leader's calls are few, and answered within some 250 ms.
+constexpr Seconds kRateWaitMargin_s = 0.001;  // past the time of the next token, against rounding
 constexpr int kHttpTooManyRequests = 429;
 
 }  // namespace
@@ -52,7 +51,7 @@
         std::string previous = last;
         if (!page->machines.empty()) last = page->machines.back().name;
         std::move(page->machines.begin(), page->machines.end(), std::back_inserter(machines));
-        // A page that leads no further would be asked for for ever.
+        // A page without progress would be requested forever.
         if (!page->more || last == previous) break;
     }
     co_return machines;
--- a/src/cloud/cloud_wire.cc
+++ b/src/cloud/cloud_wire.cc
@@ -20,7 +20,7 @@
 
 constexpr Seconds kDefaultBoot_s = 60;  // for a type without a boot time
 
-// Nothing came of the request, and nothing will.
+// Whether the request was certainly not executed, and will not be.
 bool not_executed(const CallResult& answer) {
     return answer.status == kHttpTooManyRequests || answer.status == kHttpUnavailable ||
            (answer.status == kNoAnswer && !answer.maybe_executed);
--- a/src/cloud/cloud_wire.h
+++ b/src/cloud/cloud_wire.h
@@ -12,8 +12,8 @@
 
 namespace hareshore {
 
-// The key under which the leader stores the machine types, for controllers that start while the cloud is
-// away.
+// The key under which the leader stores the machine types, for controllers that start while the
+// cloud is unavailable.
 extern const std::string kMachineTypesKey;
 
 // One page of the list of machines.
--- a/src/state/store_wire.cc
+++ b/src/state/store_wire.cc
@@ -56,8 +56,8 @@
     return decoded;
 }
 
-// The changes asked for have been compacted, or the answer exceeds the size limit. One too large would come
-// again and again, whereas a listing comes in pages.
+// Whether the changes asked for have been compacted, or the answer exceeds the size limit. Repeating the
+// watch would bring the same large answer again, whereas a listing comes in pages.
 bool must_list_anew(const CallResult& answer) {
     return answer.status == kHttpGone || answer.response_too_large;
 }
--- a/src/state/store_wire.h
+++ b/src/state/store_wire.h
@@ -4,7 +4,6 @@
 // that should carry a body but whose body is malformed decodes to kUnknown (a watch: kFailed).
 #pragma once
 #include <string>
-#include <string_view>
 
 #include "base/clock.h"
 #include "http/client.h"
@@ -35,7 +34,7 @@
 [[nodiscard]] LeaseResult decode_lease(const CallResult& answer);
 [[nodiscard]] WatchResult decode_watch(const CallResult& answer);
 
-// The store executed the request, whatever its result: it is available to us.
+// Whether the store executed the request, with whatever result, so that it is available to this client.
 [[nodiscard]] bool shows_store_available(const CallResult& answer);
 // The same for a watch, whose answers have other statuses.
 [[nodiscard]] bool watch_shows_store_available(const CallResult& answer);
--- /dev/null
+++ b/tests/workers/worker_client_test.cc
@@ -0,0 +1,82 @@
+// Direct commands against a stand-in for a worker.
+#include "workers/worker_client.h"
+
+#include <gtest/gtest.h>
+
+#include "http/server.h"
+#include "standins/addresses.h"
+#include "standins/await.h"
+#include "standins/unwind.h"
+#include "standins/worker.h"
+
+namespace hareshore {
+namespace {
+
+struct WorkerClientTest : testing::Test {
+    ~WorkerClientTest() override {
+        server.stop();
+        test::unwind(loop);
+    }
+
+    Task<Response> handle(Request request) {
+        paths.push_back(request.path);
+        if (status == 200) worker.carry_out(request.body);
+        co_return Response{status, malformed ? "none" : worker.report()};
+    }
+    std::optional<WorkerHeartbeat> send(std::vector<Command> commands) {
+        return test::await(loop, send_commands(loop, at, 41, 1, std::move(commands)));
+    }
+
+    FakeClock clock;
+    Loop loop{clock};
+    Address at = test::address(5, 7200);
+    test::FakeWorker worker;
+    int status = 200;
+    bool malformed = false;
+    std::vector<std::string> paths;
+    HttpServer server{loop, at, 4, [this](Request request) { return handle(std::move(request)); }};
+};
+
+TEST_F(WorkerClientTest, TheAnswerShowsWhatTheCommandsHaveDone) {
+    auto launched = send({{CommandKind::kLaunch, {"job-1", 0}, 2, 0}});
+    ASSERT_TRUE(launched);
+    EXPECT_EQ(paths, std::vector<std::string>{"/orders"});
+    ASSERT_EQ(launched->tasks.size(), 1u);
+    EXPECT_EQ(launched->tasks[0].name.text(), "job-1/0");
+    EXPECT_EQ(launched->tasks[0].attempt, 2u);
+    EXPECT_EQ(launched->tasks[0].phase, TaskPhase::kRunning);
+    EXPECT_EQ(launched->fencing_token, 41u);
+
+    auto stopped = send({{CommandKind::kStop, {"job-1", 0}, 2, 10}});
+    ASSERT_TRUE(stopped);
+    EXPECT_EQ(stopped->tasks.at(0).phase, TaskPhase::kExited);
+    EXPECT_EQ(stopped->tasks.at(0).cause, ExitCause::kStopped);
+
+    auto forgotten = send({{CommandKind::kForget, {"job-1", 0}, 2, 0}});
+    ASSERT_TRUE(forgotten);
+    EXPECT_TRUE(forgotten->tasks.empty());
+}
+
+TEST_F(WorkerClientTest, ARefusalCarriesAHeartbeatToo) {
+    status = 409;
+    auto refused = send({{CommandKind::kLaunch, {"job-1", 0}, 2, 0}});
+    ASSERT_TRUE(refused);
+    EXPECT_TRUE(refused->tasks.empty());
+    EXPECT_EQ(refused->incarnation, worker.incarnation);
+}
+
+TEST_F(WorkerClientTest, OtherAnswersCarryNone) {
+    for (int other : {400, 500, 503}) {
+        status = other;
+        EXPECT_FALSE(send({})) << other;
+    }
+    status = 200;
+    malformed = true;
+    worker.fencing_token = 42;  // The commands are of an earlier one.
+    EXPECT_FALSE(send({}));
+    EXPECT_FALSE(test::await(loop, send_commands(loop, test::address(5, 7201), 41, 1, {})))
+        << "there is no such worker";
+}
+
+}  // namespace
+}  // namespace hareshore
