--- a/tests/cloud/cloud_client_test.cc
+++ b/tests/cloud/cloud_client_test.cc
@@ -35,7 +35,7 @@
 // A cloud that answers every request with the same.
 struct ConstantCloud {
     ConstantCloud(Loop& loop, Address at, Response answer)
-        : response(std::move(answer)), server(loop, at, 4, [this](Request) { return handle(); }) {}
+        : response(std::move(answer)), server(loop, at, 4, [this](const Request&) { return handle(); }) {}
     Task<Response> handle() {
         ++requests;
         co_return response;
@@ -50,7 +50,7 @@
     cloud.machine_types = {test::small_machine_type()};
     auto types = test::await(loop, client.machine_types());
     ASSERT_TRUE(types);
-    ASSERT_EQ(types->size(), 1u);
+    ASSERT_EQ(types->size(), 1U);
     EXPECT_EQ(types->front().name, "g2");
     cloud.down = true;
     EXPECT_FALSE(test::await(loop, client.machine_types()));
--- a/tests/cloud/cloud_wire_test.cc
+++ b/tests/cloud/cloud_wire_test.cc
@@ -49,7 +49,7 @@
                                         {"c1", 4, 0, 16, 20, 0.5, 0.2, 0.1, 30, {"a"}}};
     auto read = decode_machine_types(encode_machine_types(written));
     ASSERT_TRUE(read);
-    ASSERT_EQ(read->size(), 2u);
+    ASSERT_EQ(read->size(), 2U);
     const MachineType& type = read->front();
     EXPECT_EQ(type.name, "g8");
     EXPECT_EQ(type.cpus, 96);
@@ -112,7 +112,7 @@
     auto page = decode_machine_page(answer_of(200, machine_page({row.take(), machine_row("vm-2")}, true)));
     ASSERT_TRUE(page);
     EXPECT_TRUE(page->more);
-    ASSERT_EQ(page->machines.size(), 2u);
+    ASSERT_EQ(page->machines.size(), 2U);
     const ListedMachine& machine = page->machines[0];
     EXPECT_EQ(machine.name, "vm-1");
     EXPECT_EQ(machine.addr, "10.1.0.1:9000");
--- a/tests/state/store_client_test.cc
+++ b/tests/state/store_client_test.cc
@@ -67,10 +67,10 @@
     store.list_page_size = 2;  // The stand-in has pages of this size, whatever size is asked for.
     ListResult first = test::await(loop, client.list("j/", "", 2, kTimeout_s));
     ASSERT_EQ(first.status, StoreStatus::kOk);
-    ASSERT_EQ(first.entries.size(), 2u);
+    ASSERT_EQ(first.entries.size(), 2U);
     EXPECT_TRUE(first.more);
     ListResult second = test::await(loop, client.list("j/", first.entries.back().key, 2, kTimeout_s));
-    ASSERT_EQ(second.entries.size(), 1u);
+    ASSERT_EQ(second.entries.size(), 1U);
     EXPECT_EQ(second.entries[0].key, "j/3");
     EXPECT_FALSE(second.more);
     EXPECT_EQ(second.revision, store.revision);
@@ -95,7 +95,7 @@
     put("k/1", "z");
     WatchResult changes = test::await(loop, client.watch("j/", revision, 1));
     ASSERT_EQ(changes.status, WatchStatus::kOk);
-    ASSERT_EQ(changes.changes.size(), 1u);
+    ASSERT_EQ(changes.changes.size(), 1U);
     EXPECT_EQ(changes.changes[0].key, "j/2");
     EXPECT_EQ(changes.revision, store.revision);
 
--- a/tests/state/store_wire_test.cc
+++ b/tests/state/store_wire_test.cc
@@ -107,7 +107,7 @@
     GetResult result = decode_get(answer_of(200, body.take()), "a");
     ASSERT_EQ(result.status, StoreStatus::kOk);
     EXPECT_EQ(result.entry.key, "a");
-    EXPECT_EQ(result.entry.mod_revision, 412u);
+    EXPECT_EQ(result.entry.mod_revision, 412U);
     EXPECT_EQ(result.entry.lease, std::optional<LeaseId>(7));
     EXPECT_EQ(result.entry.data, value_of("x"));
 }
@@ -141,10 +141,10 @@
     ListResult result = decode_list(answer_of(200, body.take()));
     ASSERT_EQ(result.status, StoreStatus::kOk);
     EXPECT_TRUE(result.more);
-    EXPECT_EQ(result.revision, 431u);
-    ASSERT_EQ(result.entries.size(), 2u);
+    EXPECT_EQ(result.revision, 431U);
+    ASSERT_EQ(result.entries.size(), 2U);
     EXPECT_EQ(result.entries[1].key, "j/2");
-    EXPECT_EQ(result.entries[1].mod_revision, 5u);
+    EXPECT_EQ(result.entries[1].mod_revision, 5U);
     EXPECT_EQ(result.entries[1].data, value_of("y"));
     EXPECT_EQ(result.entries[1].lease, std::nullopt);
 }
@@ -164,7 +164,7 @@
 TEST(StoreWire, ATransactionsRevisionOrItsFailedKeys) {
     TransactionResult committed = decode_transaction(answer_of(200, body_with_revision(432)));
     EXPECT_EQ(committed.status, StoreStatus::kOk);
-    EXPECT_EQ(committed.revision, 432u);
+    EXPECT_EQ(committed.revision, 432U);
     EXPECT_TRUE(committed.failed_keys.empty());
 
     MsgpackWriter body;
@@ -188,7 +188,7 @@
     body.map(1).key("mooring").count(7);
     LeaseResult granted = decode_lease(answer_of(200, body.take()));
     EXPECT_EQ(granted.status, StoreStatus::kOk);
-    EXPECT_EQ(granted.lease, 7u);
+    EXPECT_EQ(granted.lease, 7U);
     for (const auto& malformed : malformed_bodies())
         EXPECT_EQ(decode_lease(answer_of(200, malformed)).status, StoreStatus::kUnknown);
     EXPECT_EQ(decode_lease(answer_of(503)).status, StoreStatus::kNotExecuted);
@@ -201,15 +201,15 @@
     body.map(2).key("drop").text("j/8").key("stamp").count(432);
     WatchResult result = decode_watch(answer_of(200, body.take()));
     ASSERT_EQ(result.status, WatchStatus::kOk);
-    EXPECT_EQ(result.revision, 433u);
-    ASSERT_EQ(result.changes.size(), 2u);
+    EXPECT_EQ(result.revision, 433U);
+    ASSERT_EQ(result.changes.size(), 2U);
     EXPECT_EQ(result.changes[0].key, "j/9");
     EXPECT_FALSE(result.changes[0].deleted);
-    EXPECT_EQ(result.changes[0].mod_revision, 433u);
+    EXPECT_EQ(result.changes[0].mod_revision, 433U);
     EXPECT_EQ(result.changes[0].data, value_of("x"));
     EXPECT_EQ(result.changes[1].key, "j/8");
     EXPECT_TRUE(result.changes[1].deleted);
-    EXPECT_EQ(result.changes[1].mod_revision, 432u);
+    EXPECT_EQ(result.changes[1].mod_revision, 432U);
     EXPECT_EQ(result.changes[1].data, "");
 }
 
--- a/tests/workers/worker_client_test.cc
+++ b/tests/workers/worker_client_test.cc
@@ -41,11 +41,11 @@
     auto launched = send({{CommandKind::kLaunch, {"job-1", 0}, 2, 0}});
     ASSERT_TRUE(launched);
     EXPECT_EQ(paths, std::vector<std::string>{"/orders"});
-    ASSERT_EQ(launched->tasks.size(), 1u);
+    ASSERT_EQ(launched->tasks.size(), 1U);
     EXPECT_EQ(launched->tasks[0].name.text(), "job-1/0");
-    EXPECT_EQ(launched->tasks[0].attempt, 2u);
+    EXPECT_EQ(launched->tasks[0].attempt, 2U);
     EXPECT_EQ(launched->tasks[0].phase, TaskPhase::kRunning);
-    EXPECT_EQ(launched->fencing_token, 41u);
+    EXPECT_EQ(launched->fencing_token, 41U);
 
     auto stopped = send({{CommandKind::kStop, {"job-1", 0}, 2, 10}});
     ASSERT_TRUE(stopped);
--- a/tests/workers/worker_wire_test.cc
+++ b/tests/workers/worker_wire_test.cc
@@ -67,9 +67,9 @@
     auto heartbeat = decode_heartbeat(pack_fields(fields));
     ASSERT_TRUE(heartbeat);
     EXPECT_EQ(heartbeat->machine, "vm-000231");
-    EXPECT_EQ(heartbeat->incarnation, 2u);
-    EXPECT_EQ(heartbeat->sequence, 88u);
-    EXPECT_EQ(heartbeat->fencing_token, 41u);
+    EXPECT_EQ(heartbeat->incarnation, 2U);
+    EXPECT_EQ(heartbeat->sequence, 88U);
+    EXPECT_EQ(heartbeat->fencing_token, 41U);
     EXPECT_EQ(heartbeat->addr, "10.1.0.232:9000");
     EXPECT_EQ(heartbeat->machine_type, "g8");
     EXPECT_EQ(heartbeat->zone, "a");
@@ -100,9 +100,9 @@
     for (const auto& [text, phase] : phases) {
         auto heartbeat = decode_heartbeat(heartbeat_with(task_fields(text)));
         ASSERT_TRUE(heartbeat) << text;
-        ASSERT_EQ(heartbeat->tasks.size(), 1u);
+        ASSERT_EQ(heartbeat->tasks.size(), 1U);
         EXPECT_EQ(heartbeat->tasks[0].name.text(), "job-000412/3");
-        EXPECT_EQ(heartbeat->tasks[0].attempt, 2u);
+        EXPECT_EQ(heartbeat->tasks[0].attempt, 2U);
         EXPECT_EQ(heartbeat->tasks[0].phase, phase) << text;
         EXPECT_FALSE(heartbeat->tasks[0].checkpoint_saved);
     }
