--- a/src/leader/machines.cc
+++ b/src/leader/machines.cc
@@ -3,6 +3,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "cloud/cloud_wire.h"
 #include "http/json_size.h"
 #include "leader/leader.h"
 
@@ -15,13 +16,13 @@
             cluster_.machine_types = std::move(*machine_types);
             if (!machine_types_kept_) {
                 // Kept for controllers that start while the cloud is away.
-                std::string data = Cloud::pack_machine_types(cluster_.machine_types);
+                std::string data = encode_machine_types(cluster_.machine_types);
                 if (json_size(data) > config_.value_limit(kNewestRecordFormat)) {
                     log::info("machine_types_not_stored", {{"reason", "too_large"}});
                     machine_types_kept_ = true;
                 } else {
                     Transaction txn;
-                    txn.expect(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
+                    txn.expect_revision(term_.key, term_.mod_revision).put(kMachineTypesKey, std::move(data));
                     TransactionResult r =
                         co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
                     machine_types_kept_ = r.status == StoreStatus::kOk || r.status == StoreStatus::kInvalid;
@@ -37,7 +38,7 @@
 Task<void> Leader::read_machines() {
     while (true) {
         Seconds asked = loop_.now();
-        auto list = co_await cloud_.list();
+        auto list = co_await cloud_.list_machines();
         if (list) {
             for (const auto& m : *list) {
                 if (deleted_machines_.contains(m.name)) continue;
@@ -154,12 +155,13 @@
 Task<void> Leader::rent(ScaleOutRequest rental) {
     // The epoch is never reused, so neither is the claim; it is repeated until its answer is known.
     std::string claim = "r-" + std::to_string(term_.fencing_token) + "-" + std::to_string(++claims_);
+    const CreateMachinesRequest request{claim, rental.kind.machine_type, rental.kind.zone, rental.kind.spot,
+                                        rental.number};
     Seconds pause = constants::kRetryBackoff_s;
     while (true) {
         co_await confirmation();
-        RentResult r = co_await cloud_.rent(claim, rental.kind.machine_type, rental.kind.zone,
-                                            rental.kind.spot, rental.number);
-        if (r.result == Rent::kRented || r.result == Rent::kNoCapacity) {
+        CreateMachinesResult r = co_await cloud_.create_machines(request);
+        if (r.outcome == CreateOutcome::kCreated || r.outcome == CreateOutcome::kNoCapacity) {
             for (const auto& name : r.machines) {
                 if (deleted_machines_.contains(name)) continue;
                 Machine& h = cluster_.ensure(name, loop_.now());
@@ -215,13 +217,13 @@
             co_await loop_.sleep(constants::kRetryBackoff_s);
             continue;
         }
-        Removal r = co_await cloud_.remove(asked);
-        if (r == Removal::kDone) {
+        DeleteOutcome r = co_await cloud_.delete_machines(asked);
+        if (r == DeleteOutcome::kDeleted) {
             gone(asked);
             std::erase_if(names, [&](const std::string& name) { return deleted_machines_.contains(name); });
             continue;
         }
-        perhaps = perhaps || r == Removal::kUnknown;
+        perhaps = perhaps || r == DeleteOutcome::kUnknown;
         co_await loop_.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
--- a/src/users/job_requests.cc
+++ b/src/users/job_requests.cc
@@ -70,7 +70,7 @@
         co_return CancelOutcome::kFailed;
     }
     Transaction transaction;
-    transaction.expect(live_key(id), state.mod_revision).put(live_key(id), std::move(*packed));
+    transaction.expect_revision(live_key(id), state.mod_revision).put(live_key(id), std::move(*packed));
     TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     switch (result.status) {
         case StoreStatus::kOk:
--- a/src/users/submission.cc
+++ b/src/users/submission.cc
@@ -54,7 +54,7 @@
 Task<Response> SubmissionHandler::commit(JobRecord record, Seconds until) {
     const JobSpec& job = record.spec;
     Transaction transaction;
-    transaction.expect(live_key(job.id), 0).expect(final_key(job.id), 0);
+    transaction.expect_absent(live_key(job.id)).expect_absent(final_key(job.id));
     transaction.put(live_key(job.id), record.pack(record_format_.in_force()));
     TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     switch (result.status) {
--- a/src/users/submission_check.h
+++ b/src/users/submission_check.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "cloud/cloud.h"
+#include "cloud/machine_type.h"
 #include "config/config.h"
 #include "jobs/record.h"
 #include "jobs/record_format.h"
--- a/tests/standins/scheduling_test.h
+++ b/tests/standins/scheduling_fixture.h
@@ -9,6 +9,7 @@
 
 #include "fleet/scaling_plan.h"
 #include "scheduler/scheduler.h"
+#include "workers/command.h"
 
 namespace hareshore::test {
 
