--- a/src/users/job_reader.cc
+++ b/src/users/job_reader.cc
@@ -9,7 +9,8 @@
 namespace hareshore {
 
 bool JobReader::store_unavailable() const {
-    return store_.last_contact() && loop_.now() - *store_.last_contact() > constants::kStoreUnavailable_s;
+    std::optional<Seconds> contact = store_.last_contact();
+    return contact && loop_.now() - *contact > constants::kStoreUnavailable_s;
 }
 
 Task<JobStateResult> JobReader::read(std::string id, Seconds until) {
