--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -25,8 +25,8 @@
 namespace hareshore {
 
 // Owns all parts; they refer to one another and to the controller, and so do the coroutines that run in their
-// scopes. `loop`, `config` and `settings` must outlive it. To destroy it, call stop() and let the loop take
-// turns until all coroutines have unwound.
+// task groups. `loop`, `config` and `settings` must outlive it. To destroy it, call stop() and let the loop
+// take turns until all coroutines have unwound.
 class Controller : private peer::PeerDelegate {
   public:
     // Starts to listen and to take part in elections. Throws std::system_error if an address cannot be
@@ -38,10 +38,10 @@
     // Answers one HTTP request.
     [[nodiscard]] Task<Response> handle(Request request);
 
-    const Election& election() const { return election_; }
+    [[nodiscard]] const Election& election() const { return election_; }
     // Null while this controller does not lead. A caller that awaits something of the leader holds the
     // pointer meanwhile.
-    std::shared_ptr<Leader> leader() const { return leader_runner_.leader(); }
+    [[nodiscard]] std::shared_ptr<Leader> leader() const { return leader_runner_.leader(); }
 
   private:
     // For the peers.
@@ -60,10 +60,10 @@
     void observe_cancellation(const std::string& job);
 
     Task<Response> handle_heartbeat(std::string body);
-    Response show_operator_page(OperatorPage page) const;
-    Readiness readiness() const;
-    // For the heartbeats to the peers: milliseconds since that time.
-    uint32_t milliseconds_since(Seconds time) const;
+    [[nodiscard]] Response show_operator_page(OperatorPage page) const;
+    [[nodiscard]] Readiness readiness() const;
+    // For the heartbeats to the peers; 0 for a time to come.
+    [[nodiscard]] uint32_t milliseconds_since(Seconds time) const;
 
     Loop& loop_;
     const Config& config_;
--- a/src/controller/leader_runner.h
+++ b/src/controller/leader_runner.h
@@ -25,7 +25,7 @@
     // Stops the Leader, if there is one; it is kept until its coroutines have unwound.
     void stop();
     // Null while this controller does not lead.
-    const std::shared_ptr<Leader>& leader() const { return leader_; }
+    [[nodiscard]] const std::shared_ptr<Leader>& leader() const { return leader_; }
 
   private:
     LeaderEnvironment environment_;
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,31 +1,38 @@
+// The program `hareshore`: reads its settings and runs one controller until the process is ended.
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 #include <iostream>
+#include <string>
 
+#include "base/clock.h"
 #include "base/log.h"
 #include "config/config.h"
 #include "controller/controller.h"
+#include "loop/loop.h"
 
 namespace {
 
-int run(int argc, char** argv) {
-    using namespace hareshore;
-    CLI::App app{"hareshore, a cluster scheduler: one controller"};
+using namespace hareshore;
+
+struct Options {
+    std::string config_path;    // the platform's settings
+    std::string settings_path;  // the operators' settings; empty: all defaults
+    bool check_only = false;    // read both and end
+};
+
+// Declares the program's options; parsing stores them in `options`.
+void declare_options(CLI::App& app, Options& options) {
     app.set_version_flag("--version", "hareshore " HARESHORE_VERSION);
-    std::string config_path, settings_path;
-    bool check = false;
-    app.add_option("--config", config_path, "the platform's settings (TOML)")->required()->type_name("FILE");
-    app.add_option("--settings", settings_path, "the operators' settings (S-expressions)")->type_name("FILE");
-    app.add_flag("--check", check, "read the settings, say whether they are in order, and end");
+    app.add_option("--config", options.config_path, "the platform's settings (TOML)")
+        ->required()
+        ->type_name("FILE");
+    app.add_option("--settings", options.settings_path, "the operators' settings (S-expressions)")
+        ->type_name("FILE");
+    app.add_flag("--check", options.check_only, "read the settings, say whether they are in order, and end");
     app.footer("LOG_LEVEL sets how much is logged to standard error: error, info (as if unset) or debug.");
-    CLI11_PARSE(app, argc, argv);
+}
 
-    Config config = Config::load(config_path);
-    Settings settings = settings_path.empty() ? Settings{} : Settings::load(settings_path);
-    if (check) {
-        std::cout << "settings of " << config.label << " are in order\n";
-        return 0;
-    }
+void run_controller(const Config& config, const Settings& settings) {
     const char* level = std::getenv("LOG_LEVEL");
     if (!setup_log(level, config.label)) log::warn("log_level_unknown", {{"level", level}, {"used", "info"}});
     SystemClock clock;
@@ -34,6 +41,23 @@
     log::info("started",
               {{"version", HARESHORE_VERSION}, {"zone", config.zone}, {"peers", config.peers.size()}});
     loop.run();
+}
+
+// Returns the exit status. Throws ConfigError if the settings are not in order.
+int run(int argc, char** argv) {
+    CLI::App app{"hareshore, a cluster scheduler: one controller"};
+    Options options;
+    declare_options(app, options);
+    CLI11_PARSE(app, argc, argv);
+
+    const Config config = Config::load(options.config_path);
+    const Settings settings =
+        options.settings_path.empty() ? Settings{} : Settings::load(options.settings_path);
+    if (options.check_only) {
+        std::cout << "settings of " << config.label << " are in order\n";
+        return 0;
+    }
+    run_controller(config, settings);
     return 0;
 }
 
@@ -42,8 +66,8 @@
 int main(int argc, char** argv) {
     try {
         return run(argc, argv);
-    } catch (const std::exception& e) {
-        std::cerr << "hareshore: " << e.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "hareshore: " << error.what() << '\n';
         return 1;
     }
 }
--- a/src/peer/cancellation_announcements.h
+++ b/src/peer/cancellation_announcements.h
@@ -19,7 +19,7 @@
     // To be called before the user's request is answered. A job that is still kept is not added again.
     void add(const std::string& job);
     // How many were added so far, also those that are no longer kept.
-    uint32_t count() const { return count_; }
+    [[nodiscard]] uint32_t count() const { return count_; }
     // All that are kept and not among the first `already_sent`; nothing if count() were sent.
     [[nodiscard]] std::optional<CancellationNotice> notice_after(uint32_t already_sent) const;
 
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -26,6 +26,9 @@
                               // heartbeats announce kAnnouncedRecordFormat: older ones close the connection
 };
 
+// FrameHeader::id of a frame that is neither a request nor an answer.
+inline constexpr uint32_t kNoRequest = 0;
+
 // The newest record format that this version reads, announced in each heartbeat. A peer that announces it
 // also reads cancellation notices. Versions that announce nothing send 0.
 inline constexpr uint8_t kAnnouncedRecordFormat = 2;
--- a/src/peer/peer_link.cc
+++ b/src/peer/peer_link.cc
@@ -15,11 +15,12 @@
     outbox_changed_.notify();
 }
 
-void PeerLink::send_new_announcements(const CancellationAnnouncements& announcements, uint64_t incarnation) {
+void PeerLink::send_new_announcements(const CancellationAnnouncements& announcements) {
     const auto notice = announcements.notice_after(announcements_sent_);
     if (!notice) return;
     announcements_sent_ = announcements.count();
-    send(encode_frame(FrameKind::kCancellationNotice, 0, incarnation, encode_cancellation_notice(*notice)));
+    send(encode_frame(FrameKind::kCancellationNotice, kNoRequest, notice->incarnation,
+                      encode_cancellation_notice(*notice)));
 }
 
 void PeerLink::close() {
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -20,8 +20,8 @@
     // and nothing that waits is worth keeping for later.
     void send(std::string_view frame);
     // Queues a notice of the announcements that this link was not sent before, if there are any.
-    void send_new_announcements(const CancellationAnnouncements& announcements, uint64_t incarnation);
-    bool is_open() const { return open_; }
+    void send_new_announcements(const CancellationAnnouncements& announcements);
+    [[nodiscard]] bool is_open() const { return open_; }
     // Ends the coroutines of this link at their next turn.
     void close();
 
--- a/src/peer/peer_status.h
+++ b/src/peer/peer_status.h
@@ -28,20 +28,22 @@
     // received before; they point into `notice`.
     [[nodiscard]] std::span<const std::string> receive_cancellations(const CancellationNotice& notice);
 
-    const PeerAddress& address() const { return address_; }
-    const std::string& label() const { return address_.label; }
+    [[nodiscard]] const PeerAddress& address() const { return address_; }
+    [[nodiscard]] const std::string& label() const { return address_.label; }
     // Of the heartbeats and answers that counted the last one; all zeros before the first.
-    const ControllerHeartbeat& last_heartbeat() const { return last_heartbeat_; }
+    [[nodiscard]] const ControllerHeartbeat& last_heartbeat() const { return last_heartbeat_; }
     // When it was received.
-    std::optional<Seconds> last_received_at() const { return last_received_at_; }
+    [[nodiscard]] std::optional<Seconds> last_received_at() const { return last_received_at_; }
     // When this process sent the newest heartbeat that the peer has answered.
-    std::optional<Seconds> answered_request_sent_at() const { return answered_request_sent_at_; }
+    [[nodiscard]] std::optional<Seconds> answered_request_sent_at() const {
+        return answered_request_sent_at_;
+    }
     // The newest record format that the peer has ever announced; no peer returns to an older version.
-    uint8_t record_format() const { return record_format_; }
+    [[nodiscard]] uint8_t record_format() const { return record_format_; }
     // Whether the peer was heard of less than kPeerHeartbeatTimeout_s ago.
     [[nodiscard]] bool is_present(Seconds now) const;
     // How long before its last heartbeat the peer was served by the store; nothing if never.
-    std::optional<Seconds> store_age() const;
+    [[nodiscard]] std::optional<Seconds> store_age() const;
     // Whether all cancellations that the peer confirmed to users from `since` until
     // answered_request_sent_at() are known here. True only once an answer has counted.
     [[nodiscard]] bool all_cancellations_known_since(Seconds since) const;
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -134,7 +134,7 @@
     if (!heartbeat) return FrameOutcome::kMalformed;
     update_status(frame, *heartbeat);
     if (frame.kind == FrameKind::kHeartbeatAnswer) return FrameOutcome::kHandled;
-    if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_, incarnation_);
+    if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_);
     const auto answer = make_heartbeat(heartbeat->request_sent_us);
     link.send(encode_frame(FrameKind::kHeartbeatAnswer, frame.id, frame.incarnation, answer));
     return FrameOutcome::kHandled;
--- a/src/peer/peers.h
+++ b/src/peer/peers.h
@@ -27,7 +27,7 @@
     void stop() { tasks_.cancel(); }
 
     // One for each peer of the configuration, in its order.
-    std::span<const PeerStatus> statuses() const { return statuses_; }
+    [[nodiscard]] std::span<const PeerStatus> statuses() const { return statuses_; }
     // Relays the body of a worker's heartbeat to the peer with this label.
     [[nodiscard]] Task<RelayResult> relay(const std::string& label, std::string body);
     // To be called before a user is told that the job is cancelled: the peers will be told as well.
@@ -47,10 +47,10 @@
     FrameOutcome handle_cancellation_notice(const Frame& frame);
     void update_status(const Frame& frame, const ControllerHeartbeat& heartbeat);
 
-    std::shared_ptr<PeerLink> make_link(std::unique_ptr<Stream> stream);
+    [[nodiscard]] std::shared_ptr<PeerLink> make_link(std::unique_ptr<Stream> stream);
     // This controller's heartbeat, or its answer to the one sent at `request_sent_us` on the requester's
     // clock.
-    ControllerHeartbeat make_heartbeat(uint64_t request_sent_us) const;
+    [[nodiscard]] ControllerHeartbeat make_heartbeat(uint64_t request_sent_us) const;
 
     Loop& loop_;
     PeerDelegate& delegate_;
