--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -8,7 +8,6 @@
 #include <vector>
 
 #include "base/token_bucket.h"
-#include "cloud/cloud_client.h"
 #include "cloud/cloud_types.h"
 #include "cloud/machine_type.h"
 #include "http/client.h"
