--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,11 +1,12 @@
 // One controller: it serves users, takes part in elections, and leads or points workers to the leader.
 #pragma once
+#include "cloud/cloud_client.h"
 #include "config/config.h"
 #include "http/server.h"
 #include "leader/election.h"
 #include "leader/leader.h"
 #include "peer/peers.h"
-#include "users/service.h"
+#include "users/user_service.h"
 
 namespace hareshore {
 
@@ -42,7 +43,7 @@
     const Settings& settings_;
     Seconds started_;
     StoreClient state_;
-    Cloud cloud_;
+    CloudClient cloud_;
     Election election_;
     std::vector<MachineType> machine_types_;
     RecordFormat record_format_;
@@ -63,7 +64,7 @@
     std::deque<Seconds> worker_heartbeat_times_;  // when workers' reports came
     Peers peers_;
     HttpServer server_;
-    Scope scope_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/fleet/scaling_plan.h
+++ b/src/fleet/scaling_plan.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <string_view>
 
-#include "cloud/cloud.h"
+#include "cluster/cluster.h"
 #include "config/config.h"
 #include "jobs/table.h"
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -4,6 +4,7 @@
 #include <memory>
 
 #include "base/token_bucket.h"
+#include "cloud/cloud_client.h"
 #include "fleet/scaling_plan.h"
 #include "jobs/record_format.h"
 #include "jobs/resource_accounting.h"
@@ -44,7 +45,7 @@
     // What belongs to a machine's connection rather than to the machine.
     struct WorkerConnection {
         explicit WorkerConnection(Loop& loop) : wake(loop) {}
-        Signal wake;
+        Condition wake;
         uint64_t reports = 0;            // how many came; an older one's answer is dropped by the worker
         bool command_in_flight = false;  // a direct command is on its way
         bool again = false;              // another is wanted after it
@@ -83,7 +84,7 @@
     WorkerConnection& worker_connection(const std::string& machine);
     bool may_renew();
     void finished(const std::string& id, uint64_t revision);
-    void take_change(const Change& c);
+    void take_change(const KeyChange& c);
     void log_waiting();
     void account(Seconds since);
     void log_fleet();
@@ -93,7 +94,7 @@
     const Config& config_;
     const Settings& settings_;
     StoreClient& state_;
-    Cloud& cloud_;
+    CloudClient& cloud_;
     RecordFormat& record_format_;
     LeaderTerm term_;
     std::unique_ptr<Leadership> leadership_;
@@ -132,8 +133,8 @@
     bool wanted_ = false;                     // a scheduling pass is wanted
     uint64_t passes_ = 0;
     Seconds next_pass_ = -1e9, longest_pass_ = 0;
-    Signal ready_, dirty_, ask_, pass_done_;
-    Scope scope_;
+    Condition ready_, dirty_, ask_, pass_done_;
+    TaskGroup scope_;
 };
 
 }  // namespace hareshore
--- a/src/leader/records.cc
+++ b/src/leader/records.cc
@@ -3,6 +3,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "http/json_size.h"
 #include "leader/leader.h"
 
 namespace hareshore {
@@ -10,8 +11,8 @@
 Task<void> Leader::load() {
     Seconds began = loop_.now();
     while (!co_await learn_record_format(state_, record_format_))
-        co_await loop_.sleep(constants::kRetryPause_s * 2);
-    while (!co_await read_records()) co_await loop_.sleep(constants::kRetryPause_s * 2);
+        co_await loop_.sleep(constants::kRetryBackoff_s * 2);
+    while (!co_await read_records()) co_await loop_.sleep(constants::kRetryBackoff_s * 2);
     loaded_ = true;
     loaded_at_ = loop_.now();
     log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", loaded_at_ - began}});
@@ -30,13 +31,13 @@
     uint64_t revision = 0;
     Seconds began = loop_.now();
     while (true) {
-        ListResult page =
-            co_await state_.list(kLivePrefix, from, constants::kRecordsPage, constants::kStateCall_s * 2);
+        ListResult page = co_await state_.list(kLivePrefix, from, constants::kRecordPageSize,
+                                               constants::kStoreCallTimeout_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
         if (revision == 0) revision = page.revision;  // changes since the first page are watched
         for (auto& e : page.entries) {
             from = e.key;
-            Change c{e.key, false, e.mod_revision, std::move(e.data)};
+            KeyChange c{e.key, false, e.mod_revision, std::move(e.data)};
             take_change(c);
         }
         if (!page.more) break;
@@ -46,8 +47,8 @@
     co_return true;
 }
 
-void Leader::take_change(const Change& c) {
-    if (c.dropped) return;  // only this leader drops records, and it knows
+void Leader::take_change(const KeyChange& c) {
+    if (c.deleted) return;  // only this leader drops records, and it knows
     auto record = JobRecord::unpack(c.data);
     if (!record || live_key(record->spec.id) != c.key) {
         std::string id = c.key.substr(kLivePrefix.size());
@@ -73,8 +74,8 @@
     Seconds pause = 0;
     while (true) {
         Seconds sent = loop_.now();
-        ChangesResult r = co_await state_.changes(kLivePrefix, revision_, constants::kWatchWait_s);
-        if (r.status == StoreStatus::kOk) {
+        WatchResult r = co_await state_.watch(kLivePrefix, revision_, constants::kRecordWatchTimeout_s);
+        if (r.status == WatchStatus::kOk) {
             pause = 0;
             for (const auto& c : r.changes) take_change(c);
             revision_ = std::max(revision_, r.revision);
@@ -83,13 +84,13 @@
             if (!r.changes.empty()) request_pass();
             continue;
         }
-        if (r.status == StoreStatus::kNotFound && co_await read_records()) {
+        if (r.status == WatchStatus::kCompacted && co_await read_records()) {
             // Never at once again: a service that keeps saying so must not be stampeded.
             request_pass();
-            co_await loop_.sleep(constants::kRetryPause_s);
+            co_await loop_.sleep(constants::kRetryBackoff_s);
             continue;
         }
-        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+        pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
         co_await loop_.sleep(pause);
     }
 }
@@ -117,14 +118,14 @@
         }
         size_t ops = std::min(config_.txn_ops, static_cast<size_t>(writes_.left(loop_.now())));
         std::vector<Job*> batch =
-            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTxnBytes, record_format);
+            jobs_.take_dirty(std::max<size_t>(2, ops), constants::kTransactionBytes, record_format);
         if (alone > 0 && !batch.empty()) {
             --alone;
             for (size_t i = 1; i < batch.size(); ++i) jobs_.requeue(*batch[i]);
             batch.resize(1);
         }
         Transaction txn;
-        txn.expect(term_.key, term_.mod_revision);
+        txn.expect_revision(term_.key, term_.mod_revision);
         std::vector<std::string> ids;
         std::set<std::string> final_ids;
         for (Job* j : batch) {
@@ -144,10 +145,10 @@
             }
             ids.push_back(id);
             j->inflight = j->version;
-            txn.expect(live_key(id), j->mod_revision);
+            txn.expect_revision(live_key(id), j->mod_revision);
             if (final) {
                 FinalRecord f{id, j->cancelled, j->spec.tasks, j->done.size()};
-                txn.put(final_key(id), f.pack()).drop(live_key(id));
+                txn.put(final_key(id), f.pack()).delete_key(live_key(id));
                 final_ids.insert(id);
             } else {
                 txn.put(live_key(id), std::move(data));
@@ -155,7 +156,7 @@
         }
         if (ids.empty()) continue;
         writes_.take(static_cast<double>(txn.writes.size()), loop_.now());
-        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStateCall_s);
+        TransactionResult r = co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
         if (r.status == StoreStatus::kOk) {
             pause = 0;
             std::set<std::string> machines;
@@ -181,19 +182,20 @@
         for (const auto& id : ids)
             if (Job* j = jobs_.find(id)) jobs_.requeue(*j);
         if (r.status == StoreStatus::kConflict) {
-            if (std::find(r.failed.begin(), r.failed.end(), term_.key) != r.failed.end()) {
+            if (std::find(r.failed_keys.begin(), r.failed_keys.end(), term_.key) != r.failed_keys.end()) {
                 leadership_->deposed("the leadership key has changed");
                 co_return;
             }
             for (const auto& id : ids)
-                if (std::find(r.failed.begin(), r.failed.end(), live_key(id)) != r.failed.end())
+                if (std::find(r.failed_keys.begin(), r.failed_keys.end(), live_key(id)) !=
+                    r.failed_keys.end())
                     co_await reread(id);
             request_pass();
             continue;
         }
         if (r.status == StoreStatus::kNotExecuted || r.status == StoreStatus::kRateLimited)
-            writes_.drain(loop_.now());
-        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+            writes_.mark_exhausted(loop_.now());
+        pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
         co_await loop_.sleep(pause);
     }
 }
@@ -212,28 +214,29 @@
     while (record_format_.kept < kNewestRecordFormat) {
         if (leadership_->all_peers_upgraded()) {
             Transaction txn;
-            txn.expect(term_.key, term_.mod_revision)
-                .expect(kRecordFormatKey, 0)
+            txn.expect_revision(term_.key, term_.mod_revision)
+                .expect_absent(kRecordFormatKey)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, loop_.now());
-            co_await state_.commit(std::move(txn), constants::kStateCall_s);
+            co_await state_.commit(std::move(txn), constants::kStoreCallTimeout_s);
             // Whatever became of it, the key tells.
             co_await learn_record_format(state_, record_format_);
         }
-        if (record_format_.kept < kNewestRecordFormat) co_await loop_.sleep(constants::kRecordFormatEvery_s);
+        if (record_format_.kept < kNewestRecordFormat)
+            co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     dirty_.notify();
 }
 
 // A record has another mod revision than expected: its user withdrew the job, or an answer of ours was lost.
 Task<bool> Leader::reread(std::string id) {
-    GetResult got = co_await state_.get(live_key(id), constants::kStateCall_s);
+    GetResult got = co_await state_.get(live_key(id), constants::kStoreCallTimeout_s);
     if (got.status == StoreStatus::kOk) {
         take_change({live_key(id), false, got.entry.mod_revision, got.entry.data});
         co_return true;
     }
     if (got.status != StoreStatus::kNotFound) co_return false;
-    GetResult end = co_await state_.get(final_key(id), constants::kStateCall_s);
+    GetResult end = co_await state_.get(final_key(id), constants::kStoreCallTimeout_s);
     if (end.status == StoreStatus::kOk) finished(id, end.entry.mod_revision);
     if (end.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", id}});
     co_return end.status == StoreStatus::kOk;
@@ -243,7 +246,7 @@
     jobs_.erase(id);
     finished_[id] = revision;
     finished_order_.push_back(id);
-    if (finished_order_.size() > constants::kFinalCache) {
+    if (finished_order_.size() > constants::kFinalStateCacheSize) {
         finished_.erase(finished_order_.front());
         finished_order_.pop_front();
     }
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -110,7 +110,7 @@
     most = 0;
     for (const Machine* machine : pass_.schedulable)
         if (zone.empty() || machine->zone == zone)
-            most += machine->free.fits(spec, constants::kHeartbeatTasks);
+            most += machine->free.fits(spec, constants::kMaxTasksPerHeartbeat);
     return tasks <= most;
 }
 
--- a/src/scheduler/image_preemption.cc
+++ b/src/scheduler/image_preemption.cc
@@ -20,7 +20,7 @@
 bool saves_long_fetch(const PassContext& pass, const JobSpec& spec, const Machine& machine) {
     const MachineType* type = pass.cluster.machine_type(machine.machine_type);
     return machine.cache.has(spec.image) &&
-           spec.image_gb >= constants::kImagePreemptionFetch_s * type->fetch_gb_per_s;
+           spec.image_gb >= constants::kImagePreemptionMinFetch_s * type->fetch_gb_per_s;
 }
 
 // The capacities of machines that hold the image, with only the preemption of work that need not save first.
--- a/src/scheduler/machine_capacity.cc
+++ b/src/scheduler/machine_capacity.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr uint32_t kMostSlots = constants::kHeartbeatTasks;  // no machine reports more tasks
+constexpr uint32_t kMostSlots = constants::kMaxTasksPerHeartbeat;  // no machine reports more tasks
 
 // The expected end of a task, and what that frees.
 struct TaskEnd {
@@ -26,7 +26,7 @@
 // a part of its time again.
 Seconds expected_end(const Job& job, const Placement& placement, Seconds now) {
     Seconds ran = now - placement.running_since.value_or(now);
-    return now + std::max(job.spec.estimate_s - ran, constants::kOverdueShare * ran);
+    return now + std::max(job.spec.estimate_s - ran, constants::kOverdueRemainingShare * ran);
 }
 
 // Sorts out the machine's placements; what is being stopped is added to `available`.
--- a/src/scheduler/pass_context.h
+++ b/src/scheduler/pass_context.h
@@ -25,7 +25,7 @@
 
     // Counts a search for room beyond what is free; false if the pass has made as many as it may. The head of
     // the queue decides: a search for each job of a long queue would cost its length times the machines.
-    [[nodiscard]] bool start_room_search() { return ++room_searches <= constants::kRoomJobs; }
+    [[nodiscard]] bool start_room_search() { return ++room_searches <= constants::kPreemptionSearchJobs; }
 
     // Binds a task to a machine and accounts for its resources.
     void bind(Job& job, uint32_t task, Machine& machine, uint64_t attempt);
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -79,13 +79,13 @@
     const JobSpec& spec = victim.job->spec;
     Seconds lost = now - (placement.running_since.value_or(placement.bound_at));
     // A start counts for the objectives only if the task is not stopped soon after it.
-    if (!placement.running_since || lost < constants::kStartCounts_s)
-        lost += constants::kStartCounts_s;
+    if (!placement.running_since || lost < constants::kMinRunToCountAsStarted_s)
+        lost += constants::kMinRunToCountAsStarted_s;
     else if (spec.checkpoint_s > 0)
         lost = std::fmod(lost, spec.checkpoint_s);
     // A gang is stopped whole.
     uint32_t tasks = spec.gang() ? spec.tasks : 1;
-    return tasks * spec.gpus * (lost + constants::kStartLatency_s);
+    return tasks * spec.gpus * (lost + constants::kExpectedStartLatency_s);
 }
 
 void sort_by_loss(const PassContext& pass, std::vector<Victim>& victims) {
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -91,7 +91,7 @@
     if (!job.spec.service()) return count_image_holders(job, requesting, 1) > 0;
     const MachineType* type = pass_.cluster.machine_type(requesting.machine_type);
     Seconds fetch_s = type && type->fetch_gb_per_s > 0 ? job.spec.image_gb / type->fetch_gb_per_s : 0;
-    if (waited >= constants::kImageHoldShare * fetch_s) return false;
+    if (waited >= constants::kReplicaImageWaitShare * fetch_s) return false;
     auto holders = static_cast<double>(count_image_holders(job, requesting, UINT32_MAX));
     return holders * fetch_s > pass_.input.config.heartbeat_interval_s;
 }
@@ -117,7 +117,7 @@
 bool TaskMatcher::should_wait_for_spread(const Job& job, const Machine& requesting) {
     size_t spot_replicas = count_spot_replicas(pass_.cluster, job);
     Seconds waited = pass_.input.now - job.waiting_since;
-    auto accepted = static_cast<size_t>(waited / constants::kSpreadWait_s);
+    auto accepted = static_cast<size_t>(waited / constants::kReplicaSpreadWait_s);
     size_t crowding = replica_crowding(job, requesting, spot_replicas);
     if (crowding <= accepted) return false;
     ZoneRule rule(job);
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -25,7 +25,7 @@
     [[nodiscard]] uint32_t most_within_limit(const JobSpec& spec, uint32_t tasks) const;
 
     // Reserves the limit that a gang waits for. What comes free of it would else go to the team's small jobs
-    // piece by piece, and the gang would not start while they keep coming. It is reserved from the team's
+    // one by one, and the gang would not start while they keep coming. It is reserved from the team's
     // work of lower priority; once the gang starves, from all. The reservation stays while machines are
     // lacking: given to the team's other work, the limit would be lacking when the machines come free. Until
     // `room_at`, when there is room for all of the gang, it may be used by backfill. To be called after all
--- a/tests/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -1,14 +1,16 @@
 // What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
 // frames between controllers. A name in the code that changes must not move a byte of it, since processes of
 // both versions serve side by side on the same data.
-#include <fmt/format.h>
+#include <gtest/gtest.h>
 
 #include <algorithm>
 #include <cstring>
 
 #include "jobs/record.h"
 #include "peer/frames.h"
-#include "standins.h"
+#include "standins/records.h"
+#include "state/store_wire.h"
+#include "workers/worker_wire.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -29,6 +31,7 @@
     "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65ad302d322c352c392d31302c3430a46e"
     "6578744da46c69766593af33203820766d2d3030303030332061b03420323020766d2d3030303233312061b0313120373620"
     "7261636b2d342d782061a17601";
+
 constexpr const char* kArrayFormat2 =
     "de001ca26964aa6a6f622d303030373331a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472"
     "616e6b02a57461736b7340a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -37,6 +40,7 @@
     "655f73cd0384a26174cb41dac3e33c880000a977697468647261776ec2a4646f6e65a93d4143434144426441a46e6578744d"
     "a57a6f6e657391a161a5686f73747392a9307261636b2d342d78a436766d2da46c697665ae424157694543445033446b4843"
     "57a17602";
+
 constexpr const char* kGangFormat1 =
     "de001aa26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
     "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -45,6 +49,7 @@
     "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a0a46e65787403a46c69766594af3020322076"
     "6d2d3030303031302061af31203220766d2d3030303031312061af32203220766d2d3030303331302062af33203220766d2d"
     "3030303331322062a17601";
+
 constexpr const char* kGangFormat2 =
     "de001ca26964aa6a6f622d303030373332a5636c617373a5747261696ea47465616da6766973696f6ea5736861706501a472"
     "616e6b00a57461736b7304a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -52,6 +57,7 @@
     "70617274c3a473706f74c2aa657374696d6174655f73ccf0ac636865636b706f696e745f731ea6736176655f7304a5647565"
     "5f73ffa26174cb41dac3e34d200000a977697468647261776ec3a4646f6e65a13da46e65787403a57a6f6e657392a161a162"
     "a5686f73747391a436766d2da46c697665ae4555414543434233534342464342a17602";
+
 constexpr const char* kServiceFormat1 =
     "de001aa26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
     "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -60,6 +66,7 @@
     "41dac3e366100000a977697468647261776ec2a4646f6e65a0a46e65787429a46c69766594af30203120766d2d3030303130"
     "302061b03120343020766d2d3030303230312062af32203320766d2d3030303130302061b03520333920766d2d3030303230"
     "322062a17601";
+
 constexpr const char* kServiceFormat2 =
     "de001ca26964aa6a6f622d303030373333a5636c617373a57365727665a47465616da6736561726368a5736861706502a472"
     "616e6b03a57461736b7306a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -67,25 +74,35 @@
     "73706f74c3aa657374696d6174655f7300ac636865636b706f696e745f7300a6736176655f7300a56475655f73ffa26174cb"
     "41dac3e366100000a977697468647261776ec2a4646f6e65a13da46e65787429a57a6f6e657392a161a162a5686f73747391"
     "a436766d2da46c697665b0456f474143414541724742734344494aa17602";
+
 constexpr const char* kDoneFinal =
     "84a26964aa6a6f622d303030373334a977697468647261776ec2a57461736b73ce00011170a4646f6e65ce00011170";
+
 constexpr const char* kCancelledFinal =
     "84a26964aa6a6f622d303030373335a977697468647261776ec3a57461736b7310a4646f6e6506";
+
 constexpr const char* kRecordFormatValue = "81a17602";
+
 constexpr const char* kLeaderValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+
 constexpr const char* kTermValue = "82a46e6f6465a66e6f64652d30a565706f636829";
+
 constexpr const char* kHeartbeatFrame =
     "4852485202000100747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+
 constexpr const char* kHeartbeatAnswerFrame =
     "4852485202000200747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
+
 constexpr const char* kRelayFrame =
     "4852485202000300747372716700000088878685848382818aa4686f7374a9766d2d303030303031a461646472ad31302e31"
     "2e302e393a39303030a6666c61766f72a26732a4636f7665a161a96472696674776f6f64c2a674656e75726501a47469636b"
     "01a565706f636829a97761726e696e675f73c0a670696563657390";
+
 constexpr const char* kRelayAnswerFrame =
     "485248520200040074737271120000008887868584838281c80082a565706f636829a66f726465727390";
+
 constexpr const char* kCancellationsFrame =
     "4852485202000500000000001f000000181716151413121118171615141312110201000002000a6a6f622d30303037333205"
     "6a6f622d39";
@@ -205,7 +222,9 @@
 }
 
 constexpr uint32_t kFrameId = 0x71727374;
+
 constexpr uint64_t kAskerIncarnation = 0x8182838485868788;
+
 constexpr uint64_t kStoredFencingToken = 41;
 
 // A frame's bytes come whole; the report in it is of a worker without tasks.
@@ -217,7 +236,7 @@
 }
 
 std::string term_of(const std::string& node, uint64_t fencing_token) {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(2).key("node").text(node).key("epoch").count(fencing_token);
     return packer.take();
 }
@@ -232,27 +251,14 @@
 }
 
 // The only controller of a deployment, elected for the term after the stored one.
-void lead_after(Site& site, uint64_t last_epoch) {
+void lead_after(Deployment& deployment, uint64_t last_epoch) {
     Transaction txn;
-    txn.expect("term", 0).put("term", term_of("node-9", last_epoch));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0 && site.state.rows.count("form") == 1; }));
-    site.run(1);
-}
-
-std::string from_hex(std::string_view hex) {
-    std::string bytes;
-    for (size_t i = 0; i + 1 < hex.size(); i += 2)
-        bytes += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
-    return bytes;
-}
-
-// Compared as text, so that a failure shows which byte moved.
-std::string to_hex(std::string_view bytes) {
-    std::string hex;
-    for (unsigned char byte : bytes) hex += fmt::format("{:02x}", byte);
-    return hex;
+    txn.expect_revision("term", 0).put("term", term_of("node-9", last_epoch));
+    ASSERT_EQ(deployment.store.apply(encode_transaction(txn)).status, 200);
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until(
+        [&] { return deployment.leader() == 0 && deployment.store.rows.count("form") == 1; }));
+    deployment.run(1);
 }
 
 void expect_same(const JobRecord& read, const JobRecord& expected) {
@@ -294,12 +300,6 @@
     return frame.value_or(peer::Frame{});
 }
 
-void store(Site& site, const std::string& key, std::string value) {
-    Transaction txn;
-    txn.expect(key, 0).put(key, std::move(value));
-    ASSERT_EQ(site.state.apply(txn.pack()).status, 200);
-}
-
 }  // namespace
 
 TEST(ProductionBytes, RecordsAreRead) {
@@ -327,12 +327,12 @@
 TEST(ProductionBytes, RecordsOfFormat2AreRefusedByTheRuleOfTheVersionBefore) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        auto message = Message::parse(from_hex(stored.form2));
+        auto message = MsgpackDocument::parse(from_hex(stored.form2));
         ASSERT_TRUE(message);
         auto done = message->root()["done"].text();
         ASSERT_TRUE(done);
         EXPECT_FALSE(Ranges::parse(*done, stored.record.spec.tasks));
-        auto form1 = Message::parse(from_hex(stored.form1));
+        auto form1 = MsgpackDocument::parse(from_hex(stored.form1));
         ASSERT_TRUE(form1);
         EXPECT_TRUE(Ranges::parse(*form1->root()["done"].text(), stored.record.spec.tasks));
     }
@@ -354,63 +354,61 @@
 }
 
 TEST(ProductionBytes, KeysOfAnElectionAreWritten) {
-    Site site;
-    lead_after(site, kStoredFencingToken - 1);
-    ASSERT_EQ(site.leader(), 0);
-    EXPECT_EQ(to_hex(site.state.rows.at("leader").data), kLeaderValue);
-    EXPECT_EQ(to_hex(site.state.rows.at("term").data), kTermValue);
-    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+    Deployment deployment;
+    lead_after(deployment, kStoredFencingToken - 1);
+    ASSERT_EQ(deployment.leader(), 0);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("leader").data), kLeaderValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("term").data), kTermValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
 TEST(ProductionBytes, TheLeadersKeyIsRead) {
-    Site site(2);
-    store(site, "leader", from_hex(kLeaderValue));
-    site.start(1);
-    ASSERT_TRUE(site.until([&] { return site.nodes[1]->election().leader() == "node-0"; }));
-    EXPECT_EQ(site.nodes[1]->election().known_fencing_token(), kStoredFencingToken);
-    EXPECT_FALSE(site.nodes[1]->election().leading());
+    Deployment deployment(2);
+    store_value(deployment, "leader", from_hex(kLeaderValue));
+    deployment.start(1);
+    ASSERT_TRUE(deployment.until([&] { return deployment.node(1).election().leader() == "node-0"; }));
+    EXPECT_EQ(deployment.node(1).election().known_fencing_token(), kStoredFencingToken);
+    EXPECT_FALSE(deployment.node(1).election().leading());
 }
 
 TEST(ProductionBytes, TheTermIsReadAndNotUsedAgain) {
-    Site site;
-    store(site, "term", from_hex(kTermValue));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    EXPECT_EQ(site.nodes[0]->election().fencing_token(), kStoredFencingToken + 1);
+    Deployment deployment;
+    store_value(deployment, "term", from_hex(kTermValue));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    EXPECT_EQ(deployment.node(0).election().fencing_token(), kStoredFencingToken + 1);
 }
 
 // The key is there, so records are written in format 2 also while nothing is known of the other controller.
 TEST(ProductionBytes, TheRecordFormatIsReadAndKept) {
-    Site site(2);
-    store(site, "form", from_hex(kRecordFormatValue));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
-    ASSERT_EQ(site.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto record = Message::parse(site.state.rows.at("j/job-1").data);
+    Deployment deployment(2);
+    store_value(deployment, "form", from_hex(kRecordFormatValue));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    auto record = MsgpackDocument::parse(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
     EXPECT_EQ(record->root()["v"].count_or(0), 2u);
-    EXPECT_EQ(to_hex(site.state.rows.at("form").data), kRecordFormatValue);
+    EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
 TEST(ProductionBytes, RecordsAreTakenOverFromTheStateService) {
-    Site site;
-    store(site, "j/job-000731", from_hex(kArrayFormat2));
-    store(site, "j/job-000733", from_hex(kServiceFormat1));
-    store(site, "f/job-000734", from_hex(kDoneFinal));
-    store(site, "f/job-000735", from_hex(kCancelledFinal));
-    site.start(0);
-    ASSERT_TRUE(site.until([&] { return site.leader() == 0; }));
-    site.run(1);
-    auto phase = [&](const std::string& id) {
-        auto answer = Message::parse(site.call(0, "GET", "/v2/runs/" + id).body);
-        return answer ? answer->root()["phase"].text_or("") : "";
-    };
+    Deployment deployment;
+    store_value(deployment, "j/job-000731", from_hex(kArrayFormat2));
+    store_value(deployment, "j/job-000733", from_hex(kServiceFormat1));
+    store_value(deployment, "f/job-000734", from_hex(kDoneFinal));
+    store_value(deployment, "f/job-000735", from_hex(kCancelledFinal));
+    deployment.start(0);
+    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    deployment.run(1);
+    auto phase = [&](const std::string& id) { return phase_of(deployment.call(0, "GET", "/v2/runs/" + id)); };
     EXPECT_EQ(phase("job-000731"), "running");
     EXPECT_EQ(phase("job-000733"), "running");
     EXPECT_EQ(phase("job-000734"), "done");
     EXPECT_EQ(phase("job-000735"), "withdrawn");
-    EXPECT_EQ(to_hex(site.state.rows.at("j/job-000731").data), kArrayFormat2) << "unchanged until it changes";
+    EXPECT_EQ(to_hex(deployment.store.rows.at("j/job-000731").data), kArrayFormat2)
+        << "unchanged until it changes";
 }
 
 TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
@@ -445,7 +443,7 @@
     EXPECT_EQ(frame.kind, peer::Kind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    auto report = WorkerHeartbeat::parse(frame.payload);
+    auto report = decode_heartbeat(frame.payload);
     ASSERT_TRUE(report);
     EXPECT_EQ(report->machine, "vm-000001");
     EXPECT_EQ(report->fencing_token, kStoredFencingToken);
@@ -453,13 +451,14 @@
 }
 
 TEST(ProductionBytes, RelaysAreAnswered) {
-    Site site;
-    lead_after(site, kStoredFencingToken - 1);
+    Deployment deployment;
+    lead_after(deployment, kStoredFencingToken - 1);
     std::string answer;
-    Scope scope(site.loop);
-    scope.spawn(exchange_frame(site.loop, site.configs[0].peer_listen, from_hex(kRelayFrame), answer),
-                "relay");
-    site.run(4);
+    TaskGroup scope(deployment.loop);
+    scope.spawn(
+        exchange_frame(deployment.loop, deployment.configs[0].peer_listen, from_hex(kRelayFrame), answer),
+        "relay");
+    deployment.run(4);
     EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
     peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
     EXPECT_EQ(frame.kind, peer::Kind::kRelayAnswer);
@@ -469,7 +468,7 @@
     peer::RelayAnswerHead head;
     std::memcpy(&head, frame.payload.data(), sizeof head);
     EXPECT_EQ(head.status, 200);
-    auto body = Message::parse(std::string_view(frame.payload).substr(sizeof head));
+    auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof head));
     ASSERT_TRUE(body);
     EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredFencingToken);
 }
@@ -489,31 +488,3 @@
         to_hex(peer::pack(peer::Kind::kCancellationNotice, 0, expected.incarnation, peer::pack(expected))),
         kCancellationsFrame);
 }
-
-// The names that README.md documents, each with what it sets.
-TEST(OperatorSettings, HaveTheDocumentedNames) {
-    Settings settings = Settings::parse(
-        "(hold-s 1)(similar-age-s 2)(age-bound-s 3)(begin-bound-s 4)(min-machines 5)(max-machines 6)"
-        "(min-idle-machines 7)(idle-return-s 8)(calm-s 9)(preempt-after-s 11)");
-    EXPECT_EQ(settings.hold_s, 1);
-    EXPECT_EQ(settings.similar_age_s, 2);
-    EXPECT_EQ(settings.age_bound_s, 3);
-    EXPECT_EQ(settings.begin_bound_s, 4);
-    EXPECT_EQ(settings.min_machines, 5);
-    EXPECT_EQ(settings.max_machines, 6);
-    EXPECT_EQ(settings.min_idle_machines, 7);
-    EXPECT_EQ(settings.idle_return_s, 8);
-    EXPECT_EQ(settings.calm_s, 9);
-    EXPECT_EQ(settings.preempt_after_s, 11);
-}
-
-TEST(OperatorSettings, RefuseUnknownNames) {
-    for (const char* unknown : {"hold", "hold_s", "Hold-s", "hold-seconds", "max-machine", "preempt-after"}) {
-        try {
-            Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)");
-            FAIL() << unknown << " was accepted";
-        } catch (const ConfigError& error) {
-            EXPECT_EQ(std::string(error.what()), "line 2: unknown setting " + std::string(unknown));
-        }
-    }
-}
