--- /dev/null
+++ b/src/fleet/cancelled_tasks.cc
@@ -0,0 +1,37 @@
+#include "fleet/cancelled_tasks.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+
+namespace hareshore {
+
+std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
+                                                    const Config& config, Seconds now,
+                                                    Seconds leading_since) {
+    std::vector<std::string> names;
+    Seconds lease_expiry =
+        config.lease_s * (1 + constants::kClockDriftRate) + constants::kLeaseExpiryMargin_s;
+    Seconds silent_after = constants::kSilentAfterHeartbeatIntervals * config.heartbeat_interval_s;
+    // A new leader, and one that stood still, hears its workers first.
+    if (now - leading_since <= silent_after) return names;
+    for (const auto& [id, job] : jobs.all()) {
+        if (!job->cancelled) continue;
+        for (const auto& [task, placement] : job->live) {
+            auto it = cluster.machines.find(placement.machine);
+            if (it == cluster.machines.end() || it->second->deleting) continue;
+            const Machine& machine = *it->second;
+            // Its user may have been told long before a leader that inherits it, or one that learns of it
+            // late: then the machine's silence counts.
+            bool never_reported = job->cancelled_before && !machine.reported;
+            if (never_reported || now - machine.last_heartbeat > lease_expiry ||
+                now - job->cancelled_at > lease_expiry)
+                names.push_back(machine.name);
+        }
+    }
+    std::sort(names.begin(), names.end());
+    names.erase(std::unique(names.begin(), names.end()), names.end());
+    return names;
+}
+
+}  // namespace hareshore
--- a/src/fleet/scaling_plan.h
+++ b/src/fleet/scaling_plan.h
@@ -1,21 +1,25 @@
-// Rentals: the paper's PilotMonitor per zone, with min, max and min-idle machines. No I/O.
+// The fleet's scaling plan: which machines to request from the cloud, to delete and to drain, within each
+// zone's settings for the least and most machines and for idle ones. No I/O; time is a parameter.
 #pragma once
 #include <string_view>
 
 #include "cluster/cluster.h"
 #include "config/config.h"
+#include "fleet/cancelled_tasks.h"
 #include "jobs/table.h"
 
 namespace hareshore {
 
-// A kind of machine that can be rented.
+// A kind of machine that can be requested from the cloud.
 struct MachineKind {
-    std::string machine_type, zone;
+    std::string machine_type;
+    std::string zone;
     bool spot = false;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
     auto operator<=>(const MachineKind&) const = default;
 };
 
+// A request for machines of one kind.
 struct ScaleOutRequest {
     MachineKind kind;
     int number = 0;
@@ -68,13 +72,7 @@
     uint64_t* steps = nullptr;  // counts the machines looked at for jobs; for tests of its growth
 };
 
-// Machines that hold a task of a cancelled job longer than any lease can last that it was given since. A task
-// that could be stopped is gone by then, one whose machine hears nobody ended with its lease: what is still
-// there is on a machine that hangs and may go on, and only the machine's deletion ends it. Also of a zone
-// that is cut off, and early enough for the cloud to be slow or away for a while within cancel_s.
-std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
-                                                    const Config& config, Seconds now, Seconds leading_since);
-
-ScalingPlan plan_scaling(const Cluster& cluster, const JobTable& jobs, const ScalingInput& in);
+// Decides what to change in the fleet. The counts of recount() must be current and without reservations.
+ScalingPlan plan_scaling(const Cluster& cluster, const JobTable& jobs, const ScalingInput& input);
 
 }  // namespace hareshore
