--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -25,8 +25,8 @@
 VictimRank rank_of(const PassContext& pass, const Victim& victim) {
     const Job& job = *victim.job;
     Seconds now = pass.input.now;
-    return {job.spec.gang(), job.spec.checkpoint_s <= 0, job.spec.priority, !job.likely_late(pass.input.config, now),
-            preemption_loss(victim, now)};
+    return {job.spec.gang(), job.spec.checkpoint_s <= 0, job.spec.priority,
+            !job.likely_late(pass.input.config, now), preemption_loss(victim, now)};
 }
 
 // Whether a team's own job yields its share of the team's limit to another of the team. A gang is stopped
