--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -19,10 +19,10 @@
 inline constexpr size_t kMachinesPerDeletionRequest = 100;
 // Machines per page of the cloud's list: the protocol's limit.
 inline constexpr int kMachineListPageSize = 500;
-// Items per page when a new leader reads the records: a page of full records stays below
+// Items per page when a new leader reads the records: a page has 512 KiB, which stays below
 // kSmallestResponseLimit.
 inline constexpr size_t kRecordPageSize = 200;
-// The largest integer that every peer can represent exactly: JSON numbers are IEEE doubles.
+// The largest integer that every peer can represent exactly: beyond it, doubles are rounded.
 inline constexpr uint64_t kMaxExactInteger = 1ULL << 53;
 
 // --- http: server, client and MessagePack -----------------------------------------------------------
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -20,8 +20,8 @@
         refill(now);
         return available_;
     }
-    // Takes `tokens` if there are as many; else takes none and returns false. Who takes only what available() returned
-    // may ignore the result.
+    // Takes `tokens` if there are as many; else takes none and returns false. Who takes only what available()
+    // returned may ignore the result.
     bool take(double tokens, Seconds now) {
         refill(now);
         if (available_ + constants::kTokenRoundingTolerance < tokens) return false;
--- a/src/jobs/failure_accounting.cc
+++ b/src/jobs/failure_accounting.cc
@@ -72,7 +72,8 @@
     // What was started since the last quick exit and runs steadily shows that replicas stay again.
     bool since_last_exit =
         !job.failures.last_quick_exit_at || replica.bound_at >= *job.failures.last_quick_exit_at;
-    if (since_last_exit && replica.ran(now) >= constants::kReplicaStableRun_s) job.failures.clear_quick_exits();
+    if (since_last_exit && replica.ran(now) >= constants::kReplicaStableRun_s)
+        job.failures.clear_quick_exits();
 }
 
 }  // namespace hareshore
--- a/src/jobs/placement.h
+++ b/src/jobs/placement.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/clock.h"
-#include "workers/workers.h"
+#include "workers/worker_heartbeat.h"
 
 namespace hareshore {
 
--- a/src/jobs/record_room.cc
+++ b/src/jobs/record_room.cc
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "base/constants.h"
+#include "http/json_size.h"
 #include "jobs/compact_wire.h"
 #include "jobs/job.h"
 
@@ -99,8 +100,9 @@
 bool room_in_format(const Job& job, uint64_t record_format, size_t limit,
                     std::span<const Machine* const> machines) {
     // The ends of what is live may lengthen the done ranges by more than they take away.
-    size_t growth_each =
-        job.spec.tasks > constants::kSmallJobTasks ? constants::kDoneRangesGrowthBytes - constants::kMinPlacementBytes : 0;
+    size_t growth_each = job.spec.tasks > constants::kSmallJobTasks
+                             ? constants::kDoneRangesGrowthBytes - constants::kMinPlacementBytes
+                             : 0;
     size_t growth = growth_each * (job.live.size() + machines.size());
     size_t added = 0;
     for (const Machine* machine : machines) added += placement_bytes(job, record_format, *machine);
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -35,7 +35,8 @@
                                                 std::move(stops));
         machine = parts_.cluster.machine(machine_name);
         if (heartbeat && machine && heartbeat->newer_than(machine->incarnation, machine->sequence)) {
-            parts_.jobs.apply(parts_.cluster, *machine, *heartbeat, false, parts_.loop.now());
+            parts_.jobs.apply_heartbeat(parts_.cluster, *machine, *heartbeat, Absence::kUnproven,
+                                        parts_.loop.now());
             parts_.pass_requests.request();
             if (incarnation == 0) parts_.connections.of(machine_name).resend = true;
         }
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -169,8 +169,7 @@
         co_await back_off();
         co_return std::nullopt;
     }
-    if (record_format.status == StoreStatus::kOk &&
-        !reads_record_format(record_format.entry.data)) {
+    if (record_format.status == StoreStatus::kOk && !reads_record_format(record_format.entry.data)) {
         log::error("election_not_joined", {{"reason", "newer_record_format"}});
         stop_campaigning();
         co_return std::nullopt;
--- a/src/leader/fleet_report.cc
+++ b/src/leader/fleet_report.cc
@@ -99,7 +99,7 @@
     for (const auto& [id, job] : parts_.jobs.all()) {
         const Seconds waited = now - job->wait.since;
         if (!job->waiting() || waited < constants::kWaitLogInterval_s) continue;
-        if (now - job->wait.reason_logged_at < constants::kWaitLogInterval_s) continue;
+        if (!job->wait.reason_log_due(now)) continue;
         job->wait.reason_logged_at = now;
         log_waiting_job(id, *job, waited);
     }
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -55,14 +55,11 @@
 // machine that is deleted runs nothing.
 void FleetScaler::delete_machines_holding_cancelled() {
     if (!parts_.leadership.lease_confirmed() && !parts_.leadership.no_other_leader()) return;
-    ScalingPlan plan;
-    plan.scale_in = machines_holding_cancelled(parts_.cluster, parts_.jobs, parts_.config, parts_.loop.now(),
-                                               listening_since());
-    for (const auto& name : plan.scale_in) {
-        plan.silent.insert(name);
-        plan.reasons[name] = "it may hang with a task of a cancelled job";
-    }
-    parts_.deletion.start(plan);
+    std::vector<ScaleInDecision> decisions;
+    for (auto& name : machines_holding_cancelled(parts_.cluster, parts_.jobs, parts_.config,
+                                                 parts_.loop.now(), listening_since()))
+        decisions.push_back({std::move(name), ScaleInReason::kHoldsCancelledTask, true});
+    parts_.deletion.start(decisions);
 }
 
 // A leader that was partitioned or stood still may have been followed by another: what it rents and deletes
@@ -77,29 +74,28 @@
 void FleetScaler::scale() {
     const Seconds now = parts_.loop.now();
     parts_.jobs.cordon_stragglers(parts_.cluster, now);
-    parts_.jobs.move_replicas(parts_.cluster, now);
+    parts_.jobs.move_replicas(parts_.cluster);
     ScalingInput input{parts_.config,
                        parts_.settings,
                        now,
                        listening_since(),
                        parts_.rental.refused_until(),
                        parts_.rental.on_order(),
-                       true,
                        only_spot_jobs(parts_.jobs),
                        partitioned_at_};
     parts_.scheduling.recount_cluster();
     parts_.report.account_gpu_time(constants::kScalingInterval_s);
     const ScalingPlan plan = plan_scaling(parts_.cluster, parts_.jobs, input);
     log_partitions(plan);
-    for (const auto& request : plan.rent) parts_.rental.start(request);
-    parts_.deletion.start(plan);
+    for (const auto& request : plan.scale_out) parts_.rental.start(request);
+    parts_.deletion.start(plan.scale_in);
     drain_machines(plan);
     parts_.report.log_all();
 }
 
 void FleetScaler::log_partitions(const ScalingPlan& plan) {
     const Seconds now = parts_.loop.now();
-    for (const auto& zone : plan.cut) {
+    for (const auto& zone : plan.partitioned_zones) {
         auto [it, first] = partitioned_at_.try_emplace(zone, now);
         if (first || now - it->second > constants::kWaitLogInterval_s)
             log::info("zone_partitioned", {{"zone", zone}});
@@ -114,7 +110,7 @@
         log::info("machine_draining",
                   {{"machine", name}, {"tasks", machine->placed_tasks}, {"reason", "consolidation"}});
         machine->draining = true;
-        drain_machine(parts_.jobs, *machine, parts_.loop.now());
+        drain_machine(parts_.jobs, *machine);
     }
 }
 
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -87,9 +87,11 @@
     update_reachability(machine, heartbeat, route);
     // Only a machine that has seen this leader's fencing token can no longer be given launches by an earlier
     // leader, so only then does a task's absence prove anything.
-    bool has_news = parts_.jobs.apply(parts_.cluster, machine, heartbeat, machine.has_current_token, parts_.loop.now());
+    const Absence absence = machine.has_current_token ? Absence::kProven : Absence::kUnproven;
+    bool has_news =
+        parts_.jobs.apply_heartbeat(parts_.cluster, machine, heartbeat, absence, parts_.loop.now());
     if (machine.spot_reclaim_at && !had_spot_notice) {
-        drain_machine(parts_.jobs, machine, parts_.loop.now());
+        drain_machine(parts_.jobs, machine);
         has_news = true;
     }
     const bool reachable = !machine.unreachable_since;
@@ -145,7 +147,8 @@
                   {{"machine", machine.name}, {"reason", "cancellation_could_be_missing"}});
         return not_answered();
     }
-    const std::vector<Command> commands = parts_.jobs.commands(machine, machine.has_current_token ? LaunchCommands::kInclude : LaunchCommands::kOmit);
+    const std::vector<Command> commands = parts_.jobs.commands(
+        machine, machine.has_current_token ? LaunchCommands::kInclude : LaunchCommands::kOmit);
     for (const auto& command : commands)
         log::debug("command_sent", {{"command", command_name(command.kind)},
                                     {"task", command.name.text()},
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -141,8 +141,9 @@
 }
 
 size_t Leader::machines_seen() const {
-    return static_cast<size_t>(std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
-                                             [](const auto& entry) { return entry.second->heartbeat_received; }));
+    return static_cast<size_t>(
+        std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
+                      [](const auto& entry) { return entry.second->heartbeat_received; }));
 }
 
 std::string Leader::jobs_page() const {
--- a/src/leader/machine_drain.cc
+++ b/src/leader/machine_drain.cc
@@ -2,12 +2,13 @@
 
 namespace hareshore {
 
-void drain_machine(JobTable& jobs, const Machine& machine, Seconds now) {
+void drain_machine(JobTable& jobs, const Machine& machine) {
     const bool reclaimed = machine.spot_reclaim_at.has_value();
     const std::vector<PlacedTask> tasks = jobs.on_machine(machine.name);  // a copy: stop() may change it
     for (const auto& placed : tasks) {
         const JobSpec& spec = placed.job->spec;
-        if (spec.service() ? reclaimed : spec.checkpoint_s > 0) jobs.stop(*placed.job, placed.task, StopMode::kSaveFirst);
+        if (spec.service() ? reclaimed : spec.checkpoint_s > 0)
+            jobs.stop(*placed.job, placed.task, StopMode::kSaveFirst);
     }
 }
 
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -85,7 +85,7 @@
     size_t writes =
         std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.available(parts_.loop.now())));
     std::vector<Job*> jobs = parts_.jobs.take_unwritten(std::max(kWritesPerFinish, writes),
-                                                    constants::kTransactionBytes, record_format_);
+                                                        constants::kTransactionBytes, record_format_);
     if (singles_left_ > 0 && !jobs.empty()) {
         --singles_left_;
         for (size_t i = 1; i < jobs.size(); ++i) parts_.jobs.queue_write(*jobs[i]);
@@ -147,7 +147,8 @@
     Job* job = parts_.jobs.find(job_id);
     if (!job) return;
     defer(*job, job->persistence.in_flight_version, DeferReason::kRefused);
-    if (!job->persistence.write_deferred(record_format_)) parts_.jobs.queue_write(*job);  // it has changed since
+    if (!job->persistence.write_deferred(record_format_))
+        parts_.jobs.queue_write(*job);  // it has changed since
 }
 
 void RecordWriter::queue_write(const Batch& batch) {
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -48,7 +48,7 @@
     if (!parts_.lifecycle.loaded() || parts_.lifecycle.stopped()) return;
     recount_cluster();
     SchedulerInput input{
-        parts_.config, parts_.settings, parts_.loop.now(), {}, nullptr, parts_.record_format.in_force()};
+        parts_.config, parts_.settings, parts_.loop.now(), {}, parts_.record_format.in_force()};
     for (auto& [name, machine] : parts_.cluster.machines)
         if (machine->heartbeat_held) input.requesting_machines.push_back(machine.get());
     for (const auto& binding : schedule(parts_.cluster, parts_.jobs, input))
--- a/tests/cloud/cloud_wire_test.cc
+++ b/tests/cloud/cloud_wire_test.cc
@@ -49,7 +49,7 @@
                                         {"c1", 4, 0, 16, 20, 0.5, 0.2, 0.1, 30, {"a"}}};
     auto read = decode_machine_types(encode_machine_types(written));
     ASSERT_TRUE(read);
-    ASSERT_EQ(read->size(), 2u);
+    ASSERT_EQ(read->size(), 2U);
     const MachineType& type = read->front();
     EXPECT_EQ(type.name, "g8");
     EXPECT_EQ(type.cpus, 96);
@@ -98,10 +98,10 @@
     type.cpus = 16;
     type.gpus = 2;
     type.memory_gb = 64;
-    EXPECT_TRUE(type.fits(16, 2, 64));
-    EXPECT_FALSE(type.fits(16.5, 2, 64));
-    EXPECT_FALSE(type.fits(16, 3, 64));
-    EXPECT_FALSE(type.fits(16, 2, 65));
+    EXPECT_TRUE(type.count_fitting(16, 2, 64));
+    EXPECT_FALSE(type.count_fitting(16.5, 2, 64));
+    EXPECT_FALSE(type.count_fitting(16, 3, 64));
+    EXPECT_FALSE(type.count_fitting(16, 2, 65));
 }
 
 TEST(CloudWire, APageOfMachines) {
@@ -112,7 +112,7 @@
     auto page = decode_machine_page(answer_of(200, machine_page({row.take(), machine_row("vm-2")}, true)));
     ASSERT_TRUE(page);
     EXPECT_TRUE(page->more);
-    ASSERT_EQ(page->machines.size(), 2u);
+    ASSERT_EQ(page->machines.size(), 2U);
     const ListedMachine& machine = page->machines[0];
     EXPECT_EQ(machine.name, "vm-1");
     EXPECT_EQ(machine.addr, "10.1.0.1:9000");
--- a/tests/jobs/record_format_test.cc
+++ b/tests/jobs/record_format_test.cc
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "http/json_size.h"
-#include "jobs/compact.h"
-#include "jobs/table.h"
+#include "jobs/compact_wire.h"
+#include "jobs/job_table.h"
 #include "standins/production_records.h"
 #include "standins/records.h"
 
@@ -178,14 +178,14 @@
                                      TaskPhase::kExited,
                                      rng() % 4 ? ExitCause::kDone : ExitCause::kStopped,
                                      false}};
-                    jobs.apply(cluster, holder, report, false, 0);
+                    jobs.apply_heartbeat(cluster, holder, report, Absence::kUnproven, 0);
                 } else {
                     jobs.machine_deleted(name, 0);
                 }
             }
             most_live = std::max(most_live, job.live.size());
             if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
-            JobRecord now = job.record();
+            JobRecord now = job.to_record();
             ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
             if (record_format == 1) {
                 ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
--- a/tests/jobs/task_lifecycle_test.cc
+++ b/tests/jobs/task_lifecycle_test.cc
@@ -20,10 +20,11 @@
     Machine& machine = add_machine("vm-1");
     ASSERT_EQ(schedule_for({&machine}).size(), 1u);
     EXPECT_TRUE(jobs.awaits_commit(machine));
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 0u);
     mark_committed(job);
-    EXPECT_EQ(count_launches(jobs.commands(machine, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 1u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kOmit)), 0u)
+        << "a direct command carries no launch";
+    EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 1u);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
@@ -33,10 +34,10 @@
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
     mark_committed(job);
-    auto first = jobs.commands(machine, true);
-    jobs.apply(cluster, machine, heartbeat(machine, {}), true, now += 3);
+    auto first = jobs.commands(machine, LaunchCommands::kInclude);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kProven, now += 3);
     ASSERT_EQ(job.live.size(), 1u);
-    auto second = jobs.commands(machine, true);
+    auto second = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(count_launches(second), 1u);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
@@ -48,13 +49,14 @@
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
     mark_committed(job);
-    jobs.commands(machine, true);
+    jobs.commands(machine, LaunchCommands::kInclude);
     WorkerHeartbeat late = heartbeat(machine, {});
     late.sequence = machine.sequence;  // the report that was answered with the launch
     EXPECT_FALSE(late.newer_than(machine.incarnation, machine.sequence));
-    jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
-               now += 3);
-    jobs.apply(cluster, machine, heartbeat(machine, {}), false, now += 1);
+    jobs.apply_heartbeat(cluster, machine,
+                         heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now += 3);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kUnproven, now += 1);
     EXPECT_EQ(job.live.size(), 1u);
 }
 
@@ -64,13 +66,14 @@
     Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& machine = cluster.ensure("vm-1", now);
     machine.machine_type = "g2";
-    jobs.apply(cluster, machine, heartbeat(machine, {}), false, now);  // has not seen the epoch
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kUnproven,
+                         now);  // has not seen the epoch
     EXPECT_EQ(job.live.size(), 1u);
     Machine& other = add_machine("vm-2");
     EXPECT_TRUE(schedule_for({&other}).empty());
-    jobs.apply(cluster, machine, heartbeat(machine, {}), true, now);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kProven, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
-    auto commands = jobs.commands(machine, true);
+    auto commands = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(count_launches(commands), 1u);
     EXPECT_EQ(commands[0].attempt, 3u);
     EXPECT_TRUE(schedule_for({&other}).empty());
@@ -93,12 +96,12 @@
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
     mark_committed(job);
-    jobs.commands(machine, true);
+    jobs.commands(machine, LaunchCommands::kInclude);
     auto exited = task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kError);
-    jobs.apply(cluster, machine, heartbeat(machine, {exited}), true, now += 3);
-    EXPECT_TRUE(jobs.commands(machine, true).empty()) << "the exit is not committed yet";
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {exited}), Absence::kProven, now += 3);
+    EXPECT_TRUE(jobs.commands(machine, LaunchCommands::kInclude).empty()) << "the exit is not committed yet";
     mark_committed(job);
-    auto o = jobs.commands(machine, true);
+    auto o = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].kind, CommandKind::kForget);
     Machine& other = add_machine("vm-2");
@@ -117,16 +120,16 @@
     Machine& machine = *cluster.machine(gang.live.at(0).machine);
     auto t0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
          t1 = task_status("job-1", 1, 1, TaskPhase::kRunning);
-    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
-    EXPECT_TRUE(gang.started);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
+    EXPECT_TRUE(gang.gang_attempt.started);
     exit_task(t0, ExitCause::kPeersGone);
-    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
     EXPECT_TRUE(schedule_for({&first, &y}).empty());
-    EXPECT_EQ(gang.wait_reason, WaitReason::kOldAttempt);
-    auto o = jobs.commands(machine, true);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kOldAttempt);
+    auto o = jobs.commands(machine, LaunchCommands::kInclude);
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.kind == CommandKind::kStop; }));
     exit_task(t1, ExitCause::kStopped);
-    jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
     EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
     EXPECT_EQ(gang.live.at(0).attempt, 2u);
 }
@@ -138,14 +141,14 @@
     mark_committed(gang);
     Machine& machine = *cluster.machine(gang.live.at(0).machine);
     Machine& other = &machine == &first ? y : first;
-    jobs.apply(cluster, machine,
-               heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning),
-                                   task_status("job-1", 1, 1, TaskPhase::kRunning)}),
-               true, now);
-    jobs.apply(cluster, machine,
-               heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
-                                   task_status("job-1", 1, 1, TaskPhase::kRunning)}),
-               true, now += 3);
+    jobs.apply_heartbeat(cluster, machine,
+                         heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning),
+                                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now);
+    jobs.apply_heartbeat(cluster, machine,
+                         heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kExited, ExitCause::kDone),
+                                             task_status("job-1", 1, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now += 3);
     EXPECT_TRUE(gang.finished());
     recount_resources();
     EXPECT_EQ(cluster.teams["team"].gpus, 1.0);
@@ -156,12 +159,12 @@
 TEST_F(TaskLifecycle, StopsUnplacedTasksAndStartsNothingBesideThem) {
     add_job(job_spec("job-1", 1));
     Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
-    jobs.apply(cluster, first,
-               heartbeat(first, {task_status("job-1", 0, 77, TaskPhase::kRunning),
-                                 task_status("job-9", 0, 1, TaskPhase::kRunning)}),
-               true, now);
+    jobs.apply_heartbeat(cluster, first,
+                         heartbeat(first, {task_status("job-1", 0, 77, TaskPhase::kRunning),
+                                           task_status("job-9", 0, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now);
     EXPECT_TRUE(schedule_for({&y}).empty());
-    auto o = jobs.commands(first, true);
+    auto o = jobs.commands(first, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 2u);
     EXPECT_EQ(o[0].kind, CommandKind::kStop);
     EXPECT_EQ(o[1].kind, CommandKind::kStop);
@@ -172,14 +175,15 @@
     Machine& machine = add_machine("vm-1");
     ASSERT_EQ(schedule_for({&machine}).size(), 2u);
     mark_committed(job);
-    jobs.commands(machine, true);
+    jobs.commands(machine, LaunchCommands::kInclude);
     jobs.cancel(job, now);
     EXPECT_TRUE(schedule_for({&machine}).empty());
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 0u);
     // The launch was in flight and took effect.
-    jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
-               now += 3);
-    auto o = jobs.commands(machine, true);
+    jobs.apply_heartbeat(cluster, machine,
+                         heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now += 3);
+    auto o = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(o.size(), 1u);
     EXPECT_EQ(o[0].kind, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
--- a/tests/jobs/lifecycle_table_test.cc
+++ b/tests/jobs/task_transitions_test.cc
@@ -1,13 +1,12 @@
 // The lifecycle of a task: each pair of state and event in the table, and what JobTable makes of the same
 // pair.
-#include "jobs/task_lifecycle.h"
-
 #include <gtest/gtest.h>
 
 #include <array>
 
 #include "jobs/job_table.h"
-#include "standins/scheduling_test.h"
+#include "jobs/task_lifecycle.h"
+#include "standins/scheduling_fixture.h"
 
 namespace hareshore::test {
 
@@ -165,7 +164,7 @@
 
 }  // namespace
 
-TEST(TaskLifecycle, ReactsToEveryEventInEveryStateAsWritten) {
+TEST(TaskTransitions, ReactsToEveryEventInEveryStateAsWritten) {
     using Row = std::array<const char*, kTaskEvents>;
     // Events in the order of kEvents, a row each state in the order of kStates.
     const std::array<Row, kTaskStates> expected{{
@@ -195,7 +194,7 @@
 }
 
 // What is not accepted leaves the state as it is.
-TEST(TaskLifecycle, MovesOnlyOnAcceptedEvents) {
+TEST(TaskTransitions, MovesOnlyOnAcceptedEvents) {
     for (TaskState state : kStates)
         for (TaskEvent event : kEvents)
             if (!transition(state, event).accepted()) {
@@ -205,7 +204,7 @@
 
 // Every pair but two kinds: nobody may bind a task that is placed or done, and a placement's attempt cannot
 // end where there is no placement.
-TEST(TaskLifecycle, IsWhatTheJobTableDoes) {
+TEST(TaskTransitions, IsWhatTheJobTableDoes) {
     size_t pairs = 0;
     for (TaskState state : kStates)
         for (TaskEvent event : kEvents) {
--- a/tests/scheduler/gang_reservation_test.cc
+++ b/tests/scheduler/gang_reservation_test.cc
@@ -22,7 +22,8 @@
     Job& busy = add_job(longer);
     jobs.bind(busy, 0, y, 1, now);
     mark_committed(busy);
-    jobs.apply(cluster, y, heartbeat(y, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true, now);
+    jobs.apply_heartbeat(cluster, y, heartbeat(y, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
+                         Absence::kProven, now);
     JobSpec gang_spec = job_spec("job-2", 2, JobKind::kGang);
     gang_spec.gpus = 2;
     gang_spec.single_zone = true;
@@ -58,7 +59,7 @@
     config.teams[0].gpus_max = 5;
     EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty())
         << "what is free is kept from lower work";
-    EXPECT_EQ(lower.wait_reason, WaitReason::kTeamLimit);
+    EXPECT_EQ(lower.wait.reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
     schedule_for({&first});
@@ -79,7 +80,7 @@
         if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
     add_job(job_spec("job-4", 1));
     EXPECT_TRUE(schedule_for({&first, &y}).empty()) << "what is free of the limit is kept";
-    EXPECT_EQ(gang.wait_reason, WaitReason::kTeamLimit);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kTeamLimit);
     // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
     // would be started again, and stopped again.
     config.teams[0].gpus_max = cluster.teams["team"].gpus + 2;
@@ -88,7 +89,7 @@
     gang.spec.zone = "b";
     gang.pending = Ranges::whole(2);
     EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty());
-    EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kGangRoom);
 }
 
 // What is kept of the limit for a starved gang does not count against itself: it still keeps the machines
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -43,7 +43,7 @@
     Job& gang = add_job(job_spec("job-1", 4, JobKind::kGang));
     Machine& first = add_machine("vm-1");
     EXPECT_TRUE(schedule_for({&first}).empty());
-    EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kGangRoom);
     add_machine("vm-2");
     EXPECT_EQ(schedule_for({&first}).size(), 4u);
     std::set<uint64_t> attempts;
@@ -57,7 +57,7 @@
     holder.cache.set_capacity(50);
     holder.cache.use(job.spec.image, 2);
     EXPECT_TRUE(schedule_for({&asker}).empty());
-    EXPECT_EQ(job.wait_reason, WaitReason::kHeldForImage);
+    EXPECT_EQ(job.wait.reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(schedule_for({&asker}).size(), 1u) << "not for ever";
 }
--- a/tests/scheduler/scheduling_cost_test.cc
+++ b/tests/scheduler/scheduling_cost_test.cc
@@ -22,23 +22,23 @@
     for (int i = 0; i < 40; ++i) machines.push_back(&add_machine("vm-" + std::to_string(100 + i)));
     EXPECT_EQ(schedule_for(machines).size(), 80u);
     EXPECT_LE(job.pending.range_count(), 1u);
-    EXPECT_LT(job.record().pack(1).size(), config.value_bytes);
+    EXPECT_LT(job.to_record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
-    ScalingInput in{config, settings, now, now, {}, {}, true, false};
+    ScalingInput in{config, settings, now, now, {}, {}, false};
     auto plan = plan_scaling(cluster, jobs, in);
     int number = 0;
-    for (auto& r : plan.rent) number += r.number;
+    for (auto& r : plan.scale_out) number += r.number;
     EXPECT_EQ(number, 80) << "up to the most machines in each of two zones, and not one a task";
     // By default only the cloud's capacity bounds a zone: with 200 machines a zone as the default a fleet of
     // 700 stayed at 400, and most of a class was not served. What is asked for at once stays bounded.
     settings.max_machines = 0;
     for (int i = 0; i < 260; ++i) add_machine("vm-b" + std::to_string(100 + i)).free = {};
     number = 0;
-    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).scale_out) number += r.number;
     EXPECT_EQ(number, 300);
-    in.on_order = {{{"g2", "a", false}, 50}, {{"g2", "b", false}, 50}};
+    in.pending_scale_out = {{{"g2", "a", false}, 50}, {{"g2", "b", false}, 50}};
     number = 0;
-    for (auto& r : plan_scaling(cluster, jobs, in).rent) number += r.number;
+    for (auto& r : plan_scaling(cluster, jobs, in).scale_out) number += r.number;
     EXPECT_EQ(number, 200);
 }
 
@@ -62,7 +62,8 @@
             spec.priority = i % 20 ? PriorityClass::kIdle : PriorityClass::kHigh;
             Job& job = add_job(spec);
             for (uint32_t t = 0; t < 20; ++t)
-                jobs.bind(job, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
+                jobs.bind(job, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).acknowledged =
+                    true;
         }
         for (int i = 0; i < machines / 5; ++i) {
             JobSpec spec = job_spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
@@ -74,12 +75,12 @@
         }
         Cost c;
         recount_resources();
-        SchedulerInput in{config, settings, now, {}, &c.round};
+        SchedulerInput in{config, settings, now, {}, kNewestRecordFormat, &c.round};
         for (int i = 0; i < machines; i += 50)
             in.requesting_machines.push_back(fleet_machines[static_cast<size_t>(i)]);
         schedule(cluster, jobs, in);
         recount_resources();
-        ScalingInput f{config, settings, now, now, {}, {}, true, false, {}, &c.plan};
+        ScalingInput f{config, settings, now, now, {}, {}, false, {}, &c.plan};
         plan_scaling(cluster, jobs, f);
         return c;
     };
--- a/tests/scheduler/service_rebinding_test.cc
+++ b/tests/scheduler/service_rebinding_test.cc
@@ -73,10 +73,10 @@
     Job& job = add("job-1", 2, [](JobSpec& spec) { spec.single_zone = true; });
     Machine &first = add_machine("vm-1"), &y = add_machine("vm-2"), &other = add_machine("vm-3", "b");
     ASSERT_EQ(bound({&first}), 2U);
-    jobs.stop(job, 0, now);
+    jobs.stop(job, 0, StopMode::kSaveFirst);
     EXPECT_EQ(bound({&other}), 0U) << "both may still be live";
     // One has ended; the other is being stopped, and counts until it is gone.
-    jobs.stop(job, 1, now);
+    jobs.stop(job, 1, StopMode::kSaveFirst);
     report(first, {task_status("job-1", 0, job.live.at(0).attempt, TaskPhase::kExited, ExitCause::kStopped),
                    task_status("job-1", 1, job.live.at(1).attempt, TaskPhase::kRunning)});
     ASSERT_EQ(job.pending.size(), 1U);
@@ -99,7 +99,7 @@
         ASSERT_EQ(bound({&b}), replicas - half) << replicas;
         // Those of `b` move: until their exit is known they are there, and there is no room in `a`.
         for (const auto& [task, p] : job.live)
-            if (p.machine == "vm-2") jobs.stop(job, task, now);
+            if (p.machine == "vm-2") jobs.stop(job, task, StopMode::kSaveFirst);
         EXPECT_EQ(bound({&in_a, &again}), 0U) << replicas;
         delete_machine(b.name);
         EXPECT_EQ(bound({&in_a, &again}), 0U) << replicas;
@@ -128,9 +128,9 @@
             spec.kind = JobKind::kArray;
         });
         add("job-3", 1, amount);
-        for (uint32_t task = 0; task < 4; ++task) jobs.stop(job, task, now);
+        for (uint32_t task = 0; task < 4; ++task) jobs.stop(job, task, StopMode::kSaveFirst);
         EXPECT_EQ(bound({&y}), 0U) << "stopping is not gone";
-        first.current = false;
+        first.has_current_token = false;
         now += 500;
         EXPECT_EQ(bound({&y}), 0U) << "nor is silence";
         delete_machine(first.name);
@@ -140,7 +140,7 @@
         has_unplaced_task.name = {"job-9", 0};
         has_unplaced_task.attempt = 1;
         has_unplaced_task.phase = TaskPhase::kRunning;
-        has_unplaced_task.sized = true;
+        has_unplaced_task.size_known = true;
         has_unplaced_task.team = "team";
         has_unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
         Machine& third = add_machine("vm-3");
