--- a/src/cloud/cloud_wire.h
+++ b/src/cloud/cloud_wire.h
@@ -30,14 +30,14 @@
 // The machines after the one of this name; all, if it is empty.
 [[nodiscard]] std::string machine_page_path(const std::string& after);
 // None if the request failed or the body is malformed.
-[[nodiscard]] std::optional<MachinePage> decode_machine_page(const Answer& answer);
+[[nodiscard]] std::optional<MachinePage> decode_machine_page(const CallResult& answer);
 
 [[nodiscard]] std::string creation_path();
 [[nodiscard]] std::string encode_create_request(const CreateMachinesRequest& request);
-[[nodiscard]] CreateMachinesResult decode_create_answer(const Answer& answer);
+[[nodiscard]] CreateMachinesResult decode_create_answer(const CallResult& answer);
 
 [[nodiscard]] std::string deletion_path();
 [[nodiscard]] std::string encode_delete_request(const std::vector<std::string>& machines);
-[[nodiscard]] DeleteOutcome decode_delete_answer(const Answer& answer);
+[[nodiscard]] DeleteOutcome decode_delete_answer(const CallResult& answer);
 
 }  // namespace hareshore
--- a/src/leader/cancellation_guard.cc
+++ b/src/leader/cancellation_guard.cc
@@ -27,7 +27,8 @@
 bool CancellationGuard::may_renew() {
     if (!records_known_until_) return false;
     const Config& config = parts_.config;
-    Seconds span = (config.cancel_s - config.lease_s) * (1 - constants::kDrift) - constants::kRenewMargin_s;
+    Seconds span = (config.cancel_s - config.lease_s) * (1 - constants::kClockDriftRate) -
+                   constants::kRenewalRightMargin_s;
     Seconds now = parts_.loop.now();
     // What was known once stays known, also when a peer restarts and can no longer confirm it.
     Seconds known_until =
--- a/src/leader/cloud_inventory.cc
+++ b/src/leader/cloud_inventory.cc
@@ -3,6 +3,7 @@
 #include "base/constants.h"
 #include "base/log.h"
 #include "cloud/cloud_wire.h"
+#include "http/json_size.h"
 
 namespace hareshore {
 
@@ -10,12 +11,12 @@
     while (true) {
         auto machine_types = co_await parts_.cloud.machine_types();
         if (!machine_types) {
-            co_await parts_.loop.sleep(constants::kRetryPauseMax_s);
+            co_await parts_.loop.sleep(constants::kRetryBackoffMax_s);
             continue;
         }
         parts_.cluster.machine_types = std::move(*machine_types);
         if (!machine_types_stored_) co_await store_machine_types();
-        co_await parts_.loop.sleep(constants::kMachineTypesEvery_s);
+        co_await parts_.loop.sleep(constants::kMachineTypesInterval_s);
     }
 }
 
@@ -30,7 +31,8 @@
     Transaction transaction;
     transaction.expect_revision(parts_.term.key, parts_.term.mod_revision)
         .put(kMachineTypesKey, std::move(data));
-    TransactionResult result = co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
+    TransactionResult result =
+        co_await parts_.store.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     machine_types_stored_ = result.status == StoreStatus::kOk || result.status == StoreStatus::kInvalid;
 }
 
@@ -40,7 +42,7 @@
         auto list = co_await parts_.cloud.list_machines();
         if (list)
             for (const auto& listed : *list) add_listed(listed, requested_at);
-        co_await parts_.loop.sleep(list ? constants::kListEvery_s : constants::kRetryPauseMax_s);
+        co_await parts_.loop.sleep(list ? constants::kMachineListInterval_s : constants::kRetryBackoffMax_s);
     }
 }
 
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -22,15 +22,16 @@
     do {
         parts_.connections.of(machine_name).resend = false;
         Machine* machine = parts_.cluster.machine(machine_name);
-        Address address;
-        if (!machine || !Address::parse(machine->addr, address)) break;
+        if (!machine) break;
+        const std::optional<Address> address = Address::parse(machine->addr);
+        if (!address) break;
         std::vector<Command> stops = stops_for(*machine);
         if (stops.empty()) break;
         const uint64_t incarnation = machine->incarnation;
         // The worker numbers the command like a heartbeat, whether or not its answer arrives.
         machine->answered_directly = false;
-        auto heartbeat =
-            co_await send_commands(parts_.loop, address, parts_.fencing_token, incarnation, std::move(stops));
+        auto heartbeat = co_await send_commands(parts_.loop, *address, parts_.fencing_token, incarnation,
+                                                std::move(stops));
         machine = parts_.cluster.machine(machine_name);
         if (heartbeat && machine && heartbeat->newer_than(machine->incarnation, machine->sequence)) {
             parts_.jobs.apply(parts_.cluster, *machine, *heartbeat, false, parts_.loop.now());
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -19,7 +19,7 @@
 // How long a lease surely lasts on this controller's clock that was granted or renewed by a request sent
 // then.
 Seconds lease_lasts_until(Seconds requested_at) {
-    return requested_at + constants::kLeadTtl_s * (1 - constants::kDrift);
+    return requested_at + constants::kLeaderLeaseTtl_s * (1 - constants::kClockDriftRate);
 }
 
 }  // namespace
@@ -77,7 +77,7 @@
     // A list, since only that returns the revision from which to watch: the key's own mod revision may be so
     // old that the store has compacted the changes since.
     ListResult listed =
-        co_await store_.list(kLeaderKey, "", constants::kRecordsPage, constants::kStateCall_s);
+        co_await store_.list(kLeaderKey, "", constants::kRecordPageSize, constants::kStoreCallTimeout_s);
     if (listed.status != StoreStatus::kOk) {
         co_await back_off();
         co_return;
@@ -102,7 +102,8 @@
         log::info("leader_known", {{"leader", record.label}, {"fencing_token", fencing_token}});
         set_leader(record.label);
     }
-    WatchResult watched = co_await store_.watch(kLeaderKey, listed.revision, constants::kLeadWatch_s);
+    WatchResult watched =
+        co_await store_.watch(kLeaderKey, listed.revision, constants::kLeaderWatchTimeout_s);
     if (watched.status != WatchStatus::kOk) co_await back_off();
 }
 
@@ -110,23 +111,23 @@
 // lease.
 Task<void> Election::revoke_own_lease() {
     revoke_own_lease_ = false;
-    co_await store_.revoke_lease(lease_, constants::kStateCall_s);
+    co_await store_.revoke_lease(lease_, constants::kStoreCallTimeout_s);
 }
 
 // The key was left by this controller's last process, which is gone: no need to wait for its lease.
 Task<void> Election::revoke_earlier_process(Revision mod_revision) {
     log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
-    GetResult own = co_await store_.get(kLeaderKey, constants::kStateCall_s);
+    GetResult own = co_await store_.get(kLeaderKey, constants::kStoreCallTimeout_s);
     if (own.status == StoreStatus::kOk && own.entry.mod_revision == mod_revision)
-        co_await store_.revoke_lease(own.entry.lease.value_or(0), constants::kStateCall_s);
+        co_await store_.revoke_lease(own.entry.lease.value_or(0), constants::kStoreCallTimeout_s);
 }
 
 Task<void> Election::campaign_if_allowed() {
     if (campaigning_stopped_ || (stand_down_until_ && loop_.now() < *stand_down_until_)) {
-        co_await loop_.sleep(constants::kLeadRenew_s);
+        co_await loop_.sleep(constants::kLeaderLeaseRenewal_s);
         co_return;
     }
-    co_await loop_.sleep(campaign_delay_ * constants::kElectionSpread_s);
+    co_await loop_.sleep(campaign_delay_ * constants::kElectionJitter_s);
     co_await campaign();
 }
 
@@ -134,7 +135,8 @@
     std::optional<CampaignBasis> basis = co_await read_campaign_basis();
     if (!basis) co_return;
     Seconds requested_at = loop_.now();
-    LeaseResult granted = co_await store_.grant_lease(constants::kLeadTtl_s, constants::kStateCall_s);
+    LeaseResult granted =
+        co_await store_.grant_lease(constants::kLeaderLeaseTtl_s, constants::kStoreCallTimeout_s);
     if (granted.status != StoreStatus::kOk) {
         co_await back_off();
         co_return;
@@ -142,7 +144,7 @@
     uint64_t fencing_token = std::max(basis->last_fencing_token, known_fencing_token_) + 1;
     TransactionResult claimed = co_await claim_leadership(*basis, fencing_token, granted.lease);
     if (claimed.status != StoreStatus::kOk) {
-        co_await store_.revoke_lease(granted.lease, constants::kStateCall_s);
+        co_await store_.revoke_lease(granted.lease, constants::kStoreCallTimeout_s);
         co_return;
     }
     lease_ = granted.lease;
@@ -157,12 +159,12 @@
 
 // Nothing if this controller cannot campaign now; it has waited then.
 Task<std::optional<Election::CampaignBasis>> Election::read_campaign_basis() {
-    GetResult term = co_await store_.get(kTermKey, constants::kStateCall_s);
+    GetResult term = co_await store_.get(kTermKey, constants::kStoreCallTimeout_s);
     if (!read_or_missing(term)) {
         co_await back_off();
         co_return std::nullopt;
     }
-    GetResult record_format = co_await store_.get(kRecordFormatKey, constants::kStateCall_s);
+    GetResult record_format = co_await store_.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
     if (!read_or_missing(record_format)) {
         co_await back_off();
         co_return std::nullopt;
@@ -180,7 +182,7 @@
         std::optional<uint64_t> last = unpack_leader_record(term.entry.data).fencing_token;
         if (!last) {
             log::error("election_not_joined", {{"reason", "term_unreadable"}});
-            co_await loop_.sleep(constants::kRetryPauseMax_s);
+            co_await loop_.sleep(constants::kRetryBackoffMax_s);
             co_return std::nullopt;
         }
         basis.last_fencing_token = *last;
@@ -196,11 +198,11 @@
         .expect_revision(kRecordFormatKey, basis.record_format_revision);
     std::string record = pack_leader_record(label_, fencing_token);
     transaction.put(kLeaderKey, record, lease).put(kTermKey, record);
-    TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStateCall_s);
+    TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     if (result.status == StoreStatus::kUnknown) {
         // It may have been executed: only the key shows that, and a late copy cannot win once the term has
         // moved on.
-        GetResult current = co_await store_.get(kLeaderKey, constants::kStateCall_s);
+        GetResult current = co_await store_.get(kLeaderKey, constants::kStoreCallTimeout_s);
         if (current.status == StoreStatus::kOk && current.entry.lease == lease) {
             result.status = StoreStatus::kOk;
             result.revision = current.entry.mod_revision;
@@ -210,20 +212,21 @@
 }
 
 Task<void> Election::renew_lease() {
-    Seconds pause = constants::kLeadRenew_s;
+    Seconds pause = constants::kLeaderLeaseRenewal_s;
     while (leading_) {
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds requested_at = loop_.now();
-        StoreStatus status = co_await store_.renew_lease(lease_, constants::kStateCall_s);
+        StoreStatus status = co_await store_.renew_lease(lease_, constants::kStoreCallTimeout_s);
         if (status == StoreStatus::kOk) lease_confirmed_until_ = lease_lasts_until(requested_at);
         if (status == StoreStatus::kNotFound) step_down(LossReason::kLeaseExpired);
-        pause = status == StoreStatus::kOk ? constants::kLeadRenew_s : constants::kRetryPause_s * 2;
+        pause =
+            status == StoreStatus::kOk ? constants::kLeaderLeaseRenewal_s : constants::kRetryBackoff_s * 2;
     }
 }
 
 Task<void> Election::back_off() {
-    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
     co_await loop_.sleep(retry_pause_);
 }
 
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -33,7 +33,7 @@
     // The highest fencing token that this controller has seen.
     [[nodiscard]] uint64_t known_fencing_token() const { return known_fencing_token_; }
     // Notified when leading() or leader() changes.
-    Signal& changed() { return changed_; }
+    Condition& changed() { return changed_; }
 
     // Ends this controller's term, if it leads. The lease stays until it expires or the next round revokes
     // it.
@@ -79,7 +79,7 @@
     std::optional<Seconds> lease_confirmed_until_;
     std::optional<Seconds> stand_down_until_;
     Seconds retry_pause_ = 0;
-    Signal changed_;
+    Condition changed_;
 };
 
 }  // namespace hareshore
--- a/src/leader/finished_jobs.cc
+++ b/src/leader/finished_jobs.cc
@@ -7,7 +7,7 @@
 void FinishedJobs::add(const std::string& job_id, uint64_t revision) {
     revisions_[job_id] = revision;
     oldest_first_.push_back(job_id);
-    if (oldest_first_.size() > constants::kFinalCache) {
+    if (oldest_first_.size() > constants::kFinalStateCacheSize) {
         revisions_.erase(oldest_first_.front());
         oldest_first_.pop_front();
     }
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -21,8 +21,8 @@
 Task<void> FleetScaler::run() {
     while (true) {
         const Seconds slept_at = parts_.loop.now();
-        co_await parts_.loop.sleep(constants::kFleetTick_s);
-        note_stall(parts_.loop.now() - slept_at - constants::kFleetTick_s);
+        co_await parts_.loop.sleep(constants::kScalingInterval_s);
+        note_stall(parts_.loop.now() - slept_at - constants::kScalingInterval_s);
         parts_.pass_requests.request();  // time has passed: what was held may be bound
         delete_machines_holding_cancelled();
         repeat_stops();
@@ -71,7 +71,7 @@
     if (!parts_.leadership.lease_confirmed() || parts_.cluster.machine_types.empty()) return false;
     // The machine list lags: what an earlier leader rented shows up only after that.
     const bool first_term = parts_.fencing_token <= 1;
-    return first_term || parts_.lifecycle.loaded_for() >= constants::kLeaderSettle_s;
+    return first_term || parts_.lifecycle.loaded_for() >= constants::kNewLeaderScalingDelay_s;
 }
 
 void FleetScaler::scale() {
@@ -88,7 +88,7 @@
                        only_spot_jobs(parts_.jobs),
                        partitioned_at_};
     parts_.scheduling.recount_cluster();
-    parts_.report.account_gpu_time(constants::kFleetTick_s);
+    parts_.report.account_gpu_time(constants::kScalingInterval_s);
     const ScalingPlan plan = plan_scaling(parts_.cluster, parts_.jobs, input);
     log_partitions(plan);
     for (const auto& request : plan.rent) parts_.rental.start(request);
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -42,7 +42,7 @@
     }
     const Seconds received_at = loop.now();
     while (!lifecycle.loaded() && !lifecycle.stopped())
-        if (co_await loop.wait(lifecycle.loaded_signal(), received_at + hold) == Wake::kTimeout)
+        if (co_await loop.wait(lifecycle.loaded_condition(), received_at + hold) == WakeReason::kTimeout)
             co_return not_answered();
     if (lifecycle.stopped() || parts_.deleted_machines.contains(heartbeat.machine)) co_return not_answered();
 
@@ -65,8 +65,8 @@
             co_return not_answered();
         const bool awaits_commit = parts_.jobs.awaits_commit(*machine);
         if (awaits_commit && !commit_deadline)
-            commit_deadline = std::min(loop.now() + constants::kCommitWait_s,
-                                       received_at + hold + constants::kCommitLast_s);
+            commit_deadline = std::min(loop.now() + constants::kHeartbeatCommitWait_s,
+                                       received_at + hold + constants::kHeartbeatCommitWaitPastHold_s);
         const std::optional<Seconds> until =
             awaits_commit ? commit_deadline : hold_for_work_until(*machine, received_at, hold);
         if (!until || loop.now() >= *until) break;
@@ -121,9 +121,9 @@
     parts_.cluster.machine(name)->holding = true;
     const uint64_t passes_before = scheduling.passes_done();
     parts_.pass_requests.request();
-    const Seconds until = std::min(answer_by, loop.now() + constants::kPassWait_s);
+    const Seconds until = std::min(answer_by, loop.now() + constants::kHeartbeatSchedulingWait_s);
     while (scheduling.passes_done() == passes_before && !parts_.lifecycle.stopped())
-        if (co_await loop.wait(scheduling.pass_done(), until) == Wake::kTimeout) break;
+        if (co_await loop.wait(scheduling.pass_done(), until) == WakeReason::kTimeout) break;
 }
 
 // Nothing if the answer is not to be held.
@@ -134,7 +134,7 @@
     // A replica that is to be started or stopped does not wait for the next heartbeat. Not for long: changes
     // on the machine are reported in its next heartbeat, which is not sent before this one is answered.
     if (parts_.scheduling.could_take_replica(machine) && parts_.jobs.settled_on(machine))
-        return received_at + std::min(hold, constants::kHoldBusy_s);
+        return received_at + std::min(hold, constants::kBusyHeartbeatHold_s);
     return std::nullopt;
 }
 
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -122,8 +122,8 @@
     Loop& loop = environment_.loop;
     const Seconds began = loop.now();
     while (!co_await learn_record_format(environment_.store, environment_.record_format))
-        co_await loop.sleep(constants::kRetryPause_s * 2);
-    while (!co_await record_watch_.read_all()) co_await loop.sleep(constants::kRetryPause_s * 2);
+        co_await loop.sleep(constants::kRetryBackoff_s * 2);
+    while (!co_await record_watch_.read_all()) co_await loop.sleep(constants::kRetryBackoff_s * 2);
     lifecycle_.set_loaded();
     log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", lifecycle_.loaded_at() - began}});
     lifecycle_.notify_loaded();
--- a/src/leader/machine_deletion.cc
+++ b/src/leader/machine_deletion.cc
@@ -23,13 +23,13 @@
         log::info("machine_returned", {{"machine", name}, {"reason", plan.reasons.at(name)}});
         names.push_back(name);
         if (plan.silent.contains(name)) silent.insert(name);
-        if (names.size() == constants::kMachinesPerDeletion) start_portion();
+        if (names.size() == constants::kMachinesPerDeletionRequest) start_portion();
     }
     start_portion();
 }
 
 Task<void> MachineDeletion::delete_machines(std::vector<std::string> names, std::set<std::string> silent) {
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     const Seconds decided_at = parts_.loop.now();
     bool maybe_executed = false;  // a request may have been executed, or may yet be
     while (true) {
@@ -44,7 +44,7 @@
         if (names.empty()) co_return;
         const std::vector<std::string> allowed = allowed_now(names);
         if (allowed.empty()) {
-            co_await parts_.loop.sleep(constants::kRetryPause_s);
+            co_await parts_.loop.sleep(constants::kRetryBackoff_s);
             continue;
         }
         const DeleteOutcome result = co_await parts_.cloud.delete_machines(allowed);
@@ -56,7 +56,7 @@
         }
         maybe_executed = maybe_executed || result == DeleteOutcome::kUnknown;
         co_await parts_.loop.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
 }
 
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -9,7 +9,8 @@
 
 void MachineRental::start(ScaleOutRequest request) {
     while (request.number > 0) {
-        ScaleOutRequest portion{request.kind, std::min(request.number, constants::kMachinesPerRental)};
+        ScaleOutRequest portion{request.kind,
+                                std::min(request.number, constants::kMachinesPerScaleOutRequest)};
         request.number -= portion.number;
         on_order_.push_back(portion);
         parts_.lifecycle.spawn(rent(portion), "rent", Priority::kNormal);
@@ -20,7 +21,7 @@
     // The fencing token is never reused, so neither is the idempotency key.
     const std::string key = "r-" + std::to_string(parts_.fencing_token) + "-" + std::to_string(++requests_);
     const MachineKind& kind = portion.kind;
-    Seconds pause = constants::kRetryPause_s;
+    Seconds pause = constants::kRetryBackoff_s;
     while (true) {
         co_await wait_for_confirmed_lease();
         // Named: GCC 12 destroys an aggregate twice that is made within a co_await expression.
@@ -31,13 +32,13 @@
             break;
         }
         co_await parts_.loop.sleep(pause);
-        pause = std::min(pause * 2, constants::kRetryPauseMax_s);
+        pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
     remove_from_order(portion);
 }
 
 Task<void> MachineRental::wait_for_confirmed_lease() {
-    while (!parts_.leadership.lease_confirmed()) co_await parts_.loop.sleep(constants::kRetryPause_s);
+    while (!parts_.leadership.lease_confirmed()) co_await parts_.loop.sleep(constants::kRetryBackoff_s);
 }
 
 void MachineRental::add_rented(const ScaleOutRequest& portion, const std::vector<std::string>& names) {
--- a/src/leader/pass_requests.h
+++ b/src/leader/pass_requests.h
@@ -17,11 +17,11 @@
     void clear() { pending_ = false; }
     [[nodiscard]] bool pending() const { return pending_; }
     // Notified at each request.
-    Signal& requested() { return requested_; }
+    Condition& requested() { return requested_; }
 
   private:
     bool pending_ = false;
-    Signal requested_;
+    Condition requested_;
 };
 
 }  // namespace hareshore
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -12,8 +12,8 @@
     Revision revision = kAbsentRevision;
     Seconds requested_at = parts_.loop.now();
     while (true) {
-        ListResult page = co_await parts_.store.list(kLivePrefix, from, constants::kRecordsPage,
-                                                     constants::kStateCall_s * 2);
+        ListResult page = co_await parts_.store.list(kLivePrefix, from, constants::kRecordPageSize,
+                                                     constants::kStoreCallTimeout_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
         if (revision == kAbsentRevision)
             revision = page.revision;  // changes since the first page are followed
@@ -32,7 +32,8 @@
     Seconds pause = 0;
     while (true) {
         Seconds requested_at = parts_.loop.now();
-        WatchResult result = co_await parts_.store.watch(kLivePrefix, revision_, constants::kWatchWait_s);
+        WatchResult result =
+            co_await parts_.store.watch(kLivePrefix, revision_, constants::kRecordWatchTimeout_s);
         if (result.status == WatchStatus::kOk) {
             pause = 0;
             for (const auto& change : result.changes) apply(change);
@@ -44,10 +45,10 @@
         if (result.status == WatchStatus::kCompacted && co_await read_all()) {
             // Never at once again: a store that goes on answering so must not be overloaded.
             parts_.pass_requests.request();
-            co_await parts_.loop.sleep(constants::kRetryPause_s);
+            co_await parts_.loop.sleep(constants::kRetryBackoff_s);
             continue;
         }
-        pause = std::clamp(pause * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+        pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
         co_await parts_.loop.sleep(pause);
     }
 }
@@ -80,11 +81,11 @@
 }
 
 Task<void> RecordWatch::reread(std::string job_id) {
-    GetResult live = co_await parts_.store.get(live_key(job_id), constants::kStateCall_s);
+    GetResult live = co_await parts_.store.get(live_key(job_id), constants::kStoreCallTimeout_s);
     if (live.status == StoreStatus::kOk)
         apply({live_key(job_id), false, live.entry.mod_revision, std::move(live.entry.data)});
     if (live.status != StoreStatus::kNotFound) co_return;
-    GetResult final = co_await parts_.store.get(final_key(job_id), constants::kStateCall_s);
+    GetResult final = co_await parts_.store.get(final_key(job_id), constants::kStoreCallTimeout_s);
     if (final.status == StoreStatus::kOk) finish(job_id, final.entry.mod_revision);
     if (final.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", job_id}});
 }
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -4,6 +4,7 @@
 
 #include "base/constants.h"
 #include "base/log.h"
+#include "http/json_size.h"
 
 namespace hareshore {
 
@@ -50,7 +51,7 @@
         if (batch.job_ids.empty()) continue;
         writes_.take(static_cast<double>(batch.transaction.writes.size()), parts_.loop.now());
         TransactionResult result =
-            co_await parts_.store.commit(std::move(batch.transaction), constants::kStateCall_s);
+            co_await parts_.store.commit(std::move(batch.transaction), constants::kStoreCallTimeout_s);
         if (result.status == StoreStatus::kOk) {
             accept_commit(batch, result.revision);
             continue;
@@ -83,8 +84,8 @@
 
 std::vector<Job*> RecordWriter::choose_jobs() {
     size_t writes = std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.left(parts_.loop.now())));
-    std::vector<Job*> jobs =
-        parts_.jobs.take_dirty(std::max(kWritesPerFinish, writes), constants::kTxnBytes, record_format_);
+    std::vector<Job*> jobs = parts_.jobs.take_dirty(std::max(kWritesPerFinish, writes),
+                                                    constants::kTransactionBytes, record_format_);
     if (singles_left_ > 0 && !jobs.empty()) {
         --singles_left_;
         for (size_t i = 1; i < jobs.size(); ++i) parts_.jobs.requeue(*jobs[i]);
@@ -161,8 +162,8 @@
 
 Task<void> RecordWriter::back_off(StoreStatus status) {
     if (status == StoreStatus::kNotExecuted || status == StoreStatus::kRateLimited)
-        writes_.drain(parts_.loop.now());
-    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryPause_s, constants::kRetryPauseMax_s);
+        writes_.mark_exhausted(parts_.loop.now());
+    retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
     co_await parts_.loop.sleep(retry_pause_);
 }
 
@@ -184,12 +185,12 @@
                 .expect_absent(kRecordFormatKey)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
             writes_.take(1, parts_.loop.now());
-            co_await parts_.store.commit(std::move(transaction), constants::kStateCall_s);
+            co_await parts_.store.commit(std::move(transaction), constants::kStoreCallTimeout_s);
             // Whatever became of it, the key shows.
             co_await learn_record_format(parts_.store, parts_.record_format);
         }
         if (parts_.record_format.kept < kNewestRecordFormat)
-            co_await parts_.loop.sleep(constants::kRecordFormatEvery_s);
+            co_await parts_.loop.sleep(constants::kRecordFormatPollInterval_s);
     }
     changed_.notify();
 }
--- a/src/leader/record_writer.h
+++ b/src/leader/record_writer.h
@@ -65,7 +65,7 @@
     TokenBucket writes_;      // this leader's share of the store's write rate
     Seconds retry_pause_ = 0;
     size_t singles_left_ = 0;  // so many records are written one by one, to find the one that is refused
-    Signal changed_;
+    Condition changed_;
 };
 
 }  // namespace hareshore
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -28,9 +28,9 @@
     Loop& loop = parts_.loop;
     while (true) {
         // What is held for a better machine may go to another soon, without any heartbeat.
-        Seconds until = task_held_ ? loop.now() + constants::kHeldPass_s : kNoTimeLimit;
+        Seconds until = task_held_ ? loop.now() + constants::kDelayedTaskSchedulingInterval_s : kNoTimeLimit;
         while (!parts_.pass_requests.pending())
-            if (co_await loop.wait(parts_.pass_requests.requested(), until) == Wake::kTimeout) break;
+            if (co_await loop.wait(parts_.pass_requests.requested(), until) == WakeReason::kTimeout) break;
         if (next_pass_at_ && loop.now() < *next_pass_at_) co_await loop.sleep(*next_pass_at_ - loop.now());
         parts_.pass_requests.clear();
         Seconds began = loop.now();
@@ -38,7 +38,8 @@
         // With a fleet or a queue that is large for this machine's share of a core, passes come less often:
         // workers lose their tasks if they are not answered, and nothing if they wait for work.
         Seconds took = loop.now() - began;
-        next_pass_at_ = began + std::max(constants::kPassInterval_s, took * (1 + constants::kPassRestFactor));
+        next_pass_at_ = began + std::max(constants::kSchedulingInterval_s,
+                                         took * (1 + constants::kSchedulingPauseFactor));
         longest_pass_ = std::max(longest_pass_, took);
         ++passes_done_;
         pass_done_.notify();
@@ -85,7 +86,7 @@
 
 // An older heartbeat shows no free room.
 Seconds SchedulingLoop::silent_after() const {
-    return constants::kFreshHeartbeats * parts_.config.heartbeat_interval_s;
+    return constants::kFreshHeartbeatIntervals * parts_.config.heartbeat_interval_s;
 }
 
 Seconds SchedulingLoop::take_longest_pass() {
--- a/src/leader/scheduling_loop.h
+++ b/src/leader/scheduling_loop.h
@@ -32,7 +32,7 @@
     Task<void> run();
     [[nodiscard]] uint64_t passes_done() const { return passes_done_; }
     // Notified after each pass.
-    Signal& pass_done() { return pass_done_; }
+    Condition& pass_done() { return pass_done_; }
 
     // Whether a pass could bind something to a machine whose heartbeat has brought no news: most heartbeats
     // come from machines that are full, or while nothing waits. Recounts the machine.
@@ -58,7 +58,7 @@
     uint64_t passes_done_ = 0;
     std::optional<Seconds> next_pass_at_;  // not before
     Seconds longest_pass_ = 0;
-    Signal pass_done_;
+    Condition pass_done_;
 };
 
 }  // namespace hareshore
--- a/src/leader/term_lifecycle.cc
+++ b/src/leader/term_lifecycle.cc
@@ -13,13 +13,13 @@
 }  // namespace
 
 void TermLifecycle::spawn(Task<void> coroutine, const char* name, Priority priority) {
-    scope_.spawn(keep_alive(leader_.lock(), std::move(coroutine)), name, priority);
+    coroutines_.spawn(keep_alive(leader_.lock(), std::move(coroutine)), name, priority);
 }
 
 void TermLifecycle::stop() {
     stopped_ = true;
-    scope_.cancel();
-    loaded_signal_.notify();
+    coroutines_.cancel();
+    loaded_condition_.notify();
 }
 
 }  // namespace hareshore
--- a/src/leader/worker_connections.h
+++ b/src/leader/worker_connections.h
@@ -12,7 +12,7 @@
 struct WorkerConnection {
     explicit WorkerConnection(Loop& loop) : wake(loop) {}
 
-    Signal wake;                     // lets a held heartbeat look again at what there is to answer
+    Condition wake;                  // lets a held heartbeat look again at what there is to answer
     uint64_t heartbeats = 0;         // how many were accepted; a worker drops the answer to an older one
     bool command_in_flight = false;  // a direct command is on its way
     bool resend = false;             // another direct command is wanted after it
--- a/tests/record_room_test.cc
+++ b/tests/jobs/record_room_test.cc
@@ -70,7 +70,7 @@
 TEST_F(RecordRoom, LeavesAPlacementFreeForAMachineOfAnyName) {
     const Machine near = machine("m-1"), far = machine(std::string(110, 'x') + "-000001", "another-zone");
     Job& job = jobs.load(array_record("job-1", 600), 5, 0, {0});
-    config.next_value_bytes = job.record_bytes(kNewestRecordFormat) + constants::kRecordReserve;
+    config.next_value_bytes = job.record_bytes(kNewestRecordFormat) + constants::kRecordReserveBytes;
     for (int round = 0; round < 4; ++round) {
         ASSERT_TRUE(room(job, far)) << "round " << round << ", record of "
                                     << job.record_bytes(kNewestRecordFormat);
@@ -115,7 +115,7 @@
     deployment.run(1);
     auto with_types = [](int n) {
         return job_body("job-1", [n](auto& fields) {
-            Packer packer;
+            MsgpackWriter packer;
             packer.list(static_cast<size_t>(n)).text("g2");
             for (int i = 1; i < n; ++i) packer.text(std::string(98, 'x') + std::to_string(10 + i));
             fields["flavors"] = packer.take();
--- a/tests/loop_test.cc
+++ b/tests/loop/loop_test.cc
@@ -1,10 +1,12 @@
-// The event loop's order of work.
+// The event loop's order of work, and the end of its routines.
+#include "loop/loop.h"
+
 #include <gtest/gtest.h>
 
-#include "standins/deployment.h"
+#include "base/clock.h"
+#include "base/constants.h"
 
 using namespace hareshore;
-using namespace hareshore::test;
 
 namespace {
 
@@ -15,7 +17,7 @@
     co_return;
 }
 
-Task<void> note_when(Loop& loop, Signal& signal, const size_t& others, size_t& seen) {
+Task<void> note_when(Loop& loop, Condition& signal, const size_t& others, size_t& seen) {
     co_await loop.wait(signal, -1);
     seen = others;
 }
@@ -29,8 +31,8 @@
     for (Priority priority : {Priority::kUrgent, Priority::kNormal}) {
         FakeClock clock;
         Loop loop(clock);
-        Signal signal(loop);
-        Scope scope(loop);
+        Condition signal(loop);
+        TaskGroup scope(loop);
         size_t done = 0;
         size_t seen = SIZE_MAX;
         scope.spawn(note_when(loop, signal, done, seen), "renewal", priority);
@@ -51,7 +53,7 @@
 TEST(Loop, LooksForEventsWhileACrowdIsWorkedOff) {
     FakeClock clock;
     Loop loop(clock);
-    Scope scope(loop);
+    TaskGroup scope(loop);
     size_t done = 0;
     for (size_t i = 0; i < kCrowd; ++i) scope.spawn(work_off(done), "report");
     loop.turn(0);
@@ -59,3 +61,33 @@
     EXPECT_GT(done, 0u);
     ASSERT_TRUE(loop.run_until([&] { return done == kCrowd; }, 1));
 }
+
+// Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
+TEST(Loop, CancelUnwindsNestedRoutines) {
+    FakeClock clock;
+    Loop loop(clock);
+    int unwound = 0;
+    struct Mark {
+        int& n;
+        ~Mark() { ++n; }
+    };
+    struct Run {
+        static Task<int> inner(Loop& l, int& n) {
+            Mark m{n};
+            co_await l.sleep(1000);
+            co_return 1;
+        }
+        static Task<void> outer(Loop& l, int& n) {
+            Mark m{n};
+            co_await inner(l, n);
+            ADD_FAILURE() << "went on after cancel";
+        }
+    };
+    TaskGroup scope(loop);
+    scope.spawn(Run::outer(loop, unwound), "outer");
+    loop.run_until([] { return false; }, 1);
+    EXPECT_EQ(unwound, 0);
+    scope.cancel();
+    loop.run_until([&] { return scope.size() == 0; }, 1);
+    EXPECT_EQ(unwound, 2);
+}
--- a/tests/scenario/job_ledger.cc
+++ b/tests/scenario/job_ledger.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "http/pack.h"
+#include "http/msgpack.h"
 #include "standins/messages.h"
 
 namespace hareshore::test {
@@ -41,7 +41,7 @@
 void JobLedger::complete_task(const std::string& id, uint32_t task) {
     completed_tasks[id].insert(task);
     if (gangs.count(id) > 0) done.insert(id);  // its tasks complete together
-    auto submission = Message::parse(bodies[id]);
+    auto submission = MsgpackDocument::parse(bodies[id]);
     if (completed_tasks[id].size() == submission->root()["pieces"].count_or(0)) done.insert(id);
 }
 
--- a/tests/standins/addresses.cc
+++ b/tests/standins/addresses.cc
@@ -11,7 +11,7 @@
                        std::to_string(process & 255) + "." + std::to_string(host) + ":" +
                        std::to_string(port);
     Address parsed;
-    EXPECT_TRUE(Address::parse(text, parsed));
+    parsed = Address::parse(text).value();
     return parsed;
 }
 
--- a/tests/standins/records.cc
+++ b/tests/standins/records.cc
@@ -40,7 +40,7 @@
 }
 
 uint64_t stored_format(Deployment& deployment, const std::string& id) {
-    return Message::parse(deployment.store.rows.at(live_key(id)).data)->root()["v"].count_or(0);
+    return MsgpackDocument::parse(deployment.store.rows.at(live_key(id)).data)->root()["v"].count_or(0);
 }
 
 std::string machine_name(uint64_t number) {
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -6,7 +6,7 @@
 #include <array>
 
 #include "http/client.h"
-#include "http/pack.h"
+#include "http/msgpack.h"
 
 namespace hareshore::test {
 
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::string FakeWorker::report() {
-    Packer packer;
+    MsgpackWriter packer;
     packer.map(10).key("host").text(name).key("addr").text(addr);
     packer.key("flavor").text(machine_type).key("cove").text(zone).key("driftwood").flag(spot);
     packer.key("tenure").count(incarnation).key("tick").count(++sequence).key("epoch").count(fencing_token);
@@ -42,12 +42,12 @@
 }
 
 void FakeWorker::carry_out(const std::string& body) {
-    auto message = Message::parse(body);
+    auto message = MsgpackDocument::parse(body);
     ASSERT_TRUE(message);
     uint64_t command_fencing_token = message->root()["epoch"].count_or(0);
     if (command_fencing_token < fencing_token) return;  // dropped
     fencing_token = command_fencing_token;
-    Node commands = message->root()["orders"];
+    MsgpackValue commands = message->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
         auto task_name = *TaskName::parse(*commands.at(i)["piece"].text());
@@ -65,7 +65,7 @@
 
 Task<int> FakeWorker::send_report(Loop& loop, Address node) {
     HttpClient http(loop, node, 1);
-    Answer answer = co_await http.call("POST", "/hello", report(), kReportTimeout_s);
+    CallResult answer = co_await http.call("POST", "/hello", report(), kReportTimeout_s);
     if (answer.status == 200 && !deaf) carry_out(answer.body);
     co_return answer.status;
 }
