--- a/src/leader/fleet_scaler.h
+++ b/src/leader/fleet_scaler.h
@@ -1,4 +1,4 @@
-// Decides every kFleetTick_s which machines to rent, to drain and to delete.
+// Decides every kScalingInterval_s which machines to rent, to drain and to delete.
 #pragma once
 #include <map>
 #include <optional>
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -43,7 +43,7 @@
     }
     const Seconds received_at = loop.now();
     while (!lifecycle.loaded() && !lifecycle.stopped())
-        if (co_await loop.wait(lifecycle.loaded_signal(), received_at + hold) == WakeReason::kTimeout)
+        if (co_await loop.wait(lifecycle.loaded_condition(), received_at + hold) == WakeReason::kTimeout)
             co_return not_answered();
     if (lifecycle.stopped() || parts_.deleted_machines.contains(heartbeat.machine)) co_return not_answered();
 
