--- a/src/leader/finished_jobs.h
+++ b/src/leader/finished_jobs.h
@@ -7,7 +7,7 @@
 
 namespace hareshore {
 
-// Remembers the last kFinalCache jobs.
+// Remembers the last kFinalStateCacheSize jobs.
 class FinishedJobs {
   public:
     // `revision`: at which the final record was written.
