--- a/tests/config/config_test.cc
+++ b/tests/config/config_test.cc
@@ -11,11 +11,11 @@
 TEST(Config, ReadsTheFileAndIgnoresWhatItDoesNotKnow) {
     Config config = Config::parse(kSettingsText);
     EXPECT_EQ(config.label, "n0");
-    EXPECT_EQ(config.zones.size(), 2u);
-    EXPECT_EQ(config.value_bytes, 8192u);
+    EXPECT_EQ(config.zones.size(), 2U);
+    EXPECT_EQ(config.value_bytes, 8192U);
     EXPECT_EQ(config.team("t")->gpus_max, 8.0);
     EXPECT_EQ(config.team("u"), nullptr);
-    EXPECT_EQ(config.ram_bytes, 0u) << "not said";
+    EXPECT_EQ(config.ram_bytes, 0U) << "not said";
     // A larger deployment than any so far, with fields that are new.
     std::string text = std::string(kSettingsText) +
                        "[facts.machine_limits]\ncores = 0.2\nram_mb = 300.0\nsockets = 4000\ngpus = 1\n";
@@ -23,26 +23,26 @@
         text += "[[siblings]]\nlabel = \"m" + std::to_string(i) + "\"\nsite = \"z" + std::to_string(i % 9) +
                 "\"\naddr = \"10.0.1." + std::to_string(i) + ":8081\"\nrack = 3\n";
     config = Config::parse(text);
-    EXPECT_GE(config.peers.size(), 40u);
-    EXPECT_EQ(config.sockets, 4000u);
-    EXPECT_EQ(config.ram_bytes, 300u * 1024 * 1024);
+    EXPECT_GE(config.peers.size(), 40U);
+    EXPECT_EQ(config.sockets, 4000U);
+    EXPECT_EQ(config.ram_bytes, 300U * 1024 * 1024);
 }
 
 TEST(Config, TakesTheSmallerOfTodaysAndLaterLimits) {
     auto with = [](const std::string& next) { return Config::parse(settings_with_store_limits(next)); };
     Config config = with("");
-    EXPECT_EQ(config.value_limit(1), 8192u);
-    EXPECT_EQ(config.value_limit(2), 8192u);
+    EXPECT_EQ(config.value_limit(1), 8192U);
+    EXPECT_EQ(config.value_limit(2), 8192U);
     config = with("next = {value_kb = 2.0, txn_ops = 4, write_rps = 9.5}");
-    EXPECT_EQ(config.value_limit(1), 8192u) << "until form 2 is in force the old limits hold";
-    EXPECT_EQ(config.value_limit(2), 2048u);
-    EXPECT_EQ(config.txn_ops, 4u);
+    EXPECT_EQ(config.value_limit(1), 8192U) << "until form 2 is in force the old limits hold";
+    EXPECT_EQ(config.value_limit(2), 2048U);
+    EXPECT_EQ(config.txn_ops, 4U);
     EXPECT_EQ(config.write_rps, 9.5);
     config = with("next = {txn_ops = 100, later = 1}");
-    EXPECT_EQ(config.txn_ops, 12u);
+    EXPECT_EQ(config.txn_ops, 12U);
     EXPECT_EQ(config.write_rps, 15.0);
     config = with("next = {value_kb = 99, write_rps = 99}");
-    EXPECT_EQ(config.value_limit(2), 8192u);
+    EXPECT_EQ(config.value_limit(2), 8192U);
     EXPECT_EQ(config.write_rps, 15.0);
     for (const char* bad :
          {"value_kb = 0", "value_kb = -2", "value_kb = \"2\"", "value_kb = 0.5", "txn_ops = 0", "txn_ops = 1",
--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -135,7 +135,7 @@
     JobRecord record;
     record.spec = base_spec();
     record.accepted_wall = {1796181234.125};
-    for (uint32_t task : {0u, 1u, 2u, 5u, 9u, 10u, 40u}) record.done.add(task);
+    for (uint32_t task : {0U, 1U, 2U, 5U, 9U, 10U, 40U}) record.done.add(task);
     record.next_attempt = 77;
     record.live[3] = {8, "vm-000003", "a"};
     record.live[4] = {20, "vm-000231", "a"};
@@ -267,7 +267,7 @@
     EXPECT_EQ(read.next_attempt, expected.next_attempt);
     ASSERT_EQ(read.live.size(), expected.live.size());
     for (const auto& [task, placement] : expected.live) {
-        ASSERT_TRUE(read.live.count(task)) << task;
+        ASSERT_TRUE(read.live.contains(task)) << task;
         EXPECT_EQ(read.live.at(task).attempt, placement.attempt) << task;
         EXPECT_EQ(read.live.at(task).machine, placement.machine) << task;
         EXPECT_EQ(read.live.at(task).zone, placement.zone) << task;
@@ -387,7 +387,7 @@
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto record = Message::parse(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
-    EXPECT_EQ(record->root()["v"].count_or(0), 2u);
+    EXPECT_EQ(record->root()["v"].count_or(0), 2U);
     EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
@@ -475,7 +475,7 @@
     const peer::CancellationNotice expected = cancellations();
     peer::Frame frame = only_frame(from_hex(kCancellationsFrame));
     EXPECT_EQ(frame.kind, peer::Kind::kCancellationNotice);
-    EXPECT_EQ(frame.id, 0u);
+    EXPECT_EQ(frame.id, 0U);
     EXPECT_EQ(frame.incarnation, expected.incarnation);
     auto read = peer::unpack_cancellation_notice(frame.payload);
     ASSERT_TRUE(read);
--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -63,7 +63,7 @@
         } catch (const ConfigError&) {
         }
     }
-    EXPECT_GT(taken, 1000u);  // the mutations are mild enough to reach the insides
+    EXPECT_GT(taken, 1000U);  // the mutations are mild enough to reach the insides
 }
 
 TEST(Decoders, RefuseDeepNesting) {
--- a/tests/controller/failover_test.cc
+++ b/tests/controller/failover_test.cc
@@ -26,7 +26,7 @@
     EXPECT_GT(worker.fencing_token, fencing_token);
     deployment.send_report(worker, second);
     ASSERT_TRUE(worker.find("job-1/0"));
-    EXPECT_EQ(worker.find("job-1/0")->attempt, 1u);
+    EXPECT_EQ(worker.find("job-1/0")->attempt, 1U);
     EXPECT_EQ(worker.find("job-1/0")->phase, TaskPhase::kRunning);
 }
 
@@ -57,7 +57,7 @@
     deployment.settle(other);
     deployment.send_report(other, second);
     EXPECT_FALSE(other.find("job-1/0")) << "it runs where it was";
-    EXPECT_EQ(deployment.node(second).leader()->jobs().find("job-1")->live.size(), 1u);
+    EXPECT_EQ(deployment.node(second).leader()->jobs().find("job-1")->live.size(), 1U);
 }
 
 // A leader's transaction is held up, the leader is deposed, and the transaction arrives after all.
@@ -105,7 +105,7 @@
         201);
     for (int i = 0; i < 2; ++i)
         for (auto& worker : workers) deployment.send_report(worker, first);
-    ASSERT_EQ(workers[3].tasks.size(), 2u);
+    ASSERT_EQ(workers[3].tasks.size(), 2U);
     auto report = [&](int node, Seconds time) {
         for (Seconds t = 0; t < time && deployment.leader() == first; t += 1) {
             deployment.run(1);
@@ -149,7 +149,7 @@
             EXPECT_TRUE(deployment.cloud.deleted.empty()) << steps;
             if (followed) break;
             deployment.run(2.5);
-            EXPECT_EQ(deployment.node(0).election().fencing_token(), 1u) << "it leads still";
+            EXPECT_EQ(deployment.node(0).election().fencing_token(), 1U) << "it leads still";
             for (auto& worker : workers) deployment.settle(worker);
             deployment.run(3);
         }
--- a/tests/controller/fault_combinations_test.cc
+++ b/tests/controller/fault_combinations_test.cc
@@ -60,16 +60,16 @@
     until([&] { return scenario.fleet.holder(job_name(3)) != nullptr; });
     act();
     crowd.cancel(job_name(3), 0);
-    until([&] { return scenario.jobs.done.count(job_name(4)) > 0; });
+    until([&] { return scenario.jobs.done.contains(job_name(4)); });
     act();
     crowd.cancel(job_name(4), 1);
     if (fault == LeaderFault::kRefusedAtEnd) scenario.refuse_store(scenario.await_leader());
-    until([&] { return scenario.jobs.finals.count(job_name(1)) > 0; });
+    until([&] { return scenario.jobs.finals.contains(job_name(1)); });
     act();
     scenario.deployment.run(8);
     act();
     scenario.deployment.run(8);
-    EXPECT_GT(crowd.answers(), 1000u);
+    EXPECT_GT(crowd.answers(), 1000U);
     crowd.stop();
     unwind(scenario.deployment.loop);
 }
@@ -272,7 +272,7 @@
              scenario.deployment.run(6);
              scenario.deployment.start(first);
          }
-         EXPECT_GT(scenario.fleet.machines().size(), 2u) << "machines were rented";
+         EXPECT_GT(scenario.fleet.machines().size(), 2U) << "machines were rented";
          scenario.deployment.run(4);
          scenario.apply_held_transactions();
      }},
--- a/tests/controller/fault_scenarios_test.cc
+++ b/tests/controller/fault_scenarios_test.cc
@@ -34,7 +34,7 @@
              std::string id = "job-" + std::to_string(i);
              scenario.submit(id, 1, 5);
              scenario.starts(id);
-             scenario.deployment.until([&] { return scenario.jobs.done.count(id) > 0; }, 30);
+             scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 30);
              if (i % 2) scenario.cancel(id);
              scenario.jobs.check_answer(id, scenario.ask("POST", "/v2/runs", scenario.jobs.bodies[id]));
              scenario.poll(id);
@@ -161,7 +161,7 @@
              if (users)
                  scenario.deployment.call(scenario.await_leader(), "POST",
                                           std::string("/v2/runs/") + id + "/withdraw");
-             scenario.deployment.until([&] { return scenario.jobs.done.count(id) > 0; }, 60);
+             scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 60);
              scenario.deployment.run(4);
              scenario.poll(id);
              EXPECT_TRUE(kept);
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -27,9 +27,9 @@
     ASSERT_TRUE(worker.find("job-1/0"));
     deployment.send_report(worker, leader);
     const auto& jobs = deployment.node(leader).leader()->jobs();
-    ASSERT_EQ(jobs.find("job-1")->live.size(), 1u);
+    ASSERT_EQ(jobs.find("job-1")->live.size(), 1U);
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
-    EXPECT_EQ(jobs.find("job-1")->live.size(), 1u) << "it proves no absence";
+    EXPECT_EQ(jobs.find("job-1")->live.size(), 1U) << "it proves no absence";
     Seconds heard = deployment.node(leader).leader()->cluster().machines.at(worker.name)->last_heartbeat;
     for (int i = 0; i < 3; ++i) {
         deployment.run(deployment.configs[0].lease_s);
@@ -110,7 +110,7 @@
     auto before = kept();
     ASSERT_TRUE(before.count("f/job-1") && before.count("f/job-2") && before.count("j/job-3"));
     auto repeated = transactions;
-    ASSERT_GT(repeated.size(), 8u);
+    ASSERT_GT(repeated.size(), 8U);
     uint64_t fencing_token = deployment.node(0).election().fencing_token();
     for (int round = 0; round < 2; ++round) {
         for (const auto& body : repeated) deployment.store.apply(body);
@@ -122,7 +122,7 @@
         deployment.run(3);
         deployment.send_report(worker, 0);
         EXPECT_EQ(kept(), before);
-        EXPECT_EQ(worker.tasks.size(), 1u) << "nothing was started again";
+        EXPECT_EQ(worker.tasks.size(), 1U) << "nothing was started again";
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
     }
 }
--- a/tests/controller/job_run_test.cc
+++ b/tests/controller/job_run_test.cc
@@ -39,10 +39,7 @@
         deployment.run(1);
         FakeWorker worker;
         deployment.settle(worker);
-        ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-        deployment.send_report(worker, 0);
-        deployment.send_report(worker, 0);
-        ASSERT_TRUE(worker.find("job-1/0"));
+        ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
         exit_task(*worker.find("job-1/0"), ExitCause::kDone);
         // The leader's transaction is lost on its way, and carried out late.
         bool lose = cancel_first;
@@ -58,8 +55,8 @@
             deployment.run(1);
             EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), announced);
         }
-        EXPECT_TRUE(deployment.store.rows.count("f/job-1"));
-        EXPECT_FALSE(deployment.store.rows.count("j/job-1"));
+        EXPECT_TRUE(deployment.store.rows.contains("f/job-1"));
+        EXPECT_FALSE(deployment.store.rows.contains("j/job-1"));
     }
 }
 
@@ -78,10 +75,7 @@
     FakeWorker worker;
     worker.addr = text_of(at);
     deployment.settle(worker);
-    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, 0);
-    deployment.send_report(worker, 0);
-    ASSERT_TRUE(worker.find("job-1/0"));
+    ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
     ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.run(11);
     EXPECT_GE(commands, 3);
--- a/tests/controller/machine_deletion_test.cc
+++ b/tests/controller/machine_deletion_test.cc
@@ -15,10 +15,7 @@
     FakeWorker first, second;
     second.name = "vm-000002";
     deployment.settle(first);
-    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(first, 0);
-    deployment.send_report(first, 0);
-    ASSERT_TRUE(first.find("job-1/0"));
+    ASSERT_TRUE(deployment.launch(first, 0, "job-1"));
     deployment.cloud.down = true;
     for (int i = 0; i < 10; ++i) {
         deployment.run(3);
@@ -49,7 +46,7 @@
     EXPECT_TRUE(deployment.cloud.deleted.empty());
     deployment.store.silent = false;
     deployment.run(60);
-    EXPECT_EQ(deployment.cloud.deleted.size(), 1u) << "once it is confirmed, or leads anew";
+    EXPECT_EQ(deployment.cloud.deleted.size(), 1U) << "once it is confirmed, or leads anew";
 }
 
 // Nor what holds cancelled work, if a peer does not answer: it may lead by now.
@@ -61,10 +58,7 @@
     FakeWorker worker;
     deployment.list_machine(worker);
     deployment.settle(worker);
-    ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, first);
-    deployment.send_report(worker, first);
-    ASSERT_TRUE(worker.find("job-1/0"));
+    ASSERT_TRUE(deployment.launch(worker, first, "job-1"));
     ASSERT_EQ(phase_of(deployment.call(first, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.store.silent = true;
     deployment.kill(1 - first);
--- a/tests/controller/service_moves_test.cc
+++ b/tests/controller/service_moves_test.cc
@@ -99,7 +99,7 @@
         deployment.send_report(to, lead);
         for (const FakeWorker* worker : {&from, &to})
             for (const auto& task : worker->tasks)
-                EXPECT_TRUE(before.count({task.name, task.attempt})) << "started after the cancellation";
+                EXPECT_TRUE(before.contains({task.name, task.attempt})) << "started after the cancellation";
         if (gone(from) && gone(to) && all_gone < 0) all_gone = deployment.loop.now();
         deployment.run(1);
     }
--- a/tests/controller/service_users_test.cc
+++ b/tests/controller/service_users_test.cc
@@ -44,7 +44,7 @@
     deployment.send_report(worker, lead);
     deployment.run(0.5);
     EXPECT_EQ(phase_of(deployment.call(lead, "GET", "/v2/runs/job-1")), "withdrawn");
-    EXPECT_EQ(deployment.store.rows.count("j/job-1"), 0u);
+    EXPECT_EQ(deployment.store.rows.count("j/job-1"), 0U);
     EXPECT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
 }
 
@@ -71,7 +71,7 @@
     deployment.send_report(first, 0);
     deployment.send_report(second, 0);
     ASSERT_TRUE(second.find("job-1/0"));
-    EXPECT_EQ(second.find("job-1/0")->attempt, 2u);
+    EXPECT_EQ(second.find("job-1/0")->attempt, 2U);
     deployment.send_report(first, 0);
     EXPECT_TRUE(first.tasks.empty()) << "and nothing comes back to the machine that goes";
 }
@@ -84,10 +84,7 @@
     deployment.run(1);
     FakeWorker worker;
     deployment.settle(worker);
-    ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, 0);
-    deployment.send_report(worker, 0);
-    ASSERT_TRUE(worker.find("job-1/0"));
+    ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
     auto took = [&] {
         Seconds began = deployment.loop.now();
         EXPECT_EQ(deployment.send_report(worker, 0), 200);
--- a/tests/controller/store_outage_test.cc
+++ b/tests/controller/store_outage_test.cc
@@ -40,12 +40,12 @@
         }
         return status;
     };
-    EXPECT_EQ(report(60), 200) << "the sibling vouches";
+    EXPECT_EQ(report(60), 200) << "the peer confirms that it announced none";
     deployment.kill(1 - first);
     EXPECT_EQ(report(12), 200) << "within the span";
-    EXPECT_EQ(report(21), 503) << "nobody vouches any more";
+    EXPECT_EQ(report(21), 503) << "nobody confirms any more";
     deployment.start(1 - first);
-    EXPECT_EQ(report(6), 503) << "a restarted sibling does not know what it told before";
+    EXPECT_EQ(report(6), 503) << "a restarted peer cannot confirm what it announced before";
     deployment.store.down = false;
     EXPECT_EQ(report(9), 200);
 }
--- a/tests/controller/upgrade_test.cc
+++ b/tests/controller/upgrade_test.cc
@@ -15,27 +15,27 @@
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(10);
-    EXPECT_EQ(deployment.store.rows.count("form"), 0u);
+    EXPECT_EQ(deployment.store.rows.count("form"), 0U);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     FakeWorker worker;
     deployment.settle(worker);
     deployment.send_report(worker, 0);
     ASSERT_TRUE(worker.find("job-1/0"));
-    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     EXPECT_TRUE(Message::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: then format 2 is in force for both, and each change is written in it.
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(3);
     ASSERT_EQ(deployment.leader(), 0);
-    EXPECT_EQ(stored_format(deployment, "job-1"), 1u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     ASSERT_EQ(deployment.call(1, "POST", "/v2/runs/job-1/withdraw").status, 200);
-    EXPECT_EQ(stored_format(deployment, "job-1"), 2u)
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2U)
         << "also by a follower, which asks for the form until it is there";
     auto record = JobRecord::unpack(deployment.store.rows.at("j/job-1").data);
     ASSERT_TRUE(record);
-    EXPECT_EQ(record->live.size(), 1u) << "it is still on its machine";
+    EXPECT_EQ(record->live.size(), 1U) << "it is still on its machine";
 }
 
 TEST(Upgrade, ALeaderWithoutOldPeersPutsTheRecordFormatOnceAndStaysWithIt) {
@@ -43,10 +43,10 @@
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     uint64_t mod_revision = deployment.store.rows.at("form").mod_revision;
-    EXPECT_EQ(unpack_record_format(deployment.store.rows.at("form").data), 2u);
+    EXPECT_EQ(unpack_record_format(deployment.store.rows.at("form").data), 2U);
     deployment.run(1);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2U);
     deployment.kill(0);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
@@ -57,18 +57,18 @@
 // What the production version kept in more than the later limits allow is read, and each change of it fits:
 // ends of tasks, a cancellation, and its end in one transaction.
 TEST(Upgrade, TakesOverLargeRecordsUnderTheLowerLimits) {
-    for (size_t ops : {2u, 4u}) {
+    for (size_t ops : {2U, 4U}) {
         Deployment deployment;
         JobRecord ended = large_record("job-1", 150, 12), cancelled = large_record("job-2", 150, 10);
         for (auto& [task, b] : cancelled.live) b.machine = "vm-0009" + b.machine.substr(7);
-        ASSERT_GT(json_text(ended.pack(1)).size(), 2048u);
+        ASSERT_GT(json_text(ended.pack(1)).size(), 2048U);
         store_value(deployment, "j/job-1", ended.pack(1));
         store_value(deployment, "j/job-2", cancelled.pack(1));
         lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(2);
-        EXPECT_EQ(stored_format(deployment, "job-1"), 1u) << "its next change replaces it, nothing before";
+        EXPECT_EQ(stored_format(deployment, "job-1"), 1U) << "its next change replaces it, nothing before";
         auto one = workers_of(ended), two = workers_of(cancelled);
         for (auto& worker : one) deployment.settle(worker);
         for (auto& worker : two) deployment.settle(worker);
@@ -76,11 +76,11 @@
             for (const auto& task : worker.tasks)
                 EXPECT_EQ(task.phase, TaskPhase::kRunning) << task.name.text();
         ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
-        EXPECT_EQ(stored_format(deployment, "job-2"), 2u);
-        EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150u)
+        EXPECT_EQ(stored_format(deployment, "job-2"), 2U);
+        EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150U)
             << "none is free yet";
         // Every second task ends first: the done ranges are as long as they can be.
-        for (uint32_t odd : {1u, 0u}) {
+        for (uint32_t odd : {1U, 0U}) {
             for (auto& worker : one) {
                 for (auto& task : worker.tasks) {
                     if (task.name.task % 2 != odd) continue;
@@ -90,8 +90,8 @@
             }
             deployment.run(2);
             if (odd) {
-                EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
-                EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-1").data)->done.size(), 75u);
+                EXPECT_EQ(stored_format(deployment, "job-1"), 2U);
+                EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-1").data)->done.size(), 75U);
             }
         }
         for (int i = 0; i < 3; ++i)
@@ -99,7 +99,7 @@
         deployment.run(2);
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
-        EXPECT_EQ(deployment.store.rows.count("j/job-1") + deployment.store.rows.count("j/job-2"), 0u);
+        EXPECT_EQ(deployment.store.rows.count("j/job-1") + deployment.store.rows.count("j/job-2"), 0U);
         EXPECT_EQ(deployment.store.invalid_transactions, 0) << "nothing was sent that exceeds a limit";
     }
 }
@@ -114,8 +114,8 @@
     store_value(deployment, "j/job-1", record.pack(1));
     store_value(deployment, "j/job-2", w.pack(1));
     lower_limits(deployment, {.value_bytes = 780, .txn_ops = 4});
-    ASSERT_GT(json_text(record.pack(2)).size(), 780u);
-    ASSERT_GT(json_text(w.pack(2)).size(), 780u);
+    ASSERT_GT(json_text(record.pack(2)).size(), 780U);
+    ASSERT_GT(json_text(w.pack(2)).size(), 780U);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(2);
@@ -138,7 +138,7 @@
         if (i + 1 < workers.size() && !deployment.store.rows.count("j/job-1")) FAIL() << "not over yet";
         if (written) break;
     }
-    EXPECT_EQ(stored_format(deployment, "job-1"), 2u);
+    EXPECT_EQ(stored_format(deployment, "job-1"), 2U);
     EXPECT_EQ(deployment.store.invalid_transactions, 0);
 }
 
@@ -177,7 +177,7 @@
 
 // Ten tasks are bound in one scheduling pass: their records go out in as many transactions as it takes.
 TEST(Upgrade, SendsNoMoreChangesAtOnceThanTheLaterLimitAllows) {
-    for (size_t ops : {2u, 4u}) {
+    for (size_t ops : {2U, 4U}) {
         Deployment deployment;
         lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
@@ -198,14 +198,14 @@
                       201);
         deployment.run(1);
         for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
-        EXPECT_EQ(worker.tasks.size(), 10u);
+        EXPECT_EQ(worker.tasks.size(), 10U);
         for (auto& task : worker.tasks) {
             exit_task(task, ExitCause::kDone);
         }
         for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
         deployment.run(3);
         for (int i = 0; i < 10; ++i)
-            EXPECT_EQ(deployment.store.rows.count("f/job-" + std::to_string(i)), 1u)
+            EXPECT_EQ(deployment.store.rows.count("f/job-" + std::to_string(i)), 1U)
                 << "ends, two changes each";
         EXPECT_EQ(deployment.store.invalid_transactions, 0);
     }
@@ -258,7 +258,7 @@
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
     for (int i = 0; i < 3; ++i) deployment.send_report(worker, 0);
-    ASSERT_EQ(worker.tasks.size(), 2u) << "neither forgotten";
+    ASSERT_EQ(worker.tasks.size(), 2U) << "neither forgotten";
     ASSERT_TRUE(worker.find("job-7/0"));
     EXPECT_EQ(worker.find("job-7/0")->phase, TaskPhase::kRunning) << "nor halted";
     EXPECT_EQ(deployment.store.rows.at("j/job-7").data, packed);
@@ -275,7 +275,7 @@
         deployment.start(0);
         deployment.run(10);
         EXPECT_EQ(deployment.leader(), -1);
-        EXPECT_EQ(deployment.store.rows.count("leader"), 0u);
+        EXPECT_EQ(deployment.store.rows.count("leader"), 0U);
         EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 503);
         EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 503);
     }
--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -24,8 +24,8 @@
         ScalingInput in{config, settings, now, then, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).scale_in.size();
     };
-    EXPECT_EQ(silent(1), 1u);
-    EXPECT_EQ(silent(5), 0u) << "more likely the controller is cut off";
+    EXPECT_EQ(silent(1), 1U);
+    EXPECT_EQ(silent(5), 0U) << "more likely the controller is cut off";
     // Not one by one either, when the others have only just fallen quiet.
     for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = now - 8;
     cluster.machine("vm-0")->last_heartbeat = then;
@@ -48,11 +48,11 @@
         ScalingInput cut{config, settings, now, then, {}, {}, true, false};
         ScalingPlan plan = plan_scaling(cluster, jobs, cut);
         EXPECT_TRUE(plan.scale_in.empty()) << heard;
-        ASSERT_EQ(plan.rent.size(), 1u);
+        ASSERT_EQ(plan.rent.size(), 1U);
         EXPECT_EQ(plan.rent[0].kind.zone, "b");
         EXPECT_EQ(plan.rent[0].number, 2);
         cut.now = then + constants::kPartitionTimeoutLeases * config.lease_s + 1;
-        EXPECT_EQ(plan_scaling(cluster, jobs, cut).scale_in.size(), 6u) << "some day they are given up";
+        EXPECT_EQ(plan_scaling(cluster, jobs, cut).scale_in.size(), 6U) << "some day they are given up";
         // The cut ends, and most are heard again: the others have as long as any that falls silent.
         cut.now = now + 1;
         cut.cut_at["a"] = now;
@@ -64,7 +64,7 @@
         EXPECT_TRUE(plan_scaling(cluster, jobs, cut).silent.empty());
         cut.now += 2 * config.lease_s;
         for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = cut.now;
-        EXPECT_EQ(plan_scaling(cluster, jobs, cut).silent.size(), 2u);
+        EXPECT_EQ(plan_scaling(cluster, jobs, cut).silent.size(), 2U);
     }
 }
 
@@ -88,11 +88,11 @@
         return plan_scaling(cluster, jobs, in).drain.size();
     };
     now += settings.calm_s - 1;
-    EXPECT_EQ(moved(), 0u);
+    EXPECT_EQ(moved(), 0U);
     now += 40;
-    EXPECT_EQ(moved(), 1u);
+    EXPECT_EQ(moved(), 1U);
     job.spec.checkpoint_s = 0;
-    EXPECT_EQ(moved(), 0u) << "what cannot save is not moved";
+    EXPECT_EQ(moved(), 0U) << "what cannot save is not moved";
 }
 
 // A cancelled task that is still on its machine after any lease it was given can only be on one that hangs.
--- a/tests/http/http_test.cc
+++ b/tests/http/http_test.cc
@@ -89,7 +89,7 @@
 
 TEST_F(Http, KeepsTheConnectionForTheNextRequest) {
     auto [out, closed] = send("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz");
-    EXPECT_EQ(count(out, "200 OK"), 2u);
+    EXPECT_EQ(count(out, "200 OK"), 2U);
     EXPECT_NE(out.find("POST/b3"), std::string::npos);
     EXPECT_FALSE(closed);
 }
@@ -97,12 +97,12 @@
 // A body over the limit is refused before it has come, and the connection goes on.
 TEST_F(Http, RefusesAnOversizedBodyAtOnceAndUnharmed) {
     auto [out, closed] = send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(10, 'x'));
-    EXPECT_EQ(count(out, "400 Bad Request"), 1u);
+    EXPECT_EQ(count(out, "400 Bad Request"), 1U);
     EXPECT_EQ(served, 0);
     auto [all, open] = send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(70000, 'x') +
                             "GET /a HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(count(all, "400 Bad Request"), 1u);
-    EXPECT_EQ(count(all, "200 OK"), 1u);
+    EXPECT_EQ(count(all, "400 Bad Request"), 1U);
+    EXPECT_EQ(count(all, "200 OK"), 1U);
 }
 
 TEST_F(Http, ClosesOnWhatIsNotHttp) {
@@ -149,7 +149,7 @@
         send(bytes, 0.2);
     }
     EXPECT_GT(served, 30) << "the mutations are mild enough to reach the insides";
-    EXPECT_EQ(count(send(requests[0]).first, "200 OK"), 1u);
+    EXPECT_EQ(count(send(requests[0]).first, "200 OK"), 1U);
 
     RawPeer peer(loop, address(6, 8080));
     const std::vector<std::string> answers{
--- a/tests/jobs/machine_health_test.cc
+++ b/tests/jobs/machine_health_test.cc
@@ -52,7 +52,7 @@
     Job& job = add_job(job_spec("job-1", 8));
     std::vector<Machine*> machines;
     for (int i = 0; i < 4; ++i) machines.push_back(&add_machine("vm-" + std::to_string(i)));
-    ASSERT_EQ(schedule_for(machines).size(), 8u);
+    ASSERT_EQ(schedule_for(machines).size(), 8U);
     mark_committed(job);
     auto state = [&](Machine& machine, TaskPhase p, ExitCause c) {
         std::vector<TaskStatus> t;
@@ -72,7 +72,7 @@
     now += 50;
     jobs.find_stragglers(cluster, now);
     EXPECT_TRUE(machines[0]->cordoned);
-    EXPECT_EQ(jobs.take_urgent().count("vm-0"), 1u) << "its tasks save and move";
+    EXPECT_EQ(jobs.take_urgent().count("vm-0"), 1U) << "its tasks save and move";
 }
 
 // Launch after launch comes to nothing although newer reports arrive: the machine does not hear its answers.
@@ -81,26 +81,26 @@
     Job& job = add_job(job_spec("job-1", 1));
     Machine &deaf = add_machine("vm-1"), &other = add_machine("vm-2");
     other.cordoned = true;
-    ASSERT_EQ(schedule_for({&deaf}).size(), 1u);
+    ASSERT_EQ(schedule_for({&deaf}).size(), 1U);
     mark_committed(job);
     for (int i = 0; i < constants::kUnansweredLaunches; ++i) {
-        ASSERT_EQ(job.live.count(0), 1u);
-        EXPECT_EQ(count_launches(jobs.commands(deaf, true)), 1u);
+        ASSERT_EQ(job.live.count(0), 1U);
+        EXPECT_EQ(count_launches(jobs.commands(deaf, true)), 1U);
         jobs.apply(cluster, deaf, heartbeat(deaf, {}), true, now += 3);
     }
     EXPECT_TRUE(job.live.empty());
     EXPECT_TRUE(schedule_for({&deaf}).empty()) << "no room to count on";
     other.cordoned = false;
-    EXPECT_EQ(schedule_for({&deaf, &other}).size(), 1u);
+    EXPECT_EQ(schedule_for({&deaf, &other}).size(), 1U);
     auto returned = [&] {
         ScalingInput in{config, settings, now, 0, {}, {}, true, false};
         return plan_scaling(cluster, jobs, in).reasons.count("vm-1");
     };
-    EXPECT_EQ(returned(), 0u);
+    EXPECT_EQ(returned(), 0U);
     now += config.lease_s + 1;
     deaf.last_heartbeat = other.last_heartbeat = now;
     recount_resources();
-    EXPECT_EQ(returned(), 1u);
+    EXPECT_EQ(returned(), 1U);
 }
 
 // What its reports say of the answers to them: one that is answered stays and numbers its reports one by
--- a/tests/jobs/record_format_test.cc
+++ b/tests/jobs/record_format_test.cc
@@ -49,7 +49,7 @@
     auto end = FinalRecord::unpack(final);
     ASSERT_TRUE(end);
     EXPECT_TRUE(end->cancelled);
-    EXPECT_EQ(end->done, 6u);
+    EXPECT_EQ(end->done, 6U);
     EXPECT_EQ(end->pack(), final);
 }
 
@@ -63,12 +63,12 @@
         record.live.clear();
         record.next_attempt = 1 + below(1'000'000);
         uint32_t density = 1 + below(9);
-        for (uint32_t n = 0; n < std::min(record.spec.tasks, 200u); ++n) {
+        for (uint32_t n = 0; n < std::min(record.spec.tasks, 200U); ++n) {
             if (below(10) < density) record.done.add(below(record.spec.tasks));
             uint32_t task = below(record.spec.tasks);
             std::string machine = machine_name(below(2000));
             if (below(20) == 0) machine = i % 2 ? "metal" : "rack-" + std::to_string(below(40)) + "-x";
-            if (below(30) == 0) machine = "vm-" + std::to_string(1u << below(31)) + "0000000";
+            if (below(30) == 0) machine = "vm-" + std::to_string(1U << below(31)) + "0000000";
             if (below(3) == 0 && !record.done.has(task))
                 record.live[task] = {1 + below(static_cast<uint32_t>(record.next_attempt)), machine,
                                      below(2) ? "a" : "é\"b"};
@@ -101,7 +101,7 @@
                  rng() % 2 ? "lujan-zone" : "uco-zone"};
         most = std::max(most, json_size(record.pack(2)));
     }
-    EXPECT_LE(most, 2048u);
+    EXPECT_LE(most, 2048U);
 }
 
 TEST(Format2, RefusesWhatItWouldNotWrite) {
@@ -127,7 +127,7 @@
 
 // However large a job is and however its tasks come and go, its record fits, and it goes on until it is done.
 TEST(Format2, AJobOfAnySizeFitsItsRecordAndIsDoneInTheEnd) {
-    for (uint32_t tasks : {30u, 1000u, 1025u, 100'000u}) {
+    for (uint32_t tasks : {30U, 1000U, 1025U, 100'000U}) {
         std::mt19937 rng(tasks);
         Config config;
         config.value_bytes =
@@ -185,15 +185,15 @@
             most_live = std::max(most_live, job.live.size());
             if (tasks > 2000 && steps % 97 != 0) continue;  // each step costs as long as the record
             JobRecord now = job.record();
-            ASSERT_LE(json_text(now.pack(2)).size(), 2048u) << steps;
+            ASSERT_LE(json_text(now.pack(2)).size(), 2048U) << steps;
             if (record_format == 1) {
-                ASSERT_LE(json_text(now.pack(1)).size(), 32u * 1024);
+                ASSERT_LE(json_text(now.pack(1)).size(), 32U * 1024);
             }
             ASSERT_LE(json_size(now.pack(2)), job.record_bytes(2) + 16);
         }
         EXPECT_TRUE(job.finished()) << tasks << " tasks, " << job.done.size() << " done";
         if (tasks > 200) {
-            EXPECT_GE(most_live, 100u) << tasks;
+            EXPECT_GE(most_live, 100U) << tasks;
         }
     }
 }
--- a/tests/jobs/record_room_test.cc
+++ b/tests/jobs/record_room_test.cc
@@ -93,8 +93,8 @@
     Job& job = jobs.load(array_record("job-1", 1000), 5, 0, {0});
     const Machine on = machine("vm-000001");
     fill(job, on, 1000, 1);
-    EXPECT_GT(job.live.size(), 100u);
-    EXPECT_LT(job.live.size(), 1000u);
+    EXPECT_GT(job.live.size(), 100U);
+    EXPECT_LT(job.live.size(), 1000U);
     EXPECT_LE(bytes(job, 2), config.next_value_bytes);
     EXPECT_LT(bytes(job, 1), config.value_bytes) << "today's limit allows more";
     // And by format 1 under today's: the smaller of both counts.
@@ -102,7 +102,7 @@
     config.next_value_bytes = 32 * 1024;
     config.value_bytes = 4096;
     fill(other_job, on, 1000, 1);
-    EXPECT_GT(other_job.live.size(), 50u);
+    EXPECT_GT(other_job.live.size(), 50U);
     EXPECT_LE(bytes(other_job, 1), config.value_bytes);
 }
 
@@ -121,7 +121,7 @@
             fields["flavors"] = packer.take();
         });
     };
-    ASSERT_EQ(deployment.store.rows.count("form"), 0u) << "the other controller may be of an earlier version";
+    ASSERT_EQ(deployment.store.rows.count("form"), 0U) << "the other controller may be of an earlier version";
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", with_types(20)).status, 400);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", with_types(8)).status, 201);
--- a/tests/jobs/record_test.cc
+++ b/tests/jobs/record_test.cc
@@ -22,5 +22,5 @@
     EXPECT_EQ(again->done, record.done);
     EXPECT_EQ(again->live.at(5).machine, "vm-000003");
     EXPECT_EQ(again->live.at(5).zone, "zone a");
-    EXPECT_EQ(again->next_attempt, 9u);
+    EXPECT_EQ(again->next_attempt, 9U);
 }
--- a/tests/jobs/task_lifecycle_test.cc
+++ b/tests/jobs/task_lifecycle_test.cc
@@ -17,12 +17,12 @@
 TEST_F(TaskLifecycle, LaunchesOnlyWhatIsCommitted) {
     Job& job = add_job(job_spec("job-1", 1));
     Machine& machine = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&machine}).size(), 1u);
+    ASSERT_EQ(schedule_for({&machine}).size(), 1U);
     EXPECT_TRUE(jobs.awaits_commit(machine));
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0U);
     mark_committed(job);
-    EXPECT_EQ(count_launches(jobs.commands(machine, false)), 0u) << "a direct command carries no launch";
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 1u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, false)), 0U) << "a direct command carries no launch";
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 1U);
 }
 
 // The response with the launch is lost: the next report does not list the task, and it is sent again with
@@ -34,9 +34,9 @@
     mark_committed(job);
     auto first = jobs.commands(machine, true);
     jobs.apply(cluster, machine, heartbeat(machine, {}), true, now += 3);
-    ASSERT_EQ(job.live.size(), 1u);
+    ASSERT_EQ(job.live.size(), 1U);
     auto second = jobs.commands(machine, true);
-    ASSERT_EQ(count_launches(second), 1u);
+    ASSERT_EQ(count_launches(second), 1U);
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
 
@@ -54,7 +54,7 @@
     jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
                now += 3);
     jobs.apply(cluster, machine, heartbeat(machine, {}), false, now += 1);
-    EXPECT_EQ(job.live.size(), 1u);
+    EXPECT_EQ(job.live.size(), 1U);
 }
 
 // After a take-over a placement counts until a report from a machine that has seen the new epoch lacks it:
@@ -64,14 +64,14 @@
     Machine& machine = cluster.ensure("vm-1", now);
     machine.machine_type = "g2";
     jobs.apply(cluster, machine, heartbeat(machine, {}), false, now);  // has not seen the epoch
-    EXPECT_EQ(job.live.size(), 1u);
+    EXPECT_EQ(job.live.size(), 1U);
     Machine& other = add_machine("vm-2");
     EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.apply(cluster, machine, heartbeat(machine, {}), true, now);
     // Never seen on the machine: it is launched there, still the same attempt on the same machine.
     auto commands = jobs.commands(machine, true);
-    ASSERT_EQ(count_launches(commands), 1u);
-    EXPECT_EQ(commands[0].attempt, 3u);
+    ASSERT_EQ(count_launches(commands), 1U);
+    EXPECT_EQ(commands[0].attempt, 3U);
     EXPECT_TRUE(schedule_for({&other}).empty());
 }
 
@@ -81,9 +81,9 @@
     now += 100000;
     EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.machine_deleted("vm-1", now);
-    EXPECT_EQ(job.live.size(), 0u);
-    EXPECT_EQ(schedule_for({&other}).size(), 1u);
-    EXPECT_GT(job.live.at(0).attempt, 3u);
+    EXPECT_EQ(job.live.size(), 0U);
+    EXPECT_EQ(schedule_for({&other}).size(), 1U);
+    EXPECT_GT(job.live.at(0).attempt, 3U);
 }
 
 // Launch after forget: the exit is committed first, and the next start has another attempt.
@@ -98,12 +98,12 @@
     EXPECT_TRUE(jobs.commands(machine, true).empty()) << "the exit is not committed yet";
     mark_committed(job);
     auto o = jobs.commands(machine, true);
-    ASSERT_EQ(o.size(), 1u);
+    ASSERT_EQ(o.size(), 1U);
     EXPECT_EQ(o[0].verb, CommandKind::kForget);
     Machine& other = add_machine("vm-2");
     now += 30;
-    ASSERT_EQ(schedule_for({&other}).size(), 1u);
-    EXPECT_EQ(job.live.at(0).attempt, 2u);
+    ASSERT_EQ(schedule_for({&other}).size(), 1U);
+    EXPECT_EQ(job.live.at(0).attempt, 2U);
 }
 
 // Until the last task of the old attempt has exited, no task of the gang may start anywhere.
@@ -111,7 +111,7 @@
     Job& gang = add_job(job_spec("job-1", 2, JobKind::kGang));
     Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
     first.free = {};
-    ASSERT_EQ(schedule_for({&first}).size(), 2u);
+    ASSERT_EQ(schedule_for({&first}).size(), 2U);
     mark_committed(gang);
     Machine& machine = *cluster.machine(gang.live.at(0).machine);
     auto t0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
@@ -126,8 +126,8 @@
     EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.verb == CommandKind::kStop; }));
     exit_task(t1, ExitCause::kStopped);
     jobs.apply(cluster, machine, heartbeat(machine, {t0, t1}), true, now += 3);
-    EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
-    EXPECT_EQ(gang.live.at(0).attempt, 2u);
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 2U);
+    EXPECT_EQ(gang.live.at(0).attempt, 2U);
 }
 
 TEST_F(TaskLifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
@@ -161,7 +161,7 @@
                true, now);
     EXPECT_TRUE(schedule_for({&y}).empty());
     auto o = jobs.commands(first, true);
-    ASSERT_EQ(o.size(), 2u);
+    ASSERT_EQ(o.size(), 2U);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[1].verb, CommandKind::kStop);
 }
@@ -169,17 +169,17 @@
 TEST_F(TaskLifecycle, ACancelledJobIsLaunchedNowhereAndStoppedEverywhere) {
     Job& job = add_job(job_spec("job-1", 3));
     Machine& machine = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&machine}).size(), 2u);
+    ASSERT_EQ(schedule_for({&machine}).size(), 2U);
     mark_committed(job);
     jobs.commands(machine, true);
     jobs.cancel(job, now);
     EXPECT_TRUE(schedule_for({&machine}).empty());
-    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0u);
+    EXPECT_EQ(count_launches(jobs.commands(machine, true)), 0U);
     // The launch was in flight and took effect.
     jobs.apply(cluster, machine, heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}), true,
                now += 3);
     auto o = jobs.commands(machine, true);
-    ASSERT_EQ(o.size(), 1u);
+    ASSERT_EQ(o.size(), 1U);
     EXPECT_EQ(o[0].verb, CommandKind::kStop);
     EXPECT_EQ(o[0].grace_s, 0);
 }
--- a/tests/leader/election_test.cc
+++ b/tests/leader/election_test.cc
@@ -32,8 +32,8 @@
         deployment.run(10);
         EXPECT_EQ(elections, 1) << "it does not stand again";
         EXPECT_EQ(deployment.leader(), -1);
-        EXPECT_EQ(deployment.store.rows.count(kLeaderKey), 0u);
-        EXPECT_EQ(deployment.store.rows.count(kTermKey), 0u) << "nor was its epoch begun";
+        EXPECT_EQ(deployment.store.rows.count(kLeaderKey), 0U);
+        EXPECT_EQ(deployment.store.rows.count(kTermKey), 0U) << "nor was its epoch begun";
     }
 }
 
@@ -68,7 +68,7 @@
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 5));
         uint64_t fencing_token = deployment.node(0).election().fencing_token();
-        EXPECT_EQ(fencing_token, late_first ? 2u : 1u) << "the old transaction took effect, or never will";
+        EXPECT_EQ(fencing_token, late_first ? 2U : 1U) << "the old transaction took effect, or never will";
         EXPECT_NE(deployment.store.apply(old).status, 200) << "its conditions or its lease are gone";
         deployment.run(5);
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
--- a/tests/leader/heartbeats_test.cc
+++ b/tests/leader/heartbeats_test.cc
@@ -30,7 +30,7 @@
     getrlimit(RLIMIT_NOFILE, &files);
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
-    ASSERT_GE(files.rlim_cur, 2500u);
+    ASSERT_GE(files.rlim_cur, 2500U);
     deployment.configs[0].sockets = 2000;
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
@@ -55,6 +55,6 @@
     uint64_t run_passes = deployment.node(0).leader()->passes_done() - before;
     EXPECT_LE(static_cast<double>(run_passes),
               2 + (deployment.loop.now() - began) / constants::kPassInterval_s);
-    EXPECT_LT(run_passes, 50u) << "far fewer than reports";
-    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000u);
+    EXPECT_LT(run_passes, 50U) << "far fewer than reports";
+    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000U);
 }
--- a/tests/leader/large_fleet_test.cc
+++ b/tests/leader/large_fleet_test.cc
@@ -112,7 +112,7 @@
     began = deployment.loop.now();
     EXPECT_EQ(all_report(), kMachines);
     EXPECT_EQ(all_report(), kMachines) << "with this epoch known";
-    EXPECT_LE(leader()->passes_done(), 20u);
+    EXPECT_LE(leader()->passes_done(), 20U);
     EXPECT_LT(deployment.loop.now() - began, kTakeOver_s);
     EXPECT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
     for (const FakeWorker& worker : workers)
@@ -146,7 +146,7 @@
                 "worker");
     ASSERT_TRUE(deployment.until([&] { return sent; }));
     deployment.run(2);
-    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 0u);
+    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 0U);
     deployment.settle(worker);
-    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1u);
+    EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1U);
 }
--- a/tests/leader/record_reading_test.cc
+++ b/tests/leader/record_reading_test.cc
@@ -21,9 +21,9 @@
     ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs/job-5/withdraw").status, 200);
     deployment.run(5);
     const auto& jobs = deployment.node(first).leader()->jobs();
-    EXPECT_EQ(jobs.size(), 4u) << "the withdrawn one is over and moved";
+    EXPECT_EQ(jobs.size(), 4U) << "the withdrawn one is over and moved";
     for (int i = 1; i <= 4; ++i) EXPECT_TRUE(jobs.find("job-" + std::to_string(i)));
-    EXPECT_TRUE(deployment.store.rows.count("f/job-5"));
+    EXPECT_TRUE(deployment.store.rows.contains("f/job-5"));
 }
 
 // A watch's answer has no size limit. One that is larger than is taken must lead to reading the records in
@@ -48,5 +48,5 @@
     }
     deployment.store.down = false;
     deployment.run(10);
-    EXPECT_EQ(deployment.node(0).leader()->jobs().size(), 300u);
+    EXPECT_EQ(deployment.node(0).leader()->jobs().size(), 300U);
 }
--- a/tests/loop/loop_test.cc
+++ b/tests/loop/loop_test.cc
@@ -58,7 +58,7 @@
     for (size_t i = 0; i < kCrowd; ++i) scope.spawn(work_off(done), "report");
     loop.turn(0);
     EXPECT_LE(done, constants::kResumesPerTurn);
-    EXPECT_GT(done, 0u);
+    EXPECT_GT(done, 0U);
     ASSERT_TRUE(loop.run_until([&] { return done == kCrowd; }, 1));
 }
 
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -33,8 +33,8 @@
           announced_last(deployment.loop.now()),
           listener(deployment.loop, listen_on(deployment.configs[1].peer_listen)),
           scope(deployment.loop) {
-        scope.spawn(accept(), "sibling");
-        scope.spawn(heartbeats(), "sibling's beats");
+        scope.spawn(accept(), "scripted peer");
+        scope.spawn(heartbeats(), "scripted peer's heartbeats");
     }
     ~ScriptedPeer() {
         scope.cancel();
@@ -56,7 +56,7 @@
             if (fd < 0) {
                 co_await deployment.loop.readable(listener, -1);
             } else {
-                scope.spawn(serve(fd), "sibling's link");
+                scope.spawn(serve(fd), "scripted peer's link");
             }
         }
     }
@@ -93,7 +93,7 @@
     Task<void> heartbeats() {
         std::shared_ptr<Stream> stream = co_await connect_to(
             deployment.loop, deployment.configs[0].peer_listen, deployment.loop.now() + 1);
-        if (stream) scope.spawn(count_unknown(stream), "answers to the sibling's beats");
+        if (stream) scope.spawn(count_unknown(stream), "answers to the scripted peer");
         while (stream) {
             co_await deployment.loop.sleep(0.93);
             co_await stream->write(
@@ -113,11 +113,11 @@
 }
 
 // A controller that leads, with a scripted peer and a worker with a task of each job.
-struct Pair {
+struct LeaderWithScriptedPeer {
     Deployment deployment{2};
     std::unique_ptr<ScriptedPeer> peer;
     FakeWorker worker;
-    explicit Pair(uint8_t record_format, std::vector<std::string> jobs = {}) {
+    explicit LeaderWithScriptedPeer(uint8_t record_format, std::vector<std::string> jobs = {}) {
         deployment.run(1);
         peer = std::make_unique<ScriptedPeer>(deployment);
         peer->record_format = record_format;
@@ -171,7 +171,7 @@
         deployment.store.refused_nodes.clear();
         deployment.run(3);
         EXPECT_EQ(report(deployment, worker, leader, 8), 200);
-        EXPECT_TRUE(deployment.store.rows.count("f/job-1"));
+        EXPECT_TRUE(deployment.store.rows.contains("f/job-1"));
         EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-2")), "running");
     }
 }
@@ -193,7 +193,7 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
     Controller& node = deployment.node(1 - first);
     ASSERT_TRUE(deployment.until([&] { return node.leader() != nullptr; }));
-    ASSERT_EQ(node.leader()->jobs().size(), 0u);
+    ASSERT_EQ(node.leader()->jobs().size(), 0U);
     node.leader()->observe_cancellation("job-1");
     deployment.settle(worker);
     EXPECT_EQ(report(deployment, worker, 1 - first, 4), 200);
@@ -204,7 +204,7 @@
 // A peer of the version in production cannot say which jobs were cancelled: it is sent nothing that it
 // does not know, and its silence about cancellations counts as before.
 TEST(CancellationNotices, BesideTheVersionInProductionSilenceCounts) {
-    Pair pair(0, {"job-1"});
+    LeaderWithScriptedPeer pair(0, {"job-1"});
     ASSERT_EQ(phase_of(pair.deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     pair.deployment.run(3);
     EXPECT_EQ(pair.peer->unknown, 0) << "it would close the connection";
@@ -217,7 +217,7 @@
 
 // The peer says that it told of a cancellation, and the frame that names the job does not come.
 TEST(CancellationNotices, AMissingNoticeEndsTheRightToRenewLeasesInTime) {
-    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    LeaderWithScriptedPeer pair(peer::kPeerFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
     pair.peer->announced_last = pair.deployment.loop.now();
@@ -229,7 +229,7 @@
 
 // Named in time, also by a connection that begins anew and repeats what was lost on the last one.
 TEST(CancellationNotices, NoticesCountOnceAndInOrder) {
-    Pair pair(peer::kPeerFormat, {"job-1", "job-2"});
+    LeaderWithScriptedPeer pair(peer::kPeerFormat, {"job-1", "job-2"});
     pair.deployment.store.down = true;
     pair.deployment.run(2);
     pair.peer->announced_last = pair.deployment.loop.now();
@@ -254,7 +254,7 @@
 // The heartbeat that a peer sends by itself is up to a second newer than its last answer. Taken together, its
 // silence and the answer's time reached back to before a cancellation that it had told a user of.
 TEST(CancellationNotices, ALaterHeartbeatDoesNotExtendAnEarlierAnswer) {
-    Pair pair(0);
+    LeaderWithScriptedPeer pair(0);
     // Seen fresh by a watch that began up to 3 s ago, and cut off now.
     pair.deployment.store.refused_nodes.insert(0);
     pair.deployment.store.down = true;
@@ -274,7 +274,7 @@
 
 // What was confirmed for once stays known when the peer begins anew and can speak only for itself.
 TEST(CancellationNotices, WhatAPeerConfirmedStaysKnown) {
-    Pair pair(peer::kPeerFormat);
+    LeaderWithScriptedPeer pair(peer::kPeerFormat);
     pair.deployment.store.down = true;
     EXPECT_EQ(report(pair.deployment, pair.worker, 0, 60), 200);
     pair.peer->incarnation = 78;
--- a/tests/peer/heartbeat_test.cc
+++ b/tests/peer/heartbeat_test.cc
@@ -19,7 +19,7 @@
         }
         EXPECT_EQ(peer::label_of(b), label);
         std::string bytes = peer::pack(peer::Kind::kHeartbeat, 1, 2, b);
-        ASSERT_EQ(bytes.size(), 24u + 68u);
+        ASSERT_EQ(bytes.size(), 24U + 68U);
         EXPECT_EQ(std::string(bytes.c_str() + 24), label);
     }
 }
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -34,20 +34,22 @@
 
 }  // namespace
 
+ScenarioParts::ScenarioParts(int controllers) : deployment(controllers), fleet(deployment, jobs) {}
+
 FaultScenario::FaultScenario(int controllers, int machines, int old_node)
-    : deployment(controllers), scope(deployment.loop), old_node_(old_node) {
+    : ScenarioParts(controllers), old_node_(old_node), scope_(deployment.loop) {
     for (int node = 0; node < controllers; ++node) {
         place_proxies(node);
         deployment.start(node);
     }
     EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }));
     for (int i = 0; i < machines; ++i) fleet.add("vm-00010" + std::to_string(i), zone_of(i));
-    scope.spawn(watch_rules(), "rules");
+    scope_.spawn(watch_rules(), "rules");
     deployment.run(kStartUp_s);
 }
 
 FaultScenario::~FaultScenario() {
-    scope.cancel();
+    scope_.cancel();
     fleet.stop();
     for (auto& proxy : store_proxies) proxy->server.stop();
     for (auto& [ends, link] : links) link->scope.cancel();
@@ -197,7 +199,7 @@
     for (const auto& id : jobs.accepted) {
         poll(id);
         jobs.check_answer(id, ask("POST", "/v2/runs", jobs.bodies[id]));
-        EXPECT_TRUE(jobs.finals.count(id)) << id << " should be over";
+        EXPECT_TRUE(jobs.finals.contains(id)) << id << " should be over";
         EXPECT_FALSE(fleet.holder(id)) << id << " is over and still on a machine";
     }
     EXPECT_EQ(deployment.call(await_leader(), "GET", "/v2/runs/job-999").status, 404) << "invented";
@@ -233,8 +235,8 @@
             if (task.phase == TaskPhase::kExited) continue;
             const std::string& job = task.name.job;
             std::string name = task.name.text();
-            if (jobs.services.count(job) == 0) ++gpus;
-            if (jobs.single_zone.count(job) > 0 &&
+            if (!jobs.services.contains(job)) ++gpus;
+            if (jobs.single_zone.contains(job) &&
                 zone_of_job.emplace(job, worker.zone).first->second != worker.zone)
                 ADD_FAILURE() << name << " is not in its job's zone";
             if (!machine_of_task.emplace(name, worker.name).second)
--- a/tests/scenario/fault_scenario.h
+++ b/tests/scenario/fault_scenario.h
@@ -17,7 +17,20 @@
 
 constexpr int kNoOldNode = -1;
 
-struct FaultScenario {
+// What scripts reach of a scenario.
+struct ScenarioParts {
+    explicit ScenarioParts(int controllers);
+
+    Deployment deployment;
+    JobLedger jobs;
+    std::vector<std::unique_ptr<StoreProxy>> store_proxies;  // by controller
+    std::map<std::pair<int, int>, std::unique_ptr<PeerLink>>
+        links;  // by the controllers that dial and listen
+    SimulatedFleet fleet;
+};
+
+class FaultScenario : public ScenarioParts {
+  public:
     // `old_node`: a controller of the older version until the faults end, or kNoOldNode.
     FaultScenario(int controllers, int machines, int old_node = kNoOldNode);
     ~FaultScenario();
@@ -58,14 +71,6 @@
     // Ends all faults, waits until every job is over, and checks that nothing was lost or invented.
     void end_faults_and_check(Seconds most = 150);
 
-    Deployment deployment;
-    JobLedger jobs;
-    std::vector<std::unique_ptr<StoreProxy>> store_proxies;  // by controller
-    std::map<std::pair<int, int>, std::unique_ptr<PeerLink>>
-        links;  // by the controllers that dial and listen
-    SimulatedFleet fleet{deployment, jobs};
-    Scope scope;
-
   private:
     void set_peer_links(int node, bool cut);
     void place_proxies(int node);
@@ -79,6 +84,7 @@
 
     int old_node_;
     size_t next_node_ = 0;
+    Scope scope_;
 };
 
 }  // namespace hareshore::test
--- a/tests/scenario/job_ledger.cc
+++ b/tests/scenario/job_ledger.cc
@@ -34,19 +34,19 @@
     }
     if (phase == "done" || phase == "withdrawn") finals[id] = phase;
     if (phase == "done") {
-        EXPECT_TRUE(done.count(id)) << id << " is not done";
+        EXPECT_TRUE(done.contains(id)) << id << " is not done";
     }
 }
 
 void JobLedger::complete_task(const std::string& id, uint32_t task) {
     completed_tasks[id].insert(task);
-    if (gangs.count(id) > 0) done.insert(id);  // its tasks complete together
+    if (gangs.contains(id)) done.insert(id);  // its tasks complete together
     auto submission = Message::parse(bodies[id]);
     if (completed_tasks[id].size() == submission->root()["pieces"].count_or(0)) done.insert(id);
 }
 
 bool JobLedger::over(const std::string& id) const {
-    return cancelled.count(id) > 0 || done.count(id) > 0;
+    return cancelled.contains(id) || done.contains(id);
 }
 
 }  // namespace hareshore::test
--- a/tests/scenario/simulated_fleet.cc
+++ b/tests/scenario/simulated_fleet.cc
@@ -83,7 +83,7 @@
 
 Task<void> SimulatedFleet::boot(std::string name, std::string zone, Seconds boot_s) {
     co_await deployment_.loop.sleep(boot_s);
-    if (deployment_.cloud.machines.count(name) > 0) start(name, zone);
+    if (deployment_.cloud.machines.contains(name)) start(name, zone);
 }
 
 SimulatedMachine* SimulatedFleet::holder(const std::string& job) {
@@ -201,7 +201,7 @@
         machine.report_soon || worker.fencing_token != fencing_token || worker.live_tasks() != live;
     Seconds now = deployment_.loop.now();
     for (const auto& task : worker.tasks) {
-        if (task.phase == TaskPhase::kExited || before.count({task.name.text(), task.attempt}) > 0) continue;
+        if (task.phase == TaskPhase::kExited || before.contains({task.name.text(), task.attempt})) continue;
         ++launches_[task.name.job];
         machine.ends[task.name.text()] = now + jobs_.run_times[task.name.job];
         auto cancelled = jobs_.cancelled.find(task.name.job);
@@ -217,7 +217,7 @@
 
 bool SimulatedFleet::gang_broken(const TaskStatus& task, Seconds now) {
     auto gang = jobs_.gangs.find(task.name.job);
-    if (gang == jobs_.gangs.end() || jobs_.done.count(task.name.job) > 0) return false;
+    if (gang == jobs_.gangs.end() || jobs_.done.contains(task.name.job)) return false;
     size_t live = 0;
     for (const auto& machine : machines_) {
         if (machine->deleted || machine->hung) continue;
@@ -235,7 +235,7 @@
 void SimulatedFleet::advance() {
     Seconds now = deployment_.loop.now();
     for (auto& machine : machines_) {
-        if (deployment_.cloud.machines.count(machine->worker.name) == 0) {
+        if (!deployment_.cloud.machines.contains(machine->worker.name)) {
             machine->deleted = true;
             machine->worker.tasks.clear();
         }
--- a/tests/scenario/user_crowd.cc
+++ b/tests/scenario/user_crowd.cc
@@ -93,7 +93,7 @@
 
 void UserCrowd::record(const std::string& job, AnswerAge age, const std::string& phase) {
     if (phase == "withdrawn") {
-        EXPECT_TRUE(cancelled_.count(job)) << job << " was not cancelled";
+        EXPECT_TRUE(cancelled_.contains(job)) << job << " was not cancelled";
         scenario_.jobs.cancelled.emplace(job, scenario_.deployment.loop.now());
     }
     if (age < AnswerAge::kAccepted) return;
@@ -108,8 +108,9 @@
 }
 
 void UserCrowd::poll_everywhere(const std::string& job) {
+    const std::string path = kRuns + "/" + job;
     for (size_t node = 0; node < scenario_.deployment.nodes.size(); ++node)
-        scope_.spawn(ask_once(job, node, "GET", kRuns + "/" + job, ""), "question");
+        scope_.spawn(ask_once(job, node, "GET", path, ""), "question");
 }
 
 void UserCrowd::repeat_submission(const std::string& job) {
--- a/tests/scheduler/gang_reservation_test.cc
+++ b/tests/scheduler/gang_reservation_test.cc
@@ -35,7 +35,7 @@
     EXPECT_TRUE(schedule_for({&first}).empty()) << "kept for the gang";
     add_job(quick);
     auto b = schedule_for({&first});
-    ASSERT_EQ(b.size(), 1u);
+    ASSERT_EQ(b.size(), 1U);
     EXPECT_EQ(b[0].job->spec.id, "job-4");
 }
 
@@ -47,7 +47,7 @@
     Job& low = add_job(job_spec("job-1", 2));
     low.spec.priority = PriorityClass::kIdle;
     Job& same = add_job(job_spec("job-2", 2));
-    ASSERT_EQ(schedule_for({&first, &y}).size(), 4u) << "the limit is used up";
+    ASSERT_EQ(schedule_for({&first, &y}).size(), 4U) << "the limit is used up";
     mark_committed(low);
     mark_committed(same);
     now += 1;
@@ -118,5 +118,5 @@
     jobs.machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
-    EXPECT_EQ(schedule_for({&first, &y}).size(), 2u);
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 2U);
 }
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -16,7 +16,7 @@
     add_job(job_spec("job-1", 3), {{0, {1, "vm-8", "a"}}, {1, {1, "vm-8", "a"}}, {2, {1, "vm-9", "a"}}});
     add_job(job_spec("job-2", 4));
     Machine& machine = add_machine("vm-1");
-    EXPECT_EQ(schedule_for({&machine}).size(), 1u)
+    EXPECT_EQ(schedule_for({&machine}).size(), 1U)
         << "three of four GPUs are in use on machines not heard of yet";
 }
 
@@ -27,7 +27,7 @@
     Machine& in_b = add_machine("vm-1", "b");
     EXPECT_TRUE(schedule_for({&in_b}).empty());
     Machine& in_a = add_machine("vm-2", "a");
-    EXPECT_EQ(schedule_for({&in_a}).size(), 2u);
+    EXPECT_EQ(schedule_for({&in_a}).size(), 2U);
 }
 
 TEST_F(PlacementRules, PutsAtMostHalfRoundedUpIntoAZone) {
@@ -36,7 +36,7 @@
     spec.spread_across_zones = true;
     add_job(spec);
     Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
-    EXPECT_EQ(schedule_for({&first, &y}).size(), 3u);
+    EXPECT_EQ(schedule_for({&first, &y}).size(), 3U);
 }
 
 TEST_F(PlacementRules, StartsAGangOnlyWithRoomForAllTasks) {
@@ -45,10 +45,10 @@
     EXPECT_TRUE(schedule_for({&first}).empty());
     EXPECT_EQ(gang.wait_reason, WaitReason::kGangRoom);
     add_machine("vm-2");
-    EXPECT_EQ(schedule_for({&first}).size(), 4u);
+    EXPECT_EQ(schedule_for({&first}).size(), 4U);
     std::set<uint64_t> attempts;
     for (auto& [n, p] : gang.live) attempts.insert(p.attempt);
-    EXPECT_EQ(attempts.size(), 1u) << "tasks of a gang find each other by their attempt";
+    EXPECT_EQ(attempts.size(), 1U) << "tasks of a gang find each other by their attempt";
 }
 
 TEST_F(PlacementRules, WaitsBrieflyForAnIdleHolderOfTheImage) {
@@ -59,7 +59,7 @@
     EXPECT_TRUE(schedule_for({&asker}).empty());
     EXPECT_EQ(job.wait_reason, WaitReason::kHeldForImage);
     now += settings.hold_s + 0.1;
-    EXPECT_EQ(schedule_for({&asker}).size(), 1u) << "not for ever";
+    EXPECT_EQ(schedule_for({&asker}).size(), 1U) << "not for ever";
 }
 
 TEST_F(PlacementRules, PrefersTheLargerCachedImageAmongTasksOfSimilarAge) {
@@ -73,6 +73,6 @@
     machine.cache.use("img-job-1", 2);
     machine.cache.use("img-job-2", 9);
     auto b = schedule_for({&machine});
-    ASSERT_EQ(b.size(), 2u);
+    ASSERT_EQ(b.size(), 2U);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
 }
--- a/tests/scheduler/queue_order_test.cc
+++ b/tests/scheduler/queue_order_test.cc
@@ -23,7 +23,7 @@
     add_job(young);
     Machine& machine = add_machine("vm-1");
     auto b = schedule_for({&machine});
-    ASSERT_EQ(b.size(), 2u);
+    ASSERT_EQ(b.size(), 2U);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
 }
@@ -49,7 +49,7 @@
         return &add_job(spec);
     };
     stream();
-    ASSERT_EQ(schedule_for({&first, &y}).size(), 4u);
+    ASSERT_EQ(schedule_for({&first, &y}).size(), 4U);
     EXPECT_TRUE(old.live.empty());
     now += settings.begin_bound_s + 1;
     stream();
@@ -59,7 +59,7 @@
     jobs.erase("job-10");
     jobs.machine_deleted("vm-2", now);
     auto b = schedule_for({&first, &y});
-    ASSERT_EQ(b.size(), 2u);
+    ASSERT_EQ(b.size(), 2U);
     EXPECT_EQ(b[0].job, &old);
     // The late array has its turn before what came after it, too, and only until it has begun.
     jobs.machine_deleted("vm-1", now);
@@ -67,7 +67,7 @@
     old.done = Ranges::whole(2);
     old.pending = {};
     b = schedule_for({&first, &y});
-    ASSERT_EQ(b.size(), 4u);
+    ASSERT_EQ(b.size(), 4U);
     EXPECT_EQ(b[0].job, &overdue);
     EXPECT_NE(b[1].job, &overdue);
 }
@@ -83,7 +83,7 @@
     add_job(young);
     Machine& machine = add_machine("vm-1");
     auto b = schedule_for({&machine});
-    ASSERT_EQ(b.size(), 2u);
+    ASSERT_EQ(b.size(), 2U);
     EXPECT_EQ(b[0].job->spec.id, "job-2");
     EXPECT_EQ(b[1].job->spec.id, "job-2");
 }
@@ -98,7 +98,7 @@
     spec.job_class = "c";
     Job& old = add_job(spec);
     Machine& machine = add_machine("vm-1");
-    ASSERT_EQ(schedule_for({&machine}).size(), 2u);
+    ASSERT_EQ(schedule_for({&machine}).size(), 2U);
     mark_committed(old);
     now += 60;
     jobs.machine_deleted("vm-1", now);
@@ -106,7 +106,7 @@
     spec.id = "job-2";
     add_job(spec);
     auto b = schedule_for({&add_machine("vm-2")});
-    ASSERT_EQ(b.size(), 2u);
+    ASSERT_EQ(b.size(), 2U);
     EXPECT_EQ(b[0].job->spec.id, "job-1");
     EXPECT_EQ(b[1].job->spec.id, "job-1");
 }
--- a/tests/scheduler/scheduling_cost_test.cc
+++ b/tests/scheduler/scheduling_cost_test.cc
@@ -20,8 +20,8 @@
     Job& job = add_job(job_spec("job-1", 100'000));
     std::vector<Machine*> machines;
     for (int i = 0; i < 40; ++i) machines.push_back(&add_machine("vm-" + std::to_string(100 + i)));
-    EXPECT_EQ(schedule_for(machines).size(), 80u);
-    EXPECT_LE(job.pending.pieces(), 1u);
+    EXPECT_EQ(schedule_for(machines).size(), 80U);
+    EXPECT_LE(job.pending.pieces(), 1U);
     EXPECT_LT(job.record().pack(1).size(), config.value_bytes);
     settings.max_machines = 60;
     ScalingInput in{config, settings, now, now, {}, {}, true, false};
@@ -65,7 +65,7 @@
                 jobs.bind(job, t, *fleet_machines[static_cast<size_t>(i) + t / 2], 1, now).seen = true;
         }
         for (int i = 0; i < machines / 5; ++i) {
-            JobSpec spec = job_spec("job-w" + std::to_string(i), i % 2 ? 1u << (i % 5) : 5,
+            JobSpec spec = job_spec("job-w" + std::to_string(i), i % 2 ? 1U << (i % 5) : 5,
                                     i % 2 ? JobKind::kGang : JobKind::kArray);
             spec.priority = i % 2 ? PriorityClass::kHigh : PriorityClass::kStandard;
             spec.single_zone = spec.gang();
@@ -84,7 +84,7 @@
         return c;
     };
     Cost small = cost(250), large = cost(1000);
-    EXPECT_GT(small.round, 250u);
+    EXPECT_GT(small.round, 250U);
     EXPECT_LT(large.round, 6 * small.round) << small.round << " to " << large.round;
     EXPECT_LT(large.plan, 6 * small.plan + 1000) << small.plan << " to " << large.plan;
 }
--- a/tests/scheduler/starvation_test.cc
+++ b/tests/scheduler/starvation_test.cc
@@ -115,18 +115,18 @@
 
 TEST_F(Starvation, TheLimitIsLentToLowerWorkThatEndsBeforeTheGangHasRoom) {
     inherit(array(PriorityClass::kIdle, kGangRoomIn_s / 2), 5);
-    EXPECT_EQ(round().size(), 1u);
+    EXPECT_EQ(round().size(), 1U);
 }
 
 TEST_F(Starvation, TheLimitIsLentWhileNoRoomIsInSight) {
     cluster.machine("vm-2")->cordoned = true;
     inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
-    EXPECT_EQ(round().size(), 1u);
+    EXPECT_EQ(round().size(), 1U);
 }
 
 TEST_F(Starvation, AGangThatDoesNotStarveKeepsNoLimitFromWorkOfItsOwnRank) {
     inherit(array(PriorityClass::kStandard, 2 * kGangRoomIn_s), 5);
-    EXPECT_EQ(round().size(), 1u);
+    EXPECT_EQ(round().size(), 1U);
 }
 
 TEST_F(Starvation, AStarvedGangLendsNothingOfItsLimit) {
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -154,6 +154,15 @@
     FAIL() << "no leader took the worker's report";
 }
 
+bool Deployment::launch(FakeWorker& worker, int node, const std::string& job) {
+    EXPECT_EQ(call(node, "POST", "/v2/runs", job_body(job)).status, 201);
+    for (int report : {1, 2}) {
+        int status = send_report(worker, node);
+        EXPECT_EQ(status, 200) << "report " << report;
+    }
+    return worker.find(job + "/0") != nullptr;
+}
+
 std::vector<FakeWorker> Deployment::settled_workers(size_t count) {
     std::vector<FakeWorker> workers(count);
     for (size_t i = 0; i < count; ++i) {
--- a/tests/standins/deployment.h
+++ b/tests/standins/deployment.h
@@ -49,6 +49,9 @@
     int send_report(FakeWorker& worker, int node);
     // Reports to whoever leads until it is answered 200 with this epoch known.
     void settle(FakeWorker& worker);
+    // Submits a job of one task at this node, which leads, and reports until the worker runs the task;
+    // whether it does. Nobody else may have room for it.
+    [[nodiscard]] bool launch(FakeWorker& worker, int node, const std::string& job);
     // `count` workers that the leader knows, vm-000000 and so on.
     std::vector<FakeWorker> settled_workers(size_t count);
     // The cloud lists the worker's machine as running.
--- a/tests/standins/production_records.cc
+++ b/tests/standins/production_records.cc
@@ -25,7 +25,7 @@
     record.spec.save_s = 4;
     record.spec.due_s = 900;
     record.accepted_wall = {1796181234.125};
-    for (uint32_t n : {0u, 1u, 2u, 5u, 9u, 10u}) record.done.add(n);
+    for (uint32_t n : {0U, 1U, 2U, 5U, 9U, 10U}) record.done.add(n);
     record.next_attempt = 21;
     record.live[3] = {8, "vm-000003", "zone a"};
     record.live[4] = {20, "vm-000231", "zone a"};
--- a/tests/standins/scheduling_fixture.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -115,9 +115,10 @@
     return plan_scaling(cluster, jobs, scaling_input());
 }
 
-void SchedulingTest::delete_machine(std::string name) {
+void SchedulingTest::delete_machine(const std::string& name) {
+    auto machine = cluster.machines.find(name);  // the name may be its own
     jobs.machine_deleted(name, now);
-    cluster.machines.erase(name);
+    cluster.machines.erase(machine);
 }
 
 size_t SchedulingTest::count_launches(const std::vector<Command>& commands) {
--- a/tests/standins/scheduling_fixture.h
+++ b/tests/standins/scheduling_fixture.h
@@ -37,7 +37,7 @@
     void recount_resources();
     void hear_all_machines();
     // The machine is deleted with all that is on it.
-    void delete_machine(std::string name);
+    void delete_machine(const std::string& name);
 
     static void mark_committed(Job& job) { job.committed = job.version; }
     static size_t count_launches(const std::vector<Command>& commands);
--- a/tests/standins/store.cc
+++ b/tests/standins/store.cc
@@ -13,7 +13,7 @@
 constexpr Seconds kNever_s = 1e6;
 constexpr Seconds kWatchStep_s = 0.5;  // a watch looks for ended leases this often
 constexpr Seconds kLeastWatchStep_s = 0.1;
-constexpr size_t kMostRequestBytes = 64 * 1024;
+constexpr size_t kMostRequestBytes = size_t{64} * 1024;
 constexpr size_t kConditionsPerWrite = 4;  // as many times more conditions than writes are allowed
 
 Response no_body(int status) {
@@ -82,7 +82,7 @@
     for (size_t i = 0; i < writes.size(); ++i) {
         Node write = writes.at(i);
         uint64_t lease = write["mooring"].count_or(0);
-        if (lease > 0 && leases_.count(lease) == 0) return true;
+        if (lease > 0 && !leases_.contains(lease)) return true;
         bool large = write["put"].present() && json_text(repack(write["data"])).size() > value_bytes;
         if (large || writes.size() > txn_ops || conditions.size() > kConditionsPerWrite * txn_ops ||
             json_text(body).size() > kMostRequestBytes) {
--- a/tests/standins/store.h
+++ b/tests/standins/store.h
@@ -68,7 +68,7 @@
         Seconds ttl = 0, end = 0;
     };
 
-    [[nodiscard]] bool refuses(int node) const { return down || refused_nodes.count(node) > 0; }
+    [[nodiscard]] bool refuses(int node) const { return down || refused_nodes.contains(node); }
     void expire_leases();
     // The keys whose modification revision is not the one that the transaction expects.
     std::vector<std::string> failed_conditions(const Node& conditions);
@@ -81,7 +81,7 @@
     Response list(const Request& request);
     Response read(const std::string& key);
     Task<Response> watch(Request request, int node);
-    std::vector<const Event*> events_since(const std::string& prefix, uint64_t revision) const;
+    std::vector<const Event*> events_since(const std::string& prefix, uint64_t since) const;
 
     Loop& loop_;
     Signal changed_;
--- a/tests/users/write_rate_test.cc
+++ b/tests/users/write_rate_test.cc
@@ -106,7 +106,7 @@
         EXPECT_LT(steady[i].took, kAtOnce_s);
     }
     EXPECT_LT(std::count_if(before.begin(), before.end(),
-                            [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) > 0; }),
+                            [&](const auto& x) { return deployment.store.rows.contains("f/" + x.id); }),
               60)
         << "the leader was writing all the while";
 
