--- a/tests/standins/scheduling_fixture.h
+++ b/tests/standins/scheduling_fixture.h
@@ -38,7 +38,7 @@
     void recount_resources();
     void hear_all_machines();
     // The machine is deleted with all that is on it.
-    void delete_machine(std::string name);
+    void delete_machine(const std::string& name);
 
     static void mark_committed(Job& job) { job.persistence.committed_version = job.persistence.version; }
     static size_t count_launches(const std::vector<Command>& commands);
