--- a/src/cluster/image_cache.h
+++ b/src/cluster/image_cache.h
@@ -15,7 +15,7 @@
     // A task with this image has run: it is the most recently used one. The newest image stays even if it is
     // larger than the capacity.
     void use(const std::string& image, double size_gb);
-    bool has(const std::string& image) const;
+    [[nodiscard]] bool has(const std::string& image) const;
     void clear() { images_.clear(); }
 
   private:
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -100,7 +100,7 @@
     Seconds reserved_until = 0;  // work that ends before may use it
     uint64_t room_changes = 0;   // how often what it can give has changed
 
-    bool idle() const { return placed_tasks == 0; }
+    [[nodiscard]] bool idle() const { return placed_tasks == 0; }
 };
 
 }  // namespace hareshore
--- a/src/controller/term_checks.h
+++ b/src/controller/term_checks.h
@@ -22,7 +22,7 @@
     void step_down(LossReason reason) override;
 
   private:
-    bool is_current() const { return election_.fencing_token() == fencing_token_; }
+    [[nodiscard]] bool is_current() const { return election_.fencing_token() == fencing_token_; }
 
     const Loop& loop_;
     Election& election_;
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -12,7 +12,7 @@
 
 // The sort key of an idle machine; the smallest is deleted first: the dearest, then those idle longest.
 struct IdleRank {
-    bool spot;
+    bool spot = false;
     std::optional<Seconds> idle_since;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
     auto operator<=>(const IdleRank&) const = default;
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -150,6 +150,31 @@
     return text + "\r\n" + response.body;
 }
 
+AfterResponse after_response(bool keep_alive) {
+    return keep_alive ? AfterResponse::kKeepAlive : AfterResponse::kClose;
+}
+
+// Until when a connection is read: a request must begin within the idle time, and then be complete in time.
+class ReadDeadline {
+  public:
+    explicit ReadDeadline(Seconds now) { await_request(now); }
+
+    void await_request(Seconds now) {
+        request_began_ = false;
+        until_ = now + constants::kIdleConnectionTimeout_s;
+    }
+    void bytes_received(Seconds now) {
+        if (request_began_) return;
+        request_began_ = true;
+        until_ = now + constants::kRequestReadTimeout_s;
+    }
+    [[nodiscard]] Seconds until() const { return until_; }
+
+  private:
+    bool request_began_ = false;
+    Seconds until_ = 0;
+};
+
 std::string render_bad_request(AfterResponse after) {
     return render({.status = 400, .body = ""}, after);
 }
@@ -185,19 +210,15 @@
     Stream stream(loop_, fd);
     RequestParser parser;
     std::string pipelined;  // bytes received behind a complete request
-    Seconds until = loop_.now() + constants::kIdleConnectionTimeout_s;
-    bool started = false;  // the first byte of the current request was received
+    ReadDeadline deadline(loop_.now());
     bool refused = false;  // the current request was answered before it was complete
     while (true) {
         std::string_view input = pipelined;
         if (input.empty()) {
-            Stream::Read got = co_await stream.read(until);
+            Stream::Read got = co_await stream.read(deadline.until());
             if (!got.ok()) co_return;
             input = got.bytes;
-            if (!started) {
-                started = true;
-                until = loop_.now() + constants::kRequestReadTimeout_s;
-            }
+            deadline.bytes_received(loop_.now());
         }
         size_t taken = parser.parse(input);
         pipelined = std::string(input.substr(taken));
@@ -218,14 +239,13 @@
             Request request = parser.take_request();
             request.abandoned = stream.hung_up();
             Response response = co_await handler_(std::move(request));
-            std::string out =
-                render(response, keep_alive ? AfterResponse::kKeepAlive : AfterResponse::kClose);
+            std::string out = render(response, after_response(keep_alive));
             if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s)) co_return;
         }
         if (!keep_alive) co_return;
         parser.reset();
-        started = refused = false;
-        until = loop_.now() + constants::kIdleConnectionTimeout_s;
+        refused = false;
+        deadline.await_request(loop_.now());
     }
 }
 
--- a/src/jobs/compact_wire.cc
+++ b/src/jobs/compact_wire.cc
@@ -142,7 +142,7 @@
         return live_.emplace(static_cast<uint32_t>(last_.task), std::move(placement)).second;
     }
 
-    bool valid(const TaskPosition& position) const {
+    [[nodiscard]] bool valid(const TaskPosition& position) const {
         constexpr auto kMost = static_cast<int64_t>(constants::kMaxExactInteger);
         return position.task >= 0 && position.task < static_cast<int64_t>(tasks_) &&
                position.skew >= -kMost && position.skew <= kMost && position.task + position.skew >= 0;
--- a/src/jobs/job_persistence.h
+++ b/src/jobs/job_persistence.h
@@ -20,10 +20,10 @@
     uint64_t in_flight_version = 0;  // the version in the transaction that is on its way
     std::optional<DeferredWrite> deferred_write;
 
-    bool unwritten() const { return version != committed_version; }
-    bool committed(uint64_t of_version) const { return committed_version >= of_version; }
+    [[nodiscard]] bool unwritten() const { return version != committed_version; }
+    [[nodiscard]] bool committed(uint64_t of_version) const { return committed_version >= of_version; }
     // Whether writing the present version in this format is put off.
-    bool write_deferred(uint64_t record_format) const {
+    [[nodiscard]] bool write_deferred(uint64_t record_format) const {
         return deferred_write == DeferredWrite{version, record_format};
     }
 };
--- a/src/jobs/job_wait.h
+++ b/src/jobs/job_wait.h
@@ -31,7 +31,7 @@
     bool has_unplaced_task = false;  // a machine runs a task of the job that no placement accounts for
 
     // Whether the reason was not logged in the last kWaitLogInterval_s.
-    bool reason_log_due(Seconds now) const {
+    [[nodiscard]] bool reason_log_due(Seconds now) const {
         return !reason_logged_at || now - *reason_logged_at >= constants::kWaitLogInterval_s;
     }
 };
--- a/src/jobs/placement.h
+++ b/src/jobs/placement.h
@@ -16,7 +16,7 @@
     uint64_t sequence = 0;
     int answers = 0;  // heartbeats whose answers carried it
 
-    bool sent() const { return sequence != 0; }
+    [[nodiscard]] bool sent() const { return sequence != 0; }
 };
 
 struct Placement {
@@ -34,7 +34,7 @@
     std::optional<Seconds> running_since;
 
     // For how long it has run; 0 if it has not been reported as running.
-    Seconds ran(Seconds now) const { return running_since ? now - *running_since : 0; }
+    [[nodiscard]] Seconds ran(Seconds now) const { return running_since ? now - *running_since : 0; }
 };
 
 }  // namespace hareshore
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -33,8 +33,8 @@
     uint64_t next_attempt = 1;
     std::map<uint32_t, PlacementRecord> live;  // by task
 
-    JobPhase phase() const;
-    std::string pack(uint64_t record_format) const;
+    [[nodiscard]] JobPhase phase() const;
+    [[nodiscard]] std::string pack(uint64_t record_format) const;
     // Nothing if the record is malformed, or of a newer format than known (newer_record_format).
     [[nodiscard]] static std::optional<JobRecord> unpack(const std::string& packed);
 };
@@ -49,7 +49,7 @@
     uint32_t tasks = 0;
     uint32_t done = 0;
 
-    std::string pack() const;
+    [[nodiscard]] std::string pack() const;
     // Nothing if the record is malformed or of a newer format than known.
     [[nodiscard]] static std::optional<FinalRecord> unpack(const std::string& packed);
 };
--- a/src/jobs/record_format.h
+++ b/src/jobs/record_format.h
@@ -16,11 +16,11 @@
     std::optional<uint64_t> stored = 1;
 
     // A later version's format, or an unreadable one: what its records mean is not known here.
-    bool newer() const { return !stored || *stored > kNewestRecordFormat; }
+    [[nodiscard]] bool newer() const { return !stored || *stored > kNewestRecordFormat; }
     // A leader may raise it.
-    bool below_newest() const { return stored && *stored < kNewestRecordFormat; }
+    [[nodiscard]] bool below_newest() const { return stored && *stored < kNewestRecordFormat; }
     // The format to write.
-    uint64_t in_force() const { return newer() ? kNewestRecordFormat : *stored; }
+    [[nodiscard]] uint64_t in_force() const { return newer() ? kNewestRecordFormat : *stored; }
 };
 
 std::string pack_record_format(uint64_t record_format);
--- a/src/jobs/run_times.h
+++ b/src/jobs/run_times.h
@@ -14,7 +14,7 @@
     double sum_s = 0;
     Ranges interrupted;  // tasks that left a machine before they were done
 
-    bool counts(uint32_t task) const { return saw_all_starts && !interrupted.has(task); }
+    [[nodiscard]] bool counts(uint32_t task) const { return saw_all_starts && !interrupted.has(task); }
     void add(Seconds run_s) {
         ++count;
         sum_s += run_s;
--- a/src/jobs/task_lifecycle.h
+++ b/src/jobs/task_lifecycle.h
@@ -48,8 +48,8 @@
     Reaction reaction = Reaction::kRefused;
     TaskState next = TaskState::kPending;  // the same state unless accepted
 
-    constexpr bool accepted() const { return reaction == Reaction::kAccepted; }
-    constexpr bool moves_to(TaskState state) const { return accepted() && next == state; }
+    [[nodiscard]] constexpr bool accepted() const { return reaction == Reaction::kAccepted; }
+    [[nodiscard]] constexpr bool moves_to(TaskState state) const { return accepted() && next == state; }
     bool operator==(const TaskTransition&) const = default;
 };
 
--- a/src/jobs/write_queue.h
+++ b/src/jobs/write_queue.h
@@ -25,7 +25,7 @@
     // Takes jobs with unwritten changes off the front, as far as the limits allow. Jobs that are written or
     // no longer in `jobs` are dropped.
     std::vector<Job*> take(const JobMap& jobs, const WriteLimits& limits, uint64_t record_format);
-    size_t size() const { return ids_.size(); }
+    [[nodiscard]] size_t size() const { return ids_.size(); }
     void clear();
 
   private:
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -49,8 +49,8 @@
 // remembered for later waits.
 class Condition {
   public:
-    // `loop` must outlive the condition.
-    explicit Condition(Loop& loop) : loop_(loop) {}
+    // Its waiters run on this loop, which must outlive the condition.
+    explicit Condition(Loop& /*loop*/) {}
     Condition(const Condition&) = delete;
     Condition& operator=(const Condition&) = delete;
     ~Condition() { notify(); }
@@ -59,7 +59,6 @@
   private:
     friend class Loop;
     friend struct Waiter;
-    Loop& loop_;
     std::list<Waiter*> waiters_;
 };
 
--- a/src/model/job_spec.h
+++ b/src/model/job_spec.h
@@ -47,10 +47,11 @@
     Seconds save_s = 0;            // time that saving progress takes
     std::optional<Seconds> due_s;  // deadline, from the acceptance on
 
-    bool gang() const { return kind == JobKind::kGang; }
-    bool service() const { return kind == JobKind::kService; }
+    [[nodiscard]] bool gang() const { return kind == JobKind::kGang; }
+    [[nodiscard]] bool service() const { return kind == JobKind::kService; }
     // Whether its tasks may run on such a machine.
-    bool allows(const std::string& machine_type, const std::string& machine_zone, bool spot_machine) const {
+    [[nodiscard]] bool allows(const std::string& machine_type, const std::string& machine_zone,
+                              bool spot_machine) const {
         if (spot_machine && !spot) return false;
         if (!zone.empty() && zone != machine_zone) return false;
         return machine_types.empty() ||
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -20,16 +20,16 @@
     Resources& operator+=(const Resources& other);
     Resources& operator-=(const Resources& other);
     // Whether these amounts fit into this room; asked of all machines for each job, so it must cost little.
-    bool holds(const Resources& needed) const {
+    [[nodiscard]] bool holds(const Resources& needed) const {
         return cpus + kRoundingError >= needed.cpus && gpus + kRoundingError >= needed.gpus &&
                memory_gb + kRoundingError >= needed.memory_gb;
     }
     // Whether one task of the job fits.
-    bool holds(const JobSpec& spec) const { return holds(of(spec)); }
+    [[nodiscard]] bool holds(const JobSpec& spec) const { return holds(of(spec)); }
     // How many tasks of the job fit, at most `at_most`.
-    uint32_t count_fitting(const JobSpec& spec, uint32_t at_most) const;
+    [[nodiscard]] uint32_t count_fitting(const JobSpec& spec, uint32_t at_most) const;
     // The smaller amount of each.
-    Resources componentwise_min(const Resources& other) const {
+    [[nodiscard]] Resources componentwise_min(const Resources& other) const {
         return {std::min(cpus, other.cpus), std::min(gpus, other.gpus), std::min(memory_gb, other.memory_gb)};
     }
 };
--- a/src/model/task_name.h
+++ b/src/model/task_name.h
@@ -11,7 +11,7 @@
     std::string job;
     uint32_t task = 0;
 
-    std::string text() const { return job + '/' + std::to_string(task); }
+    [[nodiscard]] std::string text() const { return job + '/' + std::to_string(task); }
     // Nothing if the text is not that of a task's name.
     [[nodiscard]] static std::optional<TaskName> parse(const std::string& text);
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
