--- a/src/config/config_wire.cc
+++ b/src/config/config_wire.cc
@@ -58,7 +58,11 @@
 
 // The prefix in errors of the fields of a list's entry: "facts.teams[0].".
 std::string entry_prefix(const char* list, size_t index) {
-    return list + ("[" + std::to_string(index) + "].");
+    std::string prefix = list;
+    prefix += '[';
+    prefix += std::to_string(index);
+    prefix += "].";
+    return prefix;
 }
 
 // Reads the file's sections in order. Each function reads one, and throws ConfigError for its first invalid
