--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -30,7 +30,7 @@
 Config controller_config(int node, int controllers) {
     Config config;
     config.label = label_of(node);
-    config.zone = "a";
+    config.zone = std::string("a");
     config.listen = address(kFirstControllerHost + node, kUserPort);
     config.peer_listen = address(kFirstControllerHost + node, kPeerPort);
     config.cloud = address(kCloudHost, kCloudPort);
--- a/tests/standins/messages.cc
+++ b/tests/standins/messages.cc
@@ -28,14 +28,21 @@
 
 std::string json_array(const msgpack::object_array& array) {
     std::string json = "[";
-    for (uint32_t i = 0; i < array.size; ++i) json += (i > 0 ? "," : "") + json_of(array.ptr[i]);
+    for (uint32_t i = 0; i < array.size; ++i) {
+        if (i > 0) json += ',';
+        json += json_of(array.ptr[i]);
+    }
     return json + ']';
 }
 
 std::string json_map(const msgpack::object_map& map) {
     std::string json = "{";
-    for (uint32_t i = 0; i < map.size; ++i)
-        json += (i > 0 ? "," : "") + json_of(map.ptr[i].key) + ':' + json_of(map.ptr[i].val);
+    for (uint32_t i = 0; i < map.size; ++i) {
+        if (i > 0) json += ',';
+        json += json_of(map.ptr[i].key);
+        json += ':';
+        json += json_of(map.ptr[i].val);
+    }
     return json + '}';
 }
 
