--- a/tests/jobs/task_transitions_test.cc
+++ b/tests/jobs/task_transitions_test.cc
@@ -95,7 +95,7 @@
   private:
     Machine& add_machine() {
         Machine& machine = cluster_.ensure("vm-1", now_);
-        machine.zone = "a";
+        machine.zone = std::string("a");
         machine.machine_type = "g2";
         machine.heartbeat_received = machine.has_current_token = true;
         jobs_.apply_heartbeat(cluster_, machine, SchedulingTest::heartbeat(machine, {}), Absence::kProven,
--- a/tests/scheduler/gang_reservation_test.cc
+++ b/tests/scheduler/gang_reservation_test.cc
@@ -86,7 +86,7 @@
     config.teams[0].gpus_max = cluster.teams["team"].gpus + 2;
     gang.spec.tasks = 2;
     gang.spec.single_zone = true;
-    gang.spec.zone = "b";
+    gang.spec.zone = std::string("b");
     gang.pending = Ranges::whole(2);
     EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty());
     EXPECT_EQ(gang.wait.reason, WaitReason::kGangRoom);
--- a/tests/scheduler/queue_order_test.cc
+++ b/tests/scheduler/queue_order_test.cc
@@ -77,7 +77,7 @@
     config.wait_within["c"] = {50, 100};
     config.teams[0].gpus_max = 2;
     JobSpec old = job_spec("job-1", 2), young = job_spec("job-2", 2);
-    old.job_class = young.job_class = "c";
+    old.job_class = young.job_class = std::string("c");
     add_job(old);
     now += 60;
     add_job(young);
@@ -95,7 +95,7 @@
     config.wait_within["c"] = {50, 100};
     config.finish_within["c"] = 400;
     JobSpec spec = job_spec("job-1", 2);
-    spec.job_class = "c";
+    spec.job_class = std::string("c");
     Job& old = add_job(spec);
     Machine& machine = add_machine("vm-1");
     ASSERT_EQ(schedule_for({&machine}).size(), 2U);
