--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -1,6 +1,6 @@
-// What the version in production has stored and sends, byte for byte: records, the keys beside them, and the
-// frames between controllers. A name in the code that changes must not move a byte of it, since processes of
-// both versions serve side by side on the same data.
+// Byte-for-byte compatibility with the version in production: stored records and keys, and the frames between
+// controllers. Renaming something in the code must not change a byte, since during an upgrade processes of
+// both versions run side by side on the same data.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,11 +18,11 @@
 namespace {
 
 // Origin: commit 9b35ad5, the version that deploy/service.toml names as production. Its library was built
-// from a checkout of that commit, linked with a small program beside its tests and run; what it printed
-// stands here unchanged. Records, final records, heartbeats, the relay and the cancellations were packed by
-// its functions of the contents below. The keys `record_format`, `leader` and `term` were read from the state
-// service's stand-in after one of its controllers had been elected for epoch 41, and the answer to the relay
-// is what that controller sent back on its back channel.
+// from a checkout of that commit and linked with a small program that printed these bytes; they are copied
+// unchanged. Its functions encoded the records, final records, peer heartbeats, the relay request and the
+// cancellation notice from the contents below. The values of the keys `form`, `leader` and `term` were read
+// from its fake key-value store after one of its controllers had been elected with fencing token 41, and the
+// relay response is what that controller sent to its peer.
 constexpr const char* kArrayFormat1 =
     "de001aa26964aa6a6f622d303030373331a5636c617373a5747261696ea47465616da6766973696f6ea5736861706500a472"
     "616e6b02a57461736b7340a46370757308a467707573cb3ff8000000000000a36d656d40a5696d616765a6696d672d3037a8"
@@ -91,23 +91,23 @@
     "4852485202000100747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
 
-constexpr const char* kHeartbeatAnswerFrame =
+constexpr const char* kHeartbeatResponseFrame =
     "4852485202000200747372714400000088878685848382816e6f64652d320000000000000000000000000000000000000200"
     "000004030201181716151413121128272625242322213837363534333231010042415453525164636261";
 
-constexpr const char* kRelayFrame =
+constexpr const char* kRelayRequestFrame =
     "4852485202000300747372716700000088878685848382818aa4686f7374a9766d2d303030303031a461646472ad31302e31"
     "2e302e393a39303030a6666c61766f72a26732a4636f7665a161a96472696674776f6f64c2a674656e75726501a47469636b"
     "01a565706f636829a97761726e696e675f73c0a670696563657390";
 
-constexpr const char* kRelayAnswerFrame =
+constexpr const char* kRelayResponseFrame =
     "485248520200040074737271120000008887868584838281c80082a565706f636829a66f726465727390";
 
-constexpr const char* kCancellationsFrame =
+constexpr const char* kCancellationNoticeFrame =
     "4852485202000500000000001f000000181716151413121118171615141312110201000002000a6a6f622d30303037333205"
     "6a6f622d39";
 
-// What the stored values hold. Every field has a value of its own, so that two that are exchanged show.
+// The contents of the stored values. Every field has a distinct value, so that swapped fields are detected.
 JobSpec base_spec() {
     JobSpec spec;
     spec.id = "job-000731";
@@ -217,43 +217,43 @@
     return heartbeat;
 }
 
-peer::CancellationNotice cancellations() {
+peer::CancellationNotice cancellation_notice() {
     return {0x1112131415161718, 258, {"job-000732", "job-9"}};
 }
 
 constexpr uint32_t kFrameId = 0x71727374;
 
-constexpr uint64_t kAskerIncarnation = 0x8182838485868788;
+constexpr uint64_t kSenderIncarnation = 0x8182838485868788;
 
 constexpr uint64_t kStoredFencingToken = 41;
 
-// A frame's bytes come whole; the report in it is of a worker without tasks.
-std::string relay_frame() {
+// A relay request with the heartbeat of a worker without tasks.
+std::string relay_request_frame() {
     FakeWorker worker;
     worker.addr = "10.1.0.9:9000";
     worker.fencing_token = kStoredFencingToken;
-    return peer::encode_frame(peer::FrameKind::kRelay, kFrameId, kAskerIncarnation, worker.report());
+    return peer::encode_frame(peer::FrameKind::kRelay, kFrameId, kSenderIncarnation, worker.report());
 }
 
-std::string term_of(const std::string& node, uint64_t fencing_token) {
+std::string pack_term(const std::string& node, uint64_t fencing_token) {
     MsgpackWriter packer;
     packer.map(2).key("node").text(node).key("epoch").count(fencing_token);
     return packer.take();
 }
 
-// Sends a frame on the back channel and collects the answer's bytes.
-Task<void> exchange_frame(Loop& loop, Address to, std::string frame, std::string& answer) {
+// Sends a frame to a controller's peer address and stores the bytes of the response.
+Task<void> exchange_frame(Loop& loop, Address to, std::string frame, std::string& response) {
     auto stream = co_await connect_to(loop, to, loop.now() + 1);
     if (!stream) co_return;
     co_await stream->write(frame, loop.now() + 1);
     Stream::Read got = co_await stream->read(loop.now() + 3);
-    if (got.ok()) answer.assign(got.bytes);
+    if (got.ok()) response.assign(got.bytes);
 }
 
-// The only controller of a deployment, elected for the term after the stored one.
-void lead_after(Deployment& deployment, uint64_t last_epoch) {
+// Starts the only controller of a deployment, which is elected with the fencing token after the stored one.
+void elect_after(Deployment& deployment, uint64_t last_fencing_token) {
     Transaction txn;
-    txn.expect_revision("term", 0).put("term", term_of("node-9", last_epoch));
+    txn.expect_revision("term", 0).put("term", pack_term("node-9", last_fencing_token));
     ASSERT_EQ(deployment.store.apply(encode_transaction(txn)).status, 200);
     deployment.start(0);
     ASSERT_TRUE(deployment.until(
@@ -261,7 +261,7 @@
     deployment.run(1);
 }
 
-void expect_same(const JobRecord& read, const JobRecord& expected) {
+void expect_equal(const JobRecord& read, const JobRecord& expected) {
     EXPECT_TRUE(read.spec == expected.spec);
     EXPECT_EQ(read.accepted_wall, expected.accepted_wall);
     EXPECT_EQ(read.cancelled, expected.cancelled);
@@ -278,8 +278,8 @@
 
 struct StoredRecord {
     const char* name;
-    const char* form1;
-    const char* form2;
+    const char* format1;
+    const char* format2;
     JobRecord record;
 };
 
@@ -289,7 +289,7 @@
             {"service", kServiceFormat1, kServiceFormat2, service_record()}};
 }
 
-// The single frame that the bytes hold.
+// Decodes bytes that hold exactly one frame.
 peer::Frame only_frame(const std::string& bytes) {
     peer::FrameReader reader;
     reader.feed(bytes);
@@ -302,43 +302,43 @@
 
 }  // namespace
 
-TEST(ProductionBytes, RecordsAreRead) {
+TEST(ProductionCompatibility, ReadsRecords) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        for (const char* hex : {stored.form1, stored.form2}) {
+        for (const char* hex : {stored.format1, stored.format2}) {
             auto read = JobRecord::unpack(from_hex(hex));
             ASSERT_TRUE(read);
-            expect_same(*read, stored.record);
+            expect_equal(*read, stored.record);
         }
     }
 }
 
-TEST(ProductionBytes, RecordsAreWritten) {
+TEST(ProductionCompatibility, WritesRecords) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        EXPECT_EQ(to_hex(stored.record.pack(1)), stored.form1);
-        EXPECT_EQ(to_hex(stored.record.pack(2)), stored.form2);
+        EXPECT_EQ(to_hex(stored.record.pack(1)), stored.format1);
+        EXPECT_EQ(to_hex(stored.record.pack(2)), stored.format2);
     }
 }
 
-// The version pinned before, 64db79f, reads the done ranges as format 1 has them and refuses a record of
-// which it can't. Of one in format 2 it must not read them, not even as none, or it would take the tasks for
-// free.
-TEST(ProductionBytes, RecordsOfFormat2AreRefusedByTheRuleOfTheVersionBefore) {
+// The previous production version, 64db79f, parses the done ranges in format 1 and rejects a record whose
+// ranges it cannot parse. It must not parse the ranges of format 2, not even as empty, or it would start
+// tasks again.
+TEST(ProductionCompatibility, PreviousVersionRejectsRecordsOfFormat2) {
     for (const auto& stored : stored_records()) {
         SCOPED_TRACE(stored.name);
-        auto message = MsgpackDocument::parse(from_hex(stored.form2));
+        auto message = MsgpackDocument::parse(from_hex(stored.format2));
         ASSERT_TRUE(message);
         auto done = message->root()["done"].text();
         ASSERT_TRUE(done);
         EXPECT_FALSE(Ranges::parse(*done, stored.record.spec.tasks));
-        auto form1 = MsgpackDocument::parse(from_hex(stored.form1));
-        ASSERT_TRUE(form1);
-        EXPECT_TRUE(Ranges::parse(*form1->root()["done"].text(), stored.record.spec.tasks));
+        auto format1 = MsgpackDocument::parse(from_hex(stored.format1));
+        ASSERT_TRUE(format1);
+        EXPECT_TRUE(Ranges::parse(*format1->root()["done"].text(), stored.record.spec.tasks));
     }
 }
 
-TEST(ProductionBytes, FinalRecordsAreReadAndWritten) {
+TEST(ProductionCompatibility, ReadsAndWritesFinalRecords) {
     const std::pair<const char*, FinalRecord> stored[] = {{kDoneFinal, done_final()},
                                                           {kCancelledFinal, cancelled_final()}};
     for (const auto& [hex, expected] : stored) {
@@ -353,16 +353,16 @@
     }
 }
 
-TEST(ProductionBytes, KeysOfAnElectionAreWritten) {
+TEST(ProductionCompatibility, WritesElectionKeys) {
     Deployment deployment;
-    lead_after(deployment, kStoredFencingToken - 1);
+    elect_after(deployment, kStoredFencingToken - 1);
     ASSERT_EQ(deployment.leader(), 0);
     EXPECT_EQ(to_hex(deployment.store.rows.at("leader").data), kLeaderValue);
     EXPECT_EQ(to_hex(deployment.store.rows.at("term").data), kTermValue);
     EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
-TEST(ProductionBytes, TheLeadersKeyIsRead) {
+TEST(ProductionCompatibility, ReadsLeaderKey) {
     Deployment deployment(2);
     store_value(deployment, "leader", from_hex(kLeaderValue));
     deployment.start(1);
@@ -371,7 +371,7 @@
     EXPECT_FALSE(deployment.node(1).election().leading());
 }
 
-TEST(ProductionBytes, TheTermIsReadAndNotUsedAgain) {
+TEST(ProductionCompatibility, ReadsTermAndDoesNotReuseIt) {
     Deployment deployment;
     store_value(deployment, "term", from_hex(kTermValue));
     deployment.start(0);
@@ -379,8 +379,9 @@
     EXPECT_EQ(deployment.node(0).election().fencing_token(), kStoredFencingToken + 1);
 }
 
-// The key is there, so records are written in format 2 also while nothing is known of the other controller.
-TEST(ProductionBytes, TheRecordFormatIsReadAndKept) {
+// The stored format is in force, so records are written in format 2 even before the other controller has
+// sent a heartbeat.
+TEST(ProductionCompatibility, ReadsAndKeepsRecordFormat) {
     Deployment deployment(2);
     store_value(deployment, "form", from_hex(kRecordFormatValue));
     deployment.start(0);
@@ -393,7 +394,7 @@
     EXPECT_EQ(to_hex(deployment.store.rows.at("form").data), kRecordFormatValue);
 }
 
-TEST(ProductionBytes, RecordsAreTakenOverFromTheStateService) {
+TEST(ProductionCompatibility, LoadsRecordsFromStore) {
     Deployment deployment;
     store_value(deployment, "j/job-000731", from_hex(kArrayFormat2));
     store_value(deployment, "j/job-000733", from_hex(kServiceFormat1));
@@ -408,18 +409,18 @@
     EXPECT_EQ(phase("job-000734"), "done");
     EXPECT_EQ(phase("job-000735"), "withdrawn");
     EXPECT_EQ(to_hex(deployment.store.rows.at("j/job-000731").data), kArrayFormat2)
-        << "unchanged until it changes";
+        << "loading must not rewrite a record";
 }
 
-TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
+TEST(ProductionCompatibility, ReadsAndWritesPeerHeartbeats) {
     const std::pair<peer::FrameKind, const char*> stored[] = {
         {peer::FrameKind::kHeartbeat, kHeartbeatFrame},
-        {peer::FrameKind::kHeartbeatAnswer, kHeartbeatAnswerFrame}};
+        {peer::FrameKind::kHeartbeatAnswer, kHeartbeatResponseFrame}};
     for (const auto& [kind, hex] : stored) {
         peer::Frame frame = only_frame(from_hex(hex));
         EXPECT_EQ(frame.kind, kind);
         EXPECT_EQ(frame.id, kFrameId);
-        EXPECT_EQ(frame.incarnation, kAskerIncarnation);
+        EXPECT_EQ(frame.incarnation, kSenderIncarnation);
         auto read = peer::decode_controller_heartbeat(frame.payload);
         ASSERT_TRUE(read);
         const peer::ControllerHeartbeat expected = full_heartbeat();
@@ -435,48 +436,48 @@
         EXPECT_EQ(read->worker_heartbeats_received, expected.worker_heartbeats_received);
         EXPECT_EQ(read->store_age_ms, expected.store_age_ms);
         EXPECT_EQ(read->since_last_cancellation_ms, expected.since_last_cancellation_ms);
-        EXPECT_EQ(to_hex(peer::encode_frame(kind, kFrameId, kAskerIncarnation, expected)), hex);
+        EXPECT_EQ(to_hex(peer::encode_frame(kind, kFrameId, kSenderIncarnation, expected)), hex);
     }
 }
 
-TEST(ProductionBytes, RelaysAreReadAndWritten) {
-    peer::Frame frame = only_frame(from_hex(kRelayFrame));
+TEST(ProductionCompatibility, ReadsAndWritesRelayRequests) {
+    peer::Frame frame = only_frame(from_hex(kRelayRequestFrame));
     EXPECT_EQ(frame.kind, peer::FrameKind::kRelay);
     EXPECT_EQ(frame.id, kFrameId);
-    EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    auto report = decode_heartbeat(frame.payload);
-    ASSERT_TRUE(report);
-    EXPECT_EQ(report->machine, "vm-000001");
-    EXPECT_EQ(report->fencing_token, kStoredFencingToken);
-    EXPECT_EQ(to_hex(relay_frame()), kRelayFrame);
+    EXPECT_EQ(frame.incarnation, kSenderIncarnation);
+    auto heartbeat = decode_heartbeat(frame.payload);
+    ASSERT_TRUE(heartbeat);
+    EXPECT_EQ(heartbeat->machine, "vm-000001");
+    EXPECT_EQ(heartbeat->fencing_token, kStoredFencingToken);
+    EXPECT_EQ(to_hex(relay_request_frame()), kRelayRequestFrame);
 }
 
-TEST(ProductionBytes, RelaysAreAnswered) {
+TEST(ProductionCompatibility, RespondsToRelayRequests) {
     Deployment deployment;
-    lead_after(deployment, kStoredFencingToken - 1);
-    std::string answer;
+    elect_after(deployment, kStoredFencingToken - 1);
+    std::string response;
     TaskGroup scope(deployment.loop);
-    scope.spawn(
-        exchange_frame(deployment.loop, deployment.configs[0].peer_listen, from_hex(kRelayFrame), answer),
-        "relay");
+    scope.spawn(exchange_frame(deployment.loop, deployment.configs[0].peer_listen,
+                               from_hex(kRelayRequestFrame), response),
+                "relay");
     deployment.run(4);
-    EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
-    peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
+    EXPECT_EQ(to_hex(response), kRelayResponseFrame);
+    peer::Frame frame = only_frame(from_hex(kRelayResponseFrame));
     EXPECT_EQ(frame.kind, peer::FrameKind::kRelayAnswer);
     EXPECT_EQ(frame.id, kFrameId);
-    EXPECT_EQ(frame.incarnation, kAskerIncarnation);
+    EXPECT_EQ(frame.incarnation, kSenderIncarnation);
     ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHeader));
-    peer::RelayAnswerHeader head;
-    std::memcpy(&head, frame.payload.data(), sizeof head);
-    EXPECT_EQ(head.status, 200);
-    auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof head));
+    peer::RelayAnswerHeader header;
+    std::memcpy(&header, frame.payload.data(), sizeof header);
+    EXPECT_EQ(header.status, 200);
+    auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof header));
     ASSERT_TRUE(body);
     EXPECT_EQ(body->root()["epoch"].count_or(0), kStoredFencingToken);
 }
 
-TEST(ProductionBytes, CancellationsAreReadAndWritten) {
-    const peer::CancellationNotice expected = cancellations();
-    peer::Frame frame = only_frame(from_hex(kCancellationsFrame));
+TEST(ProductionCompatibility, ReadsAndWritesCancellationNotices) {
+    const peer::CancellationNotice expected = cancellation_notice();
+    peer::Frame frame = only_frame(from_hex(kCancellationNoticeFrame));
     EXPECT_EQ(frame.kind, peer::FrameKind::kCancellationNotice);
     EXPECT_EQ(frame.id, 0U);
     EXPECT_EQ(frame.incarnation, expected.incarnation);
@@ -487,5 +488,5 @@
     EXPECT_EQ(read->jobs, expected.jobs);
     EXPECT_EQ(to_hex(peer::encode_frame(peer::FrameKind::kCancellationNotice, 0, expected.incarnation,
                                         peer::encode_cancellation_notice(expected))),
-              kCancellationsFrame);
+              kCancellationNoticeFrame);
 }
--- a/tests/controller/fault_scenarios_test.cc
+++ b/tests/controller/fault_scenarios_test.cc
@@ -1,7 +1,6 @@
-// Troubles that meet. One deployment whose machines, controllers and links can be cut, slowed, refused, held,
-// doubled and frozen; each fault combination is a script of such troubles, and the rules are watched
-// throughout. Once the troubles are over everything that was accepted must end and every question be
-// answered.
+// Fault scenarios of whole deployments: each script combines network partitions, delays, refused and
+// duplicated requests, hung machines and killed controllers while the scheduler's invariants are checked.
+// After the faults every accepted job must finish and every poll must get a response.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,7 +13,7 @@
 namespace {
 
 const std::vector<FaultScript> kFaultScripts{
-    {"LeadersChangeTenTimes", 2, 4,
+    {"TenFailovers", 2, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 60);
          scenario.submit("job-2", 2, 300);
@@ -28,19 +27,20 @@
              scenario.deployment.run(8);
          }
      }},
-    {"QuestionsMeetTheEnd", 2, 3,
+    {"PollsAndCancellationsAtCompletion", 2, 3,
      [](FaultScenario& scenario) {
          for (int i = 1; i <= 4; ++i) {
              std::string id = "job-" + std::to_string(i);
              scenario.submit(id, 1, 5);
-             scenario.starts(id);
+             scenario.await_start(id);
              scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 30);
              if (i % 2) scenario.cancel(id);
-             scenario.jobs.check_answer(id, scenario.ask("POST", "/v2/runs", scenario.jobs.bodies[id]));
+             scenario.jobs.check_reported_phase(
+                 id, scenario.call_any_controller("POST", "/v2/runs", scenario.jobs.bodies[id]));
              scenario.poll(id);
          }
      }},
-    {"MoreWorkThanRoomOverSlowLinks", 2, 6,
+    {"MoreJobsThanCapacityWithSlowStore", 2, 6,
      [](FaultScenario& scenario) {
          for (auto& proxy : scenario.store_proxies) proxy->delay = 0.4;
          for (int i = 1; i <= 8; ++i)
@@ -50,93 +50,93 @@
          scenario.cancel("job-5");
          scenario.deployment.run(30);
      }},
-    {"AHeldReportComesToTheNewLeader", 2, 4,
+    {"DelayedHeartbeatReachesNewLeader", 2, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 1, 80);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
-         SimulatedMachine* machine = scenario.fleet.holder("job-1");
-         // From before the launch: it lacks the task.
-         std::string old = machine->reports.at(machine->reports.size() / 2);
-         int first = scenario.await_leader();
-         machine->cut = true;
-         scenario.deployment.kill(first);
+         SimulatedMachine* machine = scenario.fleet.machine_running("job-1");
+         // Sent before the launch, so without the task.
+         std::string old_heartbeat = machine->sent_heartbeats.at(machine->sent_heartbeats.size() / 2);
+         int first_leader = scenario.await_leader();
+         machine->partitioned = true;
+         scenario.deployment.kill(first_leader);
          for (int i = 0; i < 12; ++i) {
-             scenario.deployment.call(scenario.await_leader(), "POST", "/hello", old);
+             scenario.deployment.call(scenario.await_leader(), "POST", "/hello", old_heartbeat);
              scenario.deployment.run(0.5);
          }
-         machine->cut = false;
-         scenario.deployment.start(first);
+         machine->partitioned = false;
+         scenario.deployment.start(first_leader);
      }},
-    {"CancelledAsTheLeaderIsRefusedAndThenAll", 3, 4,
+    {"CancellationWhileStoreRefusesLeaderThenAll", 3, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 400);
          scenario.submit("job-2", 2, 60);
-         ASSERT_TRUE(scenario.starts("job-1"));
-         int first = scenario.await_leader();
-         scenario.refuse_store(first);
-         scenario.ask_first(first + 1);
+         ASSERT_TRUE(scenario.await_start("job-1"));
+         int first_leader = scenario.await_leader();
+         scenario.deny_store_access(first_leader);
+         scenario.start_requests_at(first_leader + 1);
          scenario.cancel("job-1");
          scenario.deployment.run(1);
          scenario.begin_store_outage();
          scenario.deployment.run(61);
          scenario.end_store_outage();
-         scenario.allow_store(first);
+         scenario.restore_store_access(first_leader);
      }},
-    {"ALeaderEndsWhileMachinesCannotBeReached", 2, 4,
+    {"LeaderKilledWhileMachinesUnreachable", 2, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 100);
          scenario.submit("job-2", 2, 300);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          scenario.deployment.run(4);
-         scenario.fleet.machine(0).cannot_report = scenario.fleet.machine(1).cannot_hear = true;
-         int first = scenario.await_leader();
+         scenario.fleet.machine(0).heartbeats_blocked = scenario.fleet.machine(1).inbound_blocked = true;
+         int first_leader = scenario.await_leader();
          scenario.cancel("job-2");
-         scenario.deployment.kill(first);
+         scenario.deployment.kill(first_leader);
          scenario.deployment.run(30);
-         scenario.deployment.start(first);
-         scenario.fleet.machine(0).cannot_report = scenario.fleet.machine(1).cannot_hear = false;
+         scenario.deployment.start(first_leader);
+         scenario.fleet.machine(0).heartbeats_blocked = scenario.fleet.machine(1).inbound_blocked = false;
      }},
-    {"AZoneIsCutOffForLongerThanALease", 2, 6,
+    {"ZonePartitionedLongerThanLease", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 6, 60);
          scenario.submit("job-2", 2, 300);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          scenario.deployment.run(4);
-         for (auto& machine : scenario.fleet.machines()) machine->cut = machine->worker.zone == "b";
+         for (auto& machine : scenario.fleet.machines()) machine->partitioned = machine->worker.zone == "b";
          scenario.cancel("job-2");
-         int first = scenario.await_leader();
-         scenario.deployment.kill(first);
+         int first_leader = scenario.await_leader();
+         scenario.deployment.kill(first_leader);
          scenario.deployment.run(30);
-         scenario.deployment.start(first);
+         scenario.deployment.start(first_leader);
          scenario.deployment.run(30);
      }},
-    {"ACommandIsHeldAndTheMachineGoesOn", 2, 6,
+    {"CommandsDelayedByHungMachines", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 300);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
          for (auto& machine : scenario.fleet.machines()) machine->hung = !machine->worker.tasks.empty();
          scenario.cancel("job-1");
          scenario.submit("job-2", 8, 20);
          scenario.deployment.run(10);
      }},
-    {"TheStateServiceIsSlowAndRefusesOneAndThenAll", 3, 4,
+    {"SlowStoreRefusesLeaderThenAll", 3, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 400);
          scenario.submit("job-2", 2, 60);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          for (auto& proxy : scenario.store_proxies) proxy->delay = 0.8;
-         int first = scenario.await_leader();
-         scenario.refuse_store(first);
-         scenario.ask_first(first + 1);
+         int first_leader = scenario.await_leader();
+         scenario.deny_store_access(first_leader);
+         scenario.start_requests_at(first_leader + 1);
          scenario.cancel("job-1");
          scenario.poll("job-2");
          scenario.deployment.run(2);
          scenario.begin_store_outage();
          scenario.deployment.run(58);
      }},
-    {"TransactionsAreCarriedOutLate", 2, 4,
+    {"TransactionsAppliedLate", 2, 4,
      [](FaultScenario& scenario) {
          auto rng = std::make_shared<std::mt19937>(5);
          scenario.deployment.store.let_through = [rng](const std::string&) { return (*rng)() % 4 != 0; };
@@ -148,70 +148,71 @@
              if (i == 8) scenario.deployment.kill(scenario.await_leader());
              if (i == 10) scenario.start_all_killed();
          }
-         // A cancellation without an answer, and a placement's, arrive when their jobs are over.
+         // The transactions of a cancellation and of a placement are held back and applied after their jobs
+         // have finished.
          for (const char* id : {"job-6", "job-7"}) {
-             bool users = std::string(id) == "job-6", kept = false;
+             bool cancellation = std::string(id) == "job-6", held = false;
              scenario.deployment.store.let_through = {};
              scenario.submit(id, 1, 8);
-             scenario.deployment.store.let_through = [=, &kept](const std::string& body) {
-                 bool hers = body.find(id) != std::string::npos &&
-                             (body.find("leader") == std::string::npos) == users;
-                 return !hers || std::exchange(kept, true);
+             scenario.deployment.store.let_through = [=, &held](const std::string& body) {
+                 bool matches = body.find(id) != std::string::npos &&
+                                (body.find("leader") == std::string::npos) == cancellation;
+                 return !matches || std::exchange(held, true);
              };
-             if (users)
+             if (cancellation)
                  scenario.deployment.call(scenario.await_leader(), "POST",
                                           std::string("/v2/runs/") + id + "/withdraw");
              scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 60);
              scenario.deployment.run(4);
              scenario.poll(id);
-             EXPECT_TRUE(kept);
+             EXPECT_TRUE(held);
              scenario.apply_held_transactions();
              scenario.deployment.run(4);
              scenario.poll(id);
              scenario.deployment.store.let_through = {};
          }
      }},
-    {"OldReportsComeAfterNewerOnes", 2, 3,
+    {"OldHeartbeatsArriveAfterNewerOnes", 2, 3,
      [](FaultScenario& scenario) {
-         scenario.fleet.repeat_old_reports(true);
+         scenario.fleet.resend_old_heartbeats(true);
          scenario.submit("job-1", 4, 40);
          scenario.submit("job-2", 2, 300);
          scenario.deployment.run(15);
-         EXPECT_EQ(scenario.fleet.launches("job-1"), 4) << "no copy shows that a task is gone";
-         scenario.fleet.machine(0).cut = true;
+         EXPECT_EQ(scenario.fleet.launches("job-1"), 4) << "an old heartbeat made a running task look lost";
+         scenario.fleet.machine(0).partitioned = true;
          scenario.deployment.run(26);
-         scenario.fleet.machine(0).cut = false;
+         scenario.fleet.machine(0).partitioned = false;
          scenario.cancel("job-2");
-         int first = scenario.await_leader();
-         scenario.deployment.kill(first);
+         int first_leader = scenario.await_leader();
+         scenario.deployment.kill(first_leader);
          scenario.deployment.run(15);
-         scenario.deployment.start(first);
+         scenario.deployment.start(first_leader);
          scenario.deployment.run(20);
-         scenario.fleet.repeat_old_reports(false);
+         scenario.fleet.resend_old_heartbeats(false);
      }},
-    {"ATeamIsAtItsLimitWhenTheLeaderChanges", 2, 6,
+    {"TeamAtLimitDuringFailover", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 6, 60);
          scenario.submit("job-2", 2, 300);
          scenario.submit("job-3", 4, 20);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          scenario.deployment.run(4);
-         scenario.fleet.machine(0).cut = scenario.fleet.machine(1).hung = true;
-         int first = scenario.await_leader();
-         scenario.deployment.kill(first);
+         scenario.fleet.machine(0).partitioned = scenario.fleet.machine(1).hung = true;
+         int first_leader = scenario.await_leader();
+         scenario.deployment.kill(first_leader);
          scenario.cancel("job-2");
          scenario.deployment.run(20);
-         scenario.fleet.machine(0).cut = scenario.fleet.machine(1).hung = false;
+         scenario.fleet.machine(0).partitioned = scenario.fleet.machine(1).hung = false;
          scenario.deployment.run(10);
-         scenario.deployment.start(first);
+         scenario.deployment.start(first_leader);
      }},
-    {"AllControllersAreAwayForLongerThanALease", 2, 3,
+    {"AllControllersDownLongerThanLease", 2, 3,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 50);
          scenario.submit("job-2", 1, 300);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          scenario.deployment.run(4);
-         scenario.fleet.holder("job-1")->hung = true;
+         scenario.fleet.machine_running("job-1")->hung = true;
          scenario.cancel("job-2");
          scenario.deployment.kill(0);
          scenario.deployment.kill(1);
@@ -219,128 +220,132 @@
          scenario.deployment.start(0);
          scenario.deployment.run(10);
      }},
-    {"ALoneLeaderKeepsItsWorkers", 3, 6,
+    {"IsolatedLeaderKeepsItsMachines", 3, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 400);
          scenario.submit("job-2", 2, 60);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
-         int first = scenario.await_leader();
-         scenario.refuse_store(first);
-         scenario.cut_peer_links(first);
-         for (auto& machine : scenario.fleet.machines()) machine->node = first;
+         int first_leader = scenario.await_leader();
+         scenario.deny_store_access(first_leader);
+         scenario.block_peer_connections(first_leader);
+         for (auto& machine : scenario.fleet.machines()) machine->target_node = first_leader;
          scenario.deployment.run(1);
-         scenario.ask_first(first + 1);
+         scenario.start_requests_at(first_leader + 1);
          scenario.cancel("job-1");
          scenario.deployment.run(60);
-         EXPECT_TRUE(scenario.deployment.cloud.deleted.empty()) << "it takes nobody's silence for an end";
+         EXPECT_TRUE(scenario.deployment.cloud.deleted.empty()) << "an isolated leader deletes no machine";
      }},
-    {"SmallJobsEndFarApartAcrossAChangeOfLeader", 2, 3,
+    {"TasksFinishBeforeAndAfterFailover", 2, 3,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 3, 10);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          for (auto& machine : scenario.fleet.machines())
-             for (auto& [name, end] : machine->ends)
+             for (auto& [name, end] : machine->task_end_times)
                  if (name != "job-1/0") end += 40;
          scenario.deployment.run(11);
          scenario.poll("job-1");
-         int first = scenario.await_leader();
-         scenario.deployment.kill(first);
+         int first_leader = scenario.await_leader();
+         scenario.deployment.kill(first_leader);
          scenario.deployment.run(10);
          scenario.poll("job-1");
-         scenario.deployment.start(first);
+         scenario.deployment.start(first_leader);
      }},
-    {"WorkersCannotOpenConnections", 2, 4,
+    {"WorkersCannotSendHeartbeats", 2, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 60);
          scenario.submit("job-2", 2, 300);
-         ASSERT_TRUE(scenario.starts("job-2"));
+         ASSERT_TRUE(scenario.await_start("job-2"));
          scenario.deployment.run(4);
-         for (auto& machine : scenario.fleet.machines()) machine->cannot_report = machine->worker.zone == "a";
+         for (auto& machine : scenario.fleet.machines())
+             machine->heartbeats_blocked = machine->worker.zone == "a";
          scenario.cancel("job-2");
          scenario.deployment.run(2);
-         EXPECT_FALSE(scenario.fleet.holder("job-2")) << "a direct command halts it";
+         EXPECT_FALSE(scenario.fleet.machine_running("job-2")) << "a direct command should have stopped it";
          scenario.deployment.run(35);
      }},
-    // What a lone leader knows to be cancelled is no reason either to return what another stopped.
-    {"ALoneLeaderTakesNoSilenceForAnEnd", 3, 6,
+    // A leader without the store and its peers knows of the cancellation, but may not delete the machines
+    // that went silent: another leader may have stopped the tasks.
+    {"IsolatedLeaderDeletesNoSilentMachines", 3, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 2, 400);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
-         int first = scenario.await_leader();
-         std::vector<SimulatedMachine*> held;
+         int first_leader = scenario.await_leader();
+         std::vector<SimulatedMachine*> busy;
          for (auto& machine : scenario.fleet.machines())
-             if (!machine->worker.tasks.empty()) held.push_back(machine.get());
-         for (auto* m : held) m->hung = true;
+             if (!machine->worker.tasks.empty()) busy.push_back(machine.get());
+         for (auto* machine : busy) machine->hung = true;
          scenario.cancel("job-1");
-         scenario.refuse_store(first);
-         scenario.cut_peer_links(first);
+         scenario.deny_store_access(first_leader);
+         scenario.block_peer_connections(first_leader);
          scenario.deployment.run(5);
-         for (auto* m : held) {
-             m->node = (first + 1) % 3;
-             m->hung = false;
+         for (auto* machine : busy) {
+             machine->target_node = (first_leader + 1) % 3;
+             machine->hung = false;
          }
          scenario.deployment.run(55);
          EXPECT_TRUE(scenario.deployment.cloud.deleted.empty());
      }},
-    {"CancelledOnMachinesThatOnlyCommandsReachAsTheLeaderEnds", 2, 6,
+    {"CancellationDuringFailoverOnMachinesReachedByCommandsOnly", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 400);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
          for (auto& machine : scenario.fleet.machines())
-             machine->cannot_report = machine->cut = !machine->worker.tasks.empty();
-         int first = scenario.await_leader();
+             machine->heartbeats_blocked = machine->partitioned = !machine->worker.tasks.empty();
+         int first_leader = scenario.await_leader();
          scenario.cancel("job-1");
          scenario.deployment.run(0.2);
-         scenario.deployment.kill(first);
-         for (auto& machine : scenario.fleet.machines()) machine->cut = false;
+         scenario.deployment.kill(first_leader);
+         for (auto& machine : scenario.fleet.machines()) machine->partitioned = false;
          scenario.deployment.run(14);
-         EXPECT_FALSE(scenario.fleet.holder("job-1")) << "halted by the new leader, which they never reach";
+         EXPECT_FALSE(scenario.fleet.machine_running("job-1"))
+             << "the new leader should have stopped it by direct command";
          EXPECT_TRUE(scenario.deployment.cloud.deleted.empty());
-         scenario.deployment.start(first);
+         scenario.deployment.start(first_leader);
      }},
-    // A hung machine cannot be stopped and may go on: only its deletion ends what was cancelled there.
-    {"CancelledOnHungMachinesOfACutZone", 2, 6,
+    // A hung machine cannot be told to stop and may keep running: only its deletion ends cancelled tasks on
+    // it.
+    {"CancellationOnHungMachinesOfPartitionedZone", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 6, 400);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
-         for (auto& machine : scenario.fleet.machines()) machine->cut = machine->worker.zone == "a";
-         scenario.fleet.holder("job-1")->hung = true;
+         for (auto& machine : scenario.fleet.machines()) machine->partitioned = machine->worker.zone == "a";
+         scenario.fleet.machine_running("job-1")->hung = true;
          for (auto& machine : scenario.fleet.machines())
-             if (machine->cut) machine->hung = true;
+             if (machine->partitioned) machine->hung = true;
          scenario.deployment.cloud.down = true;
          scenario.cancel("job-1");
          scenario.deployment.run(35);
          scenario.deployment.cloud.down = false;
          scenario.deployment.run(25);
      }},
-    {"CancelledOnAHungMachineAsTheStateServiceIsAway", 2, 4,
+    {"CancellationOnHungMachineDuringStoreOutage", 2, 4,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 4, 400);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
-         scenario.fleet.holder("job-1")->hung = true;
+         scenario.fleet.machine_running("job-1")->hung = true;
          scenario.cancel("job-1");
          scenario.deployment.run(0.2);
          scenario.begin_store_outage();
          scenario.deployment.run(62);
      }},
-    {"CancelledOnAHungMachineAsLeadersChange", 2, 6,
+    {"CancellationOnHungMachinesDuringFailovers", 2, 6,
      [](FaultScenario& scenario) {
          scenario.submit("job-1", 6, 400);
-         ASSERT_TRUE(scenario.starts("job-1"));
+         ASSERT_TRUE(scenario.await_start("job-1"));
          scenario.deployment.run(4);
          for (auto& machine : scenario.fleet.machines())
-             machine->cut = machine->hung = machine->worker.zone == "a";
+             machine->partitioned = machine->hung = machine->worker.zone == "a";
          scenario.cancel("job-1");
          for (int i = 0; i < 2; ++i) {
-             int first = scenario.await_leader();
-             scenario.deployment.kill(first);
+             int first_leader = scenario.await_leader();
+             scenario.deployment.kill(first_leader);
              scenario.deployment.run(15);
-             scenario.deployment.start(first);
+             scenario.deployment.start(first_leader);
          }
          scenario.deployment.run(30);
      }},
@@ -350,10 +355,10 @@
 
 }  // namespace
 
-TEST_P(FaultScenarios, BreakNoRule) {
+TEST_P(FaultScenarios, KeepInvariants) {
     FaultScenario scenario(GetParam().controllers, GetParam().machines);
-    GetParam().play(scenario);
+    GetParam().run(scenario);
     scenario.end_faults_and_check();
 }
 
-INSTANTIATE_TEST_SUITE_P(Two, FaultScenarios, testing::ValuesIn(kFaultScripts), name_of);
+INSTANTIATE_TEST_SUITE_P(Scripts, FaultScenarios, testing::ValuesIn(kFaultScripts), name_of);
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -1,4 +1,4 @@
-// Messages that arrive again, late: they change nothing.
+// Late duplicates of messages must change nothing.
 #include <gtest/gtest.h>
 
 #include "peer/frames.h"
@@ -7,76 +7,81 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-// A copy of a report that comes late shows neither that its machine came back nor that it is alive, and
-// takes the place of no report.
-TEST(Idempotence, LateCopiesOfHeartbeatsAreIgnored) {
+// A late duplicate of a heartbeat must not make its machine count as back or alive, nor replace a newer
+// heartbeat.
+TEST(Idempotence, IgnoresLateHeartbeatDuplicates) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     int leader = deployment.leader(), other = 1 - leader;
     deployment.run(3);
     FakeWorker worker;
-    std::string pointed = worker.report();
-    EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421);
+    std::string redirected = worker.report();
+    EXPECT_EQ(deployment.call(other, "POST", "/hello", redirected).status, 421);
     deployment.run(5);
-    EXPECT_EQ(deployment.call(other, "POST", "/hello", pointed).status, 421) << "not passed on to the leader";
+    EXPECT_EQ(deployment.call(other, "POST", "/hello", redirected).status, 421)
+        << "a duplicate must not be relayed to the leader";
     deployment.settle(worker);
-    std::string idle = worker.report();
-    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 200);
+    std::string idle_heartbeat = worker.report();
+    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle_heartbeat).status, 200);
     ASSERT_EQ(deployment.call(leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
     deployment.send_report(worker, leader);
     ASSERT_TRUE(worker.find("job-1/0"));
     deployment.send_report(worker, leader);
     const auto& jobs = deployment.node(leader).leader()->jobs();
     ASSERT_EQ(jobs.find("job-1")->live.size(), 1U);
-    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503) << "older than what is known";
-    EXPECT_EQ(jobs.find("job-1")->live.size(), 1U) << "it proves no absence";
-    Seconds heard = deployment.node(leader).leader()->cluster().machines.at(worker.name)->last_heartbeat;
+    EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle_heartbeat).status, 503)
+        << "older than the last heartbeat";
+    EXPECT_EQ(jobs.find("job-1")->live.size(), 1U) << "an old heartbeat must not end a task";
+    Seconds last_heartbeat =
+        deployment.node(leader).leader()->cluster().machines.at(worker.name)->last_heartbeat;
     for (int i = 0; i < 3; ++i) {
         deployment.run(deployment.configs[0].lease_s);
-        EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle).status, 503);
+        EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle_heartbeat).status, 503);
     }
-    auto l = deployment.node(leader).leader();
-    auto it = l->cluster().machines.find(worker.name);
-    EXPECT_TRUE(it == l->cluster().machines.end() || it->second->last_heartbeat == heard)
-        << "it was not taken for alive";
-    EXPECT_FALSE(deployment.cloud.deleted.empty()) << "but replaced";
+    auto leader_routines = deployment.node(leader).leader();
+    auto it = leader_routines->cluster().machines.find(worker.name);
+    EXPECT_TRUE(it == leader_routines->cluster().machines.end() ||
+                it->second->last_heartbeat == last_heartbeat)
+        << "a duplicate must not count as a sign of life";
+    EXPECT_FALSE(deployment.cloud.deleted.empty()) << "the unreachable machine must be deleted";
 }
 
-// Late copies of what controllers said to each other: a heartbeat of a process that is gone, and answers that
-// belong to no request of this process, change nothing.
-TEST(Idempotence, LateCopiesOfPeerFramesAreIgnored) {
+// Late duplicates of frames between controllers, a heartbeat of a process that has ended and responses to no
+// request of this process, must change nothing.
+TEST(Idempotence, IgnoresLatePeerFrameDuplicates) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     int leader = deployment.leader();
     int other = 1 - leader;
     deployment.run(4);
     uint64_t fencing_token = deployment.node(leader).election().fencing_token();
-    peer::ControllerHeartbeat b{};
-    peer::set_label(b, deployment.config(other).label);
-    b.incarnation = 7;
-    b.fencing_token = 50;
-    b.leads = 1;
-    b.request_sent_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
-    std::string frames = peer::encode_frame(peer::FrameKind::kHeartbeat, 1000, 7, b) +
-                         peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, b) +
+    peer::ControllerHeartbeat heartbeat{};
+    peer::set_label(heartbeat, deployment.config(other).label);
+    heartbeat.incarnation = 7;
+    heartbeat.fencing_token = 50;
+    heartbeat.leads = 1;
+    heartbeat.request_sent_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
+    std::string frames = peer::encode_frame(peer::FrameKind::kHeartbeat, 1000, 7, heartbeat) +
+                         peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, heartbeat) +
                          peer::encode_frame(peer::FrameKind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
     TaskGroup scope(deployment.loop);
-    auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
-        auto stream = co_await connect_to(l, to, l.now() + 1);
+    auto send_repeatedly = [](Loop& event_loop, Address to, std::string bytes) -> Task<void> {
+        auto stream = co_await connect_to(event_loop, to, event_loop.now() + 1);
         for (int i = 0; stream && i < 100; ++i) {
-            co_await stream->write(bytes, l.now() + 1);
-            co_await l.sleep(0.037);
+            co_await stream->write(bytes, event_loop.now() + 1);
+            co_await event_loop.sleep(0.037);
         }
     };
-    scope.spawn(send(deployment.loop, deployment.config(leader).peer_listen, frames), "copies");
+    scope.spawn(send_repeatedly(deployment.loop, deployment.config(leader).peer_listen, frames),
+                "duplicates");
     deployment.run(4);
     EXPECT_EQ(deployment.leader(), leader);
     EXPECT_EQ(deployment.node(leader).election().fencing_token(), fencing_token);
 }
 
-// Requests that were carried out come again, late: every transaction of the controllers and all that users
-// asked. None changes a job, a leadership or an answer.
-TEST(Idempotence, RepeatsOfWhatWasCarriedOutChangeNothing) {
+// Late duplicates of every transaction of the controllers and of all user requests must change no job, no
+// leadership and no response.
+TEST(Idempotence, RepeatedTransactionsAndUserRequestsChangeNothing) {
     Deployment deployment;
     std::vector<std::string> transactions;
     deployment.store.let_through = [&](const std::string& body) {
@@ -102,12 +107,12 @@
         deployment.send_report(worker, 0);
         deployment.send_report(worker, 0);
     }
-    auto kept = [&] {
+    auto stored_values = [&] {
         std::map<std::string, std::string> rows;
         for (const auto& [key, row] : deployment.store.rows) rows[key] = row.data;
         return rows;
     };
-    auto before = kept();
+    auto before = stored_values();
     ASSERT_TRUE(before.count("f/job-1") && before.count("f/job-2") && before.count("j/job-3"));
     auto repeated = transactions;
     ASSERT_GT(repeated.size(), 8U);
@@ -121,8 +126,8 @@
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-3"))), "running");
         deployment.run(3);
         deployment.send_report(worker, 0);
-        EXPECT_EQ(kept(), before);
-        EXPECT_EQ(worker.tasks.size(), 1U) << "nothing was started again";
+        EXPECT_EQ(stored_values(), before);
+        EXPECT_EQ(worker.tasks.size(), 1U) << "a finished task was launched again";
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
     }
 }
--- a/tests/controller/job_run_test.cc
+++ b/tests/controller/job_run_test.cc
@@ -1,4 +1,4 @@
-// A job from its submission to its end, through a whole controller.
+// Jobs from submission to completion, through a whole controller.
 #include <gtest/gtest.h>
 
 #include "standins/deployment.h"
@@ -6,7 +6,7 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-TEST(JobRun, RunsAJobFromSubmissionToDone) {
+TEST(JobRun, CompletesSubmittedJob) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -14,7 +14,7 @@
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200)
-        << "a retry makes no second job";
+        << "a retried submission must not create a second job";
     FakeWorker worker;
     deployment.settle(worker);
     deployment.send_report(worker, 0);
@@ -28,11 +28,11 @@
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "done");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
     deployment.send_report(worker, 0);
-    EXPECT_TRUE(worker.tasks.empty()) << "forgotten once committed";
+    EXPECT_TRUE(worker.tasks.empty()) << "an exit must be forgotten once it is committed";
 }
 
-// The user cancels while the machine reports the last task done: one of the two wins, and it stays so.
-TEST(JobRun, ACancellationRacingTheEndGetsOneLastingAnswer) {
+// The user cancels while the machine reports the last task as done: one of the two wins, for good.
+TEST(JobRun, CancellationDuringCompletionHasOneFinalPhase) {
     for (bool cancel_first : {true, false}) {
         Deployment deployment;
         ASSERT_TRUE(deployment.start_and_elect());
@@ -41,31 +41,31 @@
         deployment.settle(worker);
         ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
         exit_task(*worker.find("job-1/0"), ExitCause::kDone);
-        // The leader's transaction is lost on its way, and carried out late.
-        bool lose = cancel_first;
+        // The leader's transaction is held back and applied late.
+        bool hold_transaction = cancel_first;
         deployment.store.let_through = [&](const std::string& body) {
-            return !(lose && body.find("leader") != std::string::npos);
+            return !(hold_transaction && body.find("leader") != std::string::npos);
         };
         deployment.send_report(worker, 0);
-        std::string announced = phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw"));
-        EXPECT_EQ(announced, cancel_first ? "withdrawn" : "done");
-        lose = false;
+        std::string confirmed = phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw"));
+        EXPECT_EQ(confirmed, cancel_first ? "withdrawn" : "done");
+        hold_transaction = false;
         for (const auto& body : deployment.store.held_transactions) deployment.store.apply(body);
         for (int i = 0; i < 5; ++i) {
             deployment.run(1);
-            EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), announced);
+            EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), confirmed);
         }
         EXPECT_TRUE(deployment.store.rows.contains("f/job-1"));
         EXPECT_FALSE(deployment.store.rows.contains("j/job-1"));
     }
 }
 
-// A command may be lost, and a machine that does not report hears nothing else.
-TEST(JobRun, RepeatsTheStopOfCancelledWork) {
+// A stop command may be lost, and a machine that sends no heartbeats gets nothing else.
+TEST(JobRun, RepeatsStopCommandsForCancelledTasks) {
     Deployment deployment;
     int commands = 0;
-    Address at = address(60, 9000);
-    HttpServer machine(deployment.loop, at, 20, [&](Request) -> Task<Response> {
+    Address listen = address(60, 9000);
+    HttpServer machine(deployment.loop, listen, 20, [&](Request) -> Task<Response> {
         ++commands;
         co_return Response{500, "", 0, ""};
     });
@@ -73,7 +73,7 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     FakeWorker worker;
-    worker.addr = text_of(at);
+    worker.addr = text_of(listen);
     deployment.settle(worker);
     ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
     ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
--- a/tests/controller/machine_deletion_test.cc
+++ b/tests/controller/machine_deletion_test.cc
@@ -1,4 +1,4 @@
-// Machines that are given up: when they are deleted, and when that must wait.
+// When the leader deletes unreachable machines, and when it must not.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     for (int i = 0; i < 10; ++i) {
         deployment.run(3);
         deployment.send_report(second, 0);
-        EXPECT_FALSE(second.find("job-1/0")) << "the first machine may still run it";
+        EXPECT_FALSE(second.find("job-1/0")) << "launched while the first machine may still run the task";
     }
     deployment.cloud.down = false;
     for (int i = 0; i < 4; ++i) {
@@ -31,10 +31,10 @@
     EXPECT_TRUE(second.find("job-1/0"));
 }
 
-// A leader that has lost the state service may have been followed by another without knowing. It goes on to
-// answer workers as long as it may, but asks the cloud for nothing: cut off for 120 s, one returned the whole
-// fleet, which by then was another's.
-TEST(MachineDeletion, ALeaderThatIsNotConfirmedDeletesNoMachine) {
+// A leader that cannot reach the store may have been replaced without knowing. It keeps responding to workers
+// while that is safe, but sends the cloud no requests: a leader without store access for 120 s once returned
+// the whole fleet, which by then belonged to its successor.
+TEST(MachineDeletion, UnconfirmedLeaderDeletesNoMachine) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -46,11 +46,12 @@
     EXPECT_TRUE(deployment.cloud.deleted.empty());
     deployment.store.silent = false;
     deployment.run(60);
-    EXPECT_EQ(deployment.cloud.deleted.size(), 1U) << "once it is confirmed, or leads anew";
+    EXPECT_EQ(deployment.cloud.deleted.size(), 1U)
+        << "a confirmed leader must delete the unreachable machine";
 }
 
-// Nor what holds cancelled work, if a peer does not answer: it may lead by now.
-TEST(MachineDeletion, ALeaderThatMayHaveBeenReplacedDeletesNoMachine) {
+// The same holds for a machine with cancelled tasks while a peer does not respond: the peer may lead by now.
+TEST(MachineDeletion, PossiblyReplacedLeaderDeletesNoMachine) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     int first = deployment.leader();
@@ -66,8 +67,8 @@
     EXPECT_TRUE(deployment.cloud.deleted.empty());
 }
 
-// The cloud is away when a silent machine is given up, and the machine is heard again before it is back.
-TEST(MachineDeletion, KeepsAMachineThatReportsBeforeItCouldBeDeleted) {
+// A machine becomes unreachable during a cloud outage and sends heartbeats again before the outage ends.
+TEST(MachineDeletion, KeepsMachineThatReturnsBeforeItsDeletion) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -83,5 +84,5 @@
     EXPECT_EQ(deployment.cloud.deleted, std::vector<std::string>{"vm-000002"});
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     deployment.send_report(first, 0);
-    EXPECT_TRUE(first.find("job-1/0")) << "it is of use again";
+    EXPECT_TRUE(first.find("job-1/0")) << "the machine must get tasks again";
 }
--- a/tests/controller/store_outage_test.cc
+++ b/tests/controller/store_outage_test.cc
@@ -1,4 +1,4 @@
-// Controllers while the key-value store or the cloud is away, and after.
+// Controllers during and after outages of the key-value store or the cloud.
 #include <gtest/gtest.h>
 
 #include "standins/deployment.h"
@@ -6,51 +6,52 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-TEST(StoreOutage, AsksUsersAtOnceToRetryInAnOutage) {
+TEST(StoreOutage, TellsUsersToRetryWithoutDelay) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
     deployment.store.down = true;
-    Seconds began = deployment.loop.now();
+    Seconds start = deployment.loop.now();
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 503);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-1/withdraw").status, 503);
-    EXPECT_LT(deployment.loop.now() - began, 0.5);
+    EXPECT_LT(deployment.loop.now() - start, 0.5);
     deployment.store.down = false;
     deployment.run(3);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
 }
 
-// Without the state service a leader cannot learn of cancellations. It renews workers' leases only while none
-// older than cancel_s - lease_s can be missing, and longer only while all peers confirm that none was told.
-TEST(StoreOutage, RenewsLeasesWithoutTheStoreOnlyAsLongAsItMay) {
+// Without the store a leader cannot learn of cancellations. It renews workers' leases only while it cannot
+// have missed one for longer than cancel_s - lease_s, and beyond that only while all peers confirm that they
+// announced none.
+TEST(StoreOutage, RenewsLeasesWithoutTheStoreOnlyWhilePeersConfirm) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
-    int first = deployment.leader();
+    int first_leader = deployment.leader();
     deployment.run(6);
     FakeWorker worker;
     deployment.settle(worker);
     deployment.store.down = true;
-    // Reports every 3 s for so long; the last status.
-    auto report = [&](Seconds time) {
+    // Sends a heartbeat every 3 s for `duration`; returns the last status.
+    auto send_heartbeats = [&](Seconds duration) {
         int status = 0;
-        for (Seconds end = deployment.loop.now() + time; deployment.loop.now() < end;) {
+        for (Seconds end = deployment.loop.now() + duration; deployment.loop.now() < end;) {
             deployment.run(3);
-            status = deployment.send_report(worker, first);
+            status = deployment.send_report(worker, first_leader);
         }
         return status;
     };
-    EXPECT_EQ(report(60), 200) << "the peer confirms that it announced none";
-    deployment.kill(1 - first);
-    EXPECT_EQ(report(12), 200) << "within the span";
-    EXPECT_EQ(report(21), 503) << "nobody confirms any more";
-    deployment.start(1 - first);
-    EXPECT_EQ(report(6), 503) << "a restarted peer cannot confirm what it announced before";
+    EXPECT_EQ(send_heartbeats(60), 200) << "the peer confirms that it announced no cancellation";
+    deployment.kill(1 - first_leader);
+    EXPECT_EQ(send_heartbeats(12), 200) << "still within cancel_s - lease_s";
+    EXPECT_EQ(send_heartbeats(21), 503) << "no peer confirms any longer";
+    deployment.start(1 - first_leader);
+    EXPECT_EQ(send_heartbeats(6), 503) << "a restarted peer cannot confirm what it announced before";
     deployment.store.down = false;
-    EXPECT_EQ(report(9), 200);
+    EXPECT_EQ(send_heartbeats(9), 200);
 }
 
-TEST(StoreOutage, StartsFromKeptMachineTypesWhileTheCloudIsAway) {
+TEST(StoreOutage, StartsFromStoredMachineTypesDuringACloudOutage) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(3);
@@ -61,45 +62,46 @@
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
 }
 
-// A controller without the state service and its peers: users hear so at once, the load balancer is told
-// to go elsewhere, and workers are answered as long as that is safe and then sent on.
-TEST(StoreOutage, AnIsolatedControllerAnswers503AndLetsLeasesExpire) {
+// A controller without the store and its peers responds 503 to users at once, is not ready for the load
+// balancer, and renews workers' leases only as long as that is safe; after that it refuses their heartbeats.
+TEST(StoreOutage, IsolatedControllerResponds503AndLetsLeasesExpire) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
-    int first = deployment.leader();
+    int first_leader = deployment.leader();
     deployment.run(6);
     FakeWorker worker;
     deployment.settle(worker);
-    ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, first);
+    ASSERT_EQ(deployment.call(first_leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
+    deployment.send_report(worker, first_leader);
     deployment.store.silent = true;
-    deployment.kill(1 - first);
-    Seconds began = deployment.loop.now();
+    deployment.kill(1 - first_leader);
+    Seconds start = deployment.loop.now();
     deployment.run(8);
-    EXPECT_EQ(deployment.send_report(worker, first), 200) << "what runs goes on";
+    EXPECT_EQ(deployment.send_report(worker, first_leader), 200) << "running tasks must continue";
     for (const char* path : {"/v2/runs/job-1", "/v2/runs/job-2"}) {
-        Seconds asked = deployment.loop.now();
-        EXPECT_EQ(deployment.call(first, "GET", path).status, 503) << "it can say neither";
-        EXPECT_LT(deployment.loop.now() - asked, 0.5);
+        Seconds sent = deployment.loop.now();
+        EXPECT_EQ(deployment.call(first_leader, "GET", path).status, 503)
+            << "it knows neither the job's state nor that the job does not exist";
+        EXPECT_LT(deployment.loop.now() - sent, 0.5);
     }
-    EXPECT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-3")).status, 503);
-    EXPECT_EQ(deployment.call(first, "POST", "/v2/runs", "\xc1").status, 400)
-        << "bad input is told all the same";
+    EXPECT_EQ(deployment.call(first_leader, "POST", "/v2/runs", job_body("job-3")).status, 503);
+    EXPECT_EQ(deployment.call(first_leader, "POST", "/v2/runs", "\xc1").status, 400)
+        << "invalid input must be refused also without the store";
     deployment.run(5);
-    EXPECT_EQ(deployment.call(first, "GET", "/ready").status, 503);
+    EXPECT_EQ(deployment.call(first_leader, "GET", "/ready").status, 503);
     const Config& config = deployment.configs[0];
-    deployment.run(config.cancel_s - config.lease_s - (deployment.loop.now() - began));
-    EXPECT_EQ(deployment.send_report(worker, first), 503);
+    deployment.run(config.cancel_s - config.lease_s - (deployment.loop.now() - start));
+    EXPECT_EQ(deployment.send_report(worker, first_leader), 503);
     deployment.store.silent = false;
-    deployment.start(1 - first);
+    deployment.start(1 - first_leader);
     deployment.run(10);
-    EXPECT_EQ(deployment.call(first, "GET", "/v2/runs/job-1").status, 200);
-    EXPECT_EQ(deployment.call(first, "GET", "/ready").status, 200);
+    EXPECT_EQ(deployment.call(first_leader, "GET", "/v2/runs/job-1").status, 200);
+    EXPECT_EQ(deployment.call(first_leader, "GET", "/ready").status, 200);
 }
 
-// Controllers that start in an outage of the state service are open for users all the same, and tell them
-// when to come back; but not one that alone is refused.
-TEST(StoreOutage, IsReadyWhenStartedInAnOutageForAll) {
+// Controllers that start during a store outage become ready and tell users to retry. A controller that alone
+// cannot reach the store does not become ready.
+TEST(StoreOutage, ControllersStartedDuringAnOutageBecomeReady) {
     Deployment deployment(2);
     deployment.store.down = true;
     deployment.start(0);
@@ -112,16 +114,16 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }, 10));
     deployment.run(3);
     deployment.kill(1);
-    deployment.configs[1].state = address(1, 2);  // nobody is there
+    deployment.configs[1].state = address(1, 2);  // nothing listens there
     deployment.start(1);
     deployment.run(4);
     EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 200);
     EXPECT_EQ(deployment.call(1, "GET", "/ready").status, 503);
 }
 
-// Once all troubles are over no job may be refused again and again: not for the load of other questions,
-// and not by a node that was cut off.
-TEST(StoreOutage, AnswersEveryPollOnceTheFaultsAreOver) {
+// After the faults no controller may keep refusing polls, neither because of the load of other polls nor
+// because it was isolated.
+TEST(StoreOutage, RespondsToEveryPollAfterTheFaults) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr int kFirstProxyHost = 20;
-constexpr int kFirstLinkHost = 100;
-constexpr int kLinkHostsPerNode = 10;
+constexpr int kFirstStoreProxyHost = 20;
+constexpr int kFirstPeerProxyHost = 100;
+constexpr int kPeerProxyHostsPerNode = 10;
 constexpr uint16_t kStorePort = 2379;
 constexpr uint16_t kPeerPort = 8081;
-constexpr Seconds kStartUp_s = 9;  // until the first machines have reported
-constexpr Seconds kElection_s = 40;
-constexpr Seconds kAskPause_s = 0.3;  // before the next controller is asked
-constexpr Seconds kDeadNodePause_s = 0.1;
-constexpr Seconds kWatchStep_s = 0.1;
-constexpr Seconds kSettled_s = 4;    // for records of jobs that are over
-constexpr Seconds kReplicas_s = 90;  // for all replicas of a service to run
-constexpr Seconds kStop_s = 10;      // for a cancelled service to be stopped
-constexpr int kLeastMachines = 3;    // once the faults are over
+constexpr Seconds kStartupTime_s = 9;  // until the first machines have sent heartbeats
+constexpr Seconds kElectionTimeout_s = 40;
+constexpr Seconds kRetryInterval_s = 0.3;  // before the request goes to the next controller
+constexpr Seconds kKilledNodePause_s = 0.1;
+constexpr Seconds kInvariantCheckInterval_s = 0.1;
+constexpr Seconds kFinalRecordsTime_s = 4;     // until the final records of all finished jobs are written
+constexpr Seconds kReplicasTimeout_s = 90;     // until all replicas of a service run
+constexpr Seconds kServiceStopTimeout_s = 10;  // until a cancelled service has stopped
+constexpr int kMinMachines = 3;                // once the faults have ended
 constexpr size_t kTeamGpus = 8;
 
 std::string zone_of(int number) {
@@ -36,93 +36,93 @@
 
 ScenarioParts::ScenarioParts(int controllers) : deployment(controllers), fleet(deployment, jobs) {}
 
-FaultScenario::FaultScenario(int controllers, int machines, int old_node)
-    : ScenarioParts(controllers), old_node_(old_node), scope_(deployment.loop) {
+FaultScenario::FaultScenario(int controllers, int machines, int old_version_node)
+    : ScenarioParts(controllers), old_version_node_(old_version_node), scope_(deployment.loop) {
     for (int node = 0; node < controllers; ++node) {
         place_proxies(node);
         deployment.start(node);
     }
     EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }));
     for (int i = 0; i < machines; ++i) fleet.add("vm-00010" + std::to_string(i), zone_of(i));
-    scope_.spawn(watch_rules(), "rules");
-    deployment.run(kStartUp_s);
+    scope_.spawn(watch_invariants(), "invariants");
+    deployment.run(kStartupTime_s);
 }
 
 FaultScenario::~FaultScenario() {
     scope_.cancel();
     fleet.stop();
     for (auto& proxy : store_proxies) proxy->server.stop();
-    for (auto& [ends, link] : links) link->scope.cancel();
+    for (auto& [endpoints, proxy] : peer_proxies) proxy->scope.cancel();
     unwind(deployment.loop);
 }
 
 void FaultScenario::place_proxies(int node) {
     Config& config = deployment.config(node);
-    config.state = address(kFirstProxyHost + node, kStorePort);
+    config.state = address(kFirstStoreProxyHost + node, kStorePort);
     store_proxies.push_back(std::make_unique<StoreProxy>(deployment.loop, deployment.store, config.state));
     for (auto& peer : config.peers) {
         int other = node_number(peer.label);
-        Address at = address(kFirstLinkHost + kLinkHostsPerNode * node + other, kPeerPort);
-        auto& link = links[{node, other}];
-        link = std::make_unique<PeerLink>(deployment.loop, at, peer.addr);
-        link->old_peer = node == old_node_ || other == old_node_;
-        peer.addr = at;
+        Address listen = address(kFirstPeerProxyHost + kPeerProxyHostsPerNode * node + other, kPeerPort);
+        auto& proxy = peer_proxies[{node, other}];
+        proxy = std::make_unique<PeerProxy>(deployment.loop, listen, peer.addr);
+        proxy->old_version = node == old_version_node_ || other == old_version_node_;
+        peer.addr = listen;
     }
 }
 
-std::string FaultScenario::ask(const std::string& method, const std::string& path, const std::string& body,
-                               Seconds most) {
-    Seconds end = deployment.loop.now() + most;
+std::string FaultScenario::call_any_controller(const std::string& method, const std::string& path,
+                                               const std::string& body, Seconds timeout) {
+    Seconds end = deployment.loop.now() + timeout;
     for (size_t i = next_node_++; deployment.loop.now() < end; ++i) {
         size_t node = i % deployment.nodes.size();
         if (!deployment.nodes[node]) {
-            deployment.run(kDeadNodePause_s);
+            deployment.run(kKilledNodePause_s);
             continue;
         }
-        CallResult answer = deployment.call(static_cast<int>(node), method, path, body);
-        if (answer.status == 200 || answer.status == 201) return phase_of(answer);
-        EXPECT_NE(answer.status, 400) << path;
-        EXPECT_NE(answer.status, 422) << path;
+        CallResult response = deployment.call(static_cast<int>(node), method, path, body);
+        if (response.status == 200 || response.status == 201) return phase_of(response);
+        EXPECT_NE(response.status, 400) << path;
+        EXPECT_NE(response.status, 422) << path;
         if (!jobs.accepted.empty() && path != "/v2/runs") {
-            EXPECT_NE(answer.status, 404) << path;
+            EXPECT_NE(response.status, 404) << path;
         }
-        deployment.run(kAskPause_s);
+        deployment.run(kRetryInterval_s);
     }
     return "";
 }
 
 std::string FaultScenario::submit(const std::string& id, uint32_t tasks, Seconds run_s,
                                   const JobFieldsChange& change) {
-    jobs.prepare(id, tasks, run_s, change);
-    std::string phase = ask("POST", "/v2/runs", jobs.bodies[id]);
+    jobs.register_job(id, tasks, run_s, change);
+    std::string phase = call_any_controller("POST", "/v2/runs", jobs.bodies[id]);
     if (!phase.empty()) jobs.accepted.insert(id);
     return phase;
 }
 
 void FaultScenario::submit_service(const std::string& id, uint32_t replicas) {
-    jobs.prepare_service(id, replicas);
-    EXPECT_NE(ask("POST", "/v2/runs", jobs.bodies[id]), "") << "the service is not accepted";
+    jobs.register_service(id, replicas);
+    EXPECT_NE(call_any_controller("POST", "/v2/runs", jobs.bodies[id]), "") << "the service was not accepted";
 }
 
-void FaultScenario::cancel(const std::string& id, Seconds most) {
-    std::string phase = ask("POST", "/v2/runs/" + id + "/withdraw", "", most);
+void FaultScenario::cancel(const std::string& id, Seconds timeout) {
+    std::string phase = call_any_controller("POST", "/v2/runs/" + id + "/withdraw", "", timeout);
     if (phase == "withdrawn") jobs.cancelled.emplace(id, deployment.loop.now());
-    if (!phase.empty()) jobs.check_answer(id, phase);
+    if (!phase.empty()) jobs.check_reported_phase(id, phase);
 }
 
 void FaultScenario::poll(const std::string& id) {
-    std::string phase = ask("GET", "/v2/runs/" + id);
-    EXPECT_NE(phase, "") << "no answer about " << id;
-    jobs.check_answer(id, phase);
+    std::string phase = call_any_controller("GET", "/v2/runs/" + id);
+    EXPECT_NE(phase, "") << "no controller responded to the poll of " << id;
+    jobs.check_reported_phase(id, phase);
 }
 
 int FaultScenario::await_leader() {
-    EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }, kElection_s));
+    EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }, kElectionTimeout_s));
     return std::max(0, deployment.leader());
 }
 
-bool FaultScenario::starts(const std::string& job, Seconds most) {
-    return deployment.until([&] { return fleet.holder(job) != nullptr; }, most);
+bool FaultScenario::await_start(const std::string& job, Seconds timeout) {
+    return deployment.until([&] { return fleet.machine_running(job) != nullptr; }, timeout);
 }
 
 void FaultScenario::start_all_killed() {
@@ -144,17 +144,17 @@
     deployment.store.restart_leases();
 }
 
-void FaultScenario::refuse_store(int node) {
+void FaultScenario::deny_store_access(int node) {
     store_proxies[static_cast<size_t>(node)]->mode = StoreProxy::Mode::kRefuse;
 }
 
-void FaultScenario::allow_store(int node) {
+void FaultScenario::restore_store_access(int node) {
     store_proxies[static_cast<size_t>(node)]->mode = StoreProxy::Mode::kForward;
 }
 
-void FaultScenario::set_peer_links(int node, bool cut) {
-    for (auto& [ends, link] : links)
-        if (ends.first == node || ends.second == node) link->cut = cut;
+void FaultScenario::set_peer_proxies_blocked(int node, bool blocked) {
+    for (auto& [endpoints, proxy] : peer_proxies)
+        if (endpoints.first == node || endpoints.second == node) proxy->blocked = blocked;
 }
 
 void FaultScenario::apply_held_transactions() {
@@ -168,63 +168,67 @@
     deployment.store.let_through = {};
     fleet.delay_commands({});
     for (auto& proxy : store_proxies) proxy->clear_faults();
-    if (old_node_ != kNoOldNode) {
-        deployment.kill(old_node_);  // and returns as the new version
-        for (auto& [ends, link] : links) link->old_peer = false;
+    if (old_version_node_ != kNoOldVersionNode) {
+        deployment.kill(old_version_node_);  // it restarts as the current version
+        for (auto& [endpoints, proxy] : peer_proxies) proxy->old_version = false;
     }
-    for (auto& [ends, link] : links) link->cut = false;
+    for (auto& [endpoints, proxy] : peer_proxies) proxy->blocked = false;
     for (auto& machine : fleet.machines()) machine->end_all_faults();
     start_all_killed();
 }
 
-void FaultScenario::end_faults_and_check(Seconds most) {
+void FaultScenario::end_faults_and_check(Seconds timeout) {
     end_all_faults();
-    for (int left = fleet.live_machines(); left < kLeastMachines; ++left)
-        fleet.add("vm-00020" + std::to_string(left), zone_of(left));
-    auto all_over = [&] {
+    for (int number = fleet.live_machines(); number < kMinMachines; ++number)
+        fleet.add("vm-00020" + std::to_string(number), zone_of(number));
+    auto all_finished = [&] {
         return std::all_of(jobs.accepted.begin(), jobs.accepted.end(),
-                           [&](const auto& id) { return jobs.over(id); });
+                           [&](const auto& id) { return jobs.finished(id); });
     };
-    EXPECT_TRUE(deployment.until(all_over, most)) << "work is left waiting beside room";
+    EXPECT_TRUE(deployment.until(all_finished, timeout))
+        << "jobs have not finished although machines are available";
     for (const auto& id : jobs.accepted)
-        if (!jobs.over(id)) ADD_FAILURE() << id << " did not run to its end";
-    deployment.run(kSettled_s);
-    check_jobs_are_over();
+        if (!jobs.finished(id)) ADD_FAILURE() << id << " did not finish";
+    deployment.run(kFinalRecordsTime_s);
+    check_jobs_finished();
     check_and_cancel_services();
     EXPECT_TRUE(fleet.launched_after_cancellation().empty())
-        << fleet.launched_after_cancellation().front() << " started after its cancellation";
+        << fleet.launched_after_cancellation().front()
+        << " was launched after its job's cancellation was confirmed";
 }
 
-void FaultScenario::check_jobs_are_over() {
+void FaultScenario::check_jobs_finished() {
     for (const auto& id : jobs.accepted) {
         poll(id);
-        jobs.check_answer(id, ask("POST", "/v2/runs", jobs.bodies[id]));
-        EXPECT_TRUE(jobs.finals.contains(id)) << id << " should be over";
-        EXPECT_FALSE(fleet.holder(id)) << id << " is over and still on a machine";
+        jobs.check_reported_phase(id, call_any_controller("POST", "/v2/runs", jobs.bodies[id]));
+        EXPECT_TRUE(jobs.final_phases.contains(id)) << id << " has no final phase";
+        EXPECT_FALSE(fleet.machine_running(id)) << id << " has finished but still runs on a machine";
     }
-    EXPECT_EQ(deployment.call(await_leader(), "GET", "/v2/runs/job-999").status, 404) << "invented";
+    EXPECT_EQ(deployment.call(await_leader(), "GET", "/v2/runs/job-999").status, 404) << "unknown job";
 }
 
 void FaultScenario::check_and_cancel_services() {
     for (const auto& [id, replicas] : jobs.services) {
-        EXPECT_TRUE(deployment.until(
-            [&, &id = id, expected = replicas] { return fleet.replicas_up(id) == expected; }, kReplicas_s))
-            << id << " lacks replicas";
+        EXPECT_TRUE(
+            deployment.until([&, &id = id, expected = replicas] { return fleet.replicas_up(id) == expected; },
+                             kReplicasTimeout_s))
+            << id << " does not run all of its replicas";
         cancel(id);
-        EXPECT_TRUE(deployment.until([&, &id = id] { return !fleet.holder(id); }, kStop_s))
-            << id << " is cancelled and still there";
+        EXPECT_TRUE(
+            deployment.until([&, &id = id] { return !fleet.machine_running(id); }, kServiceStopTimeout_s))
+            << id << " is cancelled but still runs";
     }
 }
 
-Task<void> FaultScenario::watch_rules() {
+Task<void> FaultScenario::watch_invariants() {
     while (true) {
         fleet.advance();
-        check_rules();
-        co_await deployment.loop.sleep(kWatchStep_s);
+        check_invariants();
+        co_await deployment.loop.sleep(kInvariantCheckInterval_s);
     }
 }
 
-void FaultScenario::check_rules() {
+void FaultScenario::check_invariants() {
     Seconds now = deployment.loop.now();
     std::map<std::string, std::string> machine_of_task;
     std::map<std::string, std::string> zone_of_job;
@@ -238,15 +242,17 @@
             if (!jobs.services.contains(job)) ++gpus;
             if (jobs.single_zone.contains(job) &&
                 zone_of_job.emplace(job, worker.zone).first->second != worker.zone)
-                ADD_FAILURE() << name << " is not in its job's zone";
+                ADD_FAILURE() << name << " runs outside its job's zone";
             if (!machine_of_task.emplace(name, worker.name).second)
-                ADD_FAILURE() << name << " ran twice, on " << machine_of_task[name] << " and " << worker.name;
+                ADD_FAILURE() << name << " runs twice, on " << machine_of_task[name] << " and "
+                              << worker.name;
             auto cancelled = jobs.cancelled.find(job);
             if (cancelled != jobs.cancelled.end() && now > cancelled->second + deployment.config(0).cancel_s)
-                ADD_FAILURE() << name << " on " << worker.name << " ran though cancelled, at " << now;
+                ADD_FAILURE() << name << " on " << worker.name << " still runs after its cancellation, at "
+                              << now;
         }
     }
-    EXPECT_LE(gpus, kTeamGpus) << "the team's limit";
+    EXPECT_LE(gpus, kTeamGpus) << "the team exceeds its GPU limit";
 }
 
 }  // namespace hareshore::test
--- a/tests/scenario/fault_scenario.h
+++ b/tests/scenario/fault_scenario.h
@@ -1,5 +1,6 @@
-// A deployment whose machines, controllers and links can be cut, slowed, refused, held up, repeated and
-// frozen. Scripts of faults play in it; it checks the protocol's rules throughout.
+// A simulated deployment with fault injection: network partitions, delays, refused requests, duplicated
+// messages, hung machines and killed controllers. Fault scripts run in it while it checks the scheduler's
+// invariants.
 #pragma once
 #include <map>
 #include <memory>
@@ -8,81 +9,85 @@
 #include <vector>
 
 #include "scenario/job_ledger.h"
-#include "scenario/peer_link.h"
+#include "scenario/peer_proxy.h"
 #include "scenario/simulated_fleet.h"
 #include "scenario/store_proxy.h"
 #include "standins/deployment.h"
 
 namespace hareshore::test {
 
-constexpr int kNoOldNode = -1;
+constexpr int kNoOldVersionNode = -1;
 
-// What scripts reach of a scenario.
+// The components of a scenario; fault scripts use them directly.
 struct ScenarioParts {
     explicit ScenarioParts(int controllers);
 
     Deployment deployment;
     JobLedger jobs;
     std::vector<std::unique_ptr<StoreProxy>> store_proxies;  // by controller
-    std::map<std::pair<int, int>, std::unique_ptr<PeerLink>>
-        links;  // by the controllers that dial and listen
+    // By the connecting and the listening controller.
+    std::map<std::pair<int, int>, std::unique_ptr<PeerProxy>> peer_proxies;
     SimulatedFleet fleet;
 };
 
 class FaultScenario : public ScenarioParts {
   public:
-    // `old_node`: a controller of the older version until the faults end, or kNoOldNode.
-    FaultScenario(int controllers, int machines, int old_node = kNoOldNode);
+    // `old_version_node`: the controller that runs the previous version until the faults end, or
+    // kNoOldVersionNode.
+    FaultScenario(int controllers, int machines, int old_version_node = kNoOldVersionNode);
     ~FaultScenario();
 
     // --- users ----------------------------------------------------------------------------------------
 
-    // Asks every living controller in turn until one answers as users expect; the phase in its answer, empty
-    // if none answers within `most`.
-    std::string ask(const std::string& method, const std::string& path, const std::string& body = "",
-                    Seconds most = 60);
+    // Sends the request to the running controllers in turn until one responds 200 or 201. Returns the phase
+    // in the response, or an empty string after `timeout`.
+    std::string call_any_controller(const std::string& method, const std::string& path,
+                                    const std::string& body = "", Seconds timeout = 60);
     std::string submit(const std::string& id, uint32_t tasks, Seconds run_s,
                        const JobFieldsChange& change = {});
     void submit_service(const std::string& id, uint32_t replicas);
-    void cancel(const std::string& id, Seconds most = 60);
+    void cancel(const std::string& id, Seconds timeout = 60);
     void poll(const std::string& id);
-    // The next question goes to this controller first.
-    void ask_first(int node) { next_node_ = static_cast<size_t>(node); }
+    // The next request goes to this controller first.
+    void start_requests_at(int node) { next_node_ = static_cast<size_t>(node); }
 
-    // --- what scripts look at and do ------------------------------------------------------------------
+    // --- faults and waiting for state -----------------------------------------------------------------
 
-    // Waits for a leader.
+    // Waits for a leader and returns its number.
     int await_leader();
-    // Waits until a task of the job is on a machine; whether one is within `most`.
-    bool starts(const std::string& job, Seconds most = 20);
+    // Waits until a machine runs a task of the job; false after `timeout`.
+    bool await_start(const std::string& job, Seconds timeout = 20);
     void start_all_killed();
     void kill_leader();
     void begin_store_outage();
     void end_store_outage();
-    // The store refuses this controller alone.
-    void refuse_store(int node);
-    void allow_store(int node);
-    // Cuts the controller off from all its peers.
-    void cut_peer_links(int node) { set_peer_links(node, true); }
-    void restore_peer_links(int node) { set_peer_links(node, false); }
-    // The store carries out the transactions that were held up.
+    // The store refuses the requests of this controller only.
+    void deny_store_access(int node);
+    void restore_store_access(int node);
+    // Blocks all connections between the controller and its peers.
+    void block_peer_connections(int node) { set_peer_proxies_blocked(node, true); }
+    void unblock_peer_connections(int node) { set_peer_proxies_blocked(node, false); }
+    // The store applies the transactions that it had held back.
     void apply_held_transactions();
 
-    // Ends all faults, waits until every job is over, and checks that nothing was lost or invented.
-    void end_faults_and_check(Seconds most = 150);
+    // Ends all faults, waits up to `timeout` until every job has finished, and checks that no job was lost
+    // and that unknown jobs stay unknown.
+    void end_faults_and_check(Seconds timeout = 150);
 
   private:
-    void set_peer_links(int node, bool cut);
+    void set_peer_proxies_blocked(int node, bool blocked);
     void place_proxies(int node);
     void end_all_faults();
-    // Checks that each accepted job has ended and that users are told so.
-    void check_jobs_are_over();
+    // Checks that each accepted job has finished and that responses to users say so.
+    void check_jobs_finished();
     void check_and_cancel_services();
-    // Lets the fleet advance, and checks the rules.
-    Task<void> watch_rules();
-    void check_rules();
+    // Periodically advances the fleet and checks the invariants.
+    Task<void> watch_invariants();
+    // Each task runs at most once, single-zone jobs stay in one zone, cancelled work stops within the allowed
+    // time, and the team stays within its GPU limit.
+    void check_invariants();
 
-    int old_node_;
+    int old_version_node_;
     size_t next_node_ = 0;
     TaskGroup scope_;
 };
--- a/tests/scenario/fault_script.h
+++ b/tests/scenario/fault_script.h
@@ -1,4 +1,4 @@
-// A named script of faults, for tests with a script as their parameter.
+// Named fault scripts, the parameters of the fault tests.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 struct FaultScript {
     const char* name;
     int controllers, machines;
-    std::function<void(FaultScenario&)> play;
+    std::function<void(FaultScenario&)> run;
 };
 
 inline void PrintTo(const FaultScript& script,
@@ -21,7 +21,6 @@
     *out << script.name;
 }
 
-// Names the test of a script.
 inline std::string name_of(const testing::TestParamInfo<FaultScript>& info) {
     return info.param.name;
 }
--- a/tests/scenario/simulated_fleet.cc
+++ b/tests/scenario/simulated_fleet.cc
@@ -8,18 +8,18 @@
 namespace {
 
 constexpr Seconds kNever_s = 1e6;
-constexpr Seconds kStep_s = 0.1;          // how often a machine looks whether it may go on
-constexpr Seconds kReportTimeout_s = 4;   // a later answer counts for nothing
-constexpr Seconds kRetry_s = 1;           // after a report that was not answered
-constexpr Seconds kRedirected_s = 0.2;    // before the leader that was named is asked
-constexpr Seconds kReportSoon_s = 0.5;    // between reports when something has changed
-constexpr Seconds kReportInterval_s = 3;  // and otherwise
-constexpr Seconds kLaunchGrace_s = 0.5;   // an answer on its way when a user is told of a cancellation
-constexpr Seconds kResendAfter_s = 1.5;   // a copy of an old report comes this long after a newer one
-constexpr size_t kResendFrom = 3;         // once so many reports were sent
+constexpr Seconds kPollInterval_s = 0.1;              // between checks of a machine's state
+constexpr Seconds kHeartbeatTimeout_s = 4;            // later responses are ignored
+constexpr Seconds kRetryInterval_s = 1;               // after a heartbeat that failed
+constexpr Seconds kRedirectDelay_s = 0.2;             // before a heartbeat to the leader of a redirect
+constexpr Seconds kChangedHeartbeatInterval_s = 0.5;  // between heartbeats while the status changes
+constexpr Seconds kHeartbeatInterval_s = 3;           // and otherwise
+constexpr Seconds kLaunchGrace_s = 0.5;  // for responses under way when a cancellation is confirmed
+constexpr Seconds kResendDelay_s = 1.5;  // an old heartbeat is resent this long after a newer one
+constexpr size_t kMinSentToResend = 3;   // heartbeats sent before an old one is resent
 constexpr int kFirstHost = 50;
 constexpr uint16_t kCommandPort = 9000;
-constexpr size_t kMostConnections = 20;
+constexpr size_t kMaxConnections = 20;
 
 int node_number(const std::string& label) {
     return label.back() - '0';
@@ -33,7 +33,7 @@
     });
 }
 
-bool SimulatedMachine::takes(const std::string& command) const {
+bool SimulatedMachine::accepts(const std::string& command) const {
     auto message = MsgpackDocument::parse(command);
     return message->root()["epoch"].count_or(0) >= worker.fencing_token &&
            message->root()["tenure"].count_or(0) == worker.incarnation;
@@ -44,7 +44,7 @@
 
 void SimulatedFleet::stop() {
     scope_.cancel();
-    for (auto& machine : machines_) machine->commands->stop();
+    for (auto& machine : machines_) machine->command_server->stop();
 }
 
 void SimulatedFleet::add(const std::string& name, const std::string& zone) {
@@ -57,22 +57,22 @@
     SimulatedMachine& machine = *machines_.back();
     machine.worker.name = name;
     machine.worker.zone = zone;
-    Address at = address(kFirstHost + static_cast<int>(machines_.size()), kCommandPort);
-    machine.worker.addr = text_of(at);
-    machine.lease_from = deployment_.loop.now();
-    machine.commands = std::make_unique<HttpServer>(
-        deployment_.loop, at, kMostConnections,
+    Address listen = address(kFirstHost + static_cast<int>(machines_.size()), kCommandPort);
+    machine.worker.addr = text_of(listen);
+    machine.lease_start = deployment_.loop.now();
+    machine.command_server = std::make_unique<HttpServer>(
+        deployment_.loop, listen, kMaxConnections,
         [this, &machine](Request request) { return handle_command(machine, std::move(request)); });
-    scope_.spawn(report_forever(machine), "machine");
+    scope_.spawn(heartbeat_loop(machine), "machine heartbeats");
 }
 
-void SimulatedFleet::rent_on_request(size_t most, Seconds boot_s) {
-    auto left = std::make_shared<size_t>(most);
-    deployment_.cloud.rent = [this, left, boot_s](const std::string& zone, size_t number) {
+void SimulatedFleet::enable_renting(size_t max_machines, Seconds boot_s) {
+    auto remaining = std::make_shared<size_t>(max_machines);
+    deployment_.cloud.rent = [this, remaining, boot_s](const std::string& zone, size_t number) {
         std::vector<std::string> names;
-        for (; number > 0 && *left > 0; --number, --*left) {
-            std::string name = "vm-00030" + std::to_string(*left);
-            // Listed from the start; its address is learned from its reports.
+        for (; number > 0 && *remaining > 0; --number, --*remaining) {
+            std::string name = "vm-00030" + std::to_string(*remaining);
+            // Listed while it boots; controllers learn its address from its heartbeats.
             deployment_.cloud.machines[name] = {name, "", "g2", zone, false, MachinePhase::kBooting, 0};
             scope_.spawn(boot(name, zone, boot_s), "boot");
             names.push_back(name);
@@ -86,20 +86,20 @@
     if (deployment_.cloud.machines.contains(name)) start(name, zone);
 }
 
-SimulatedMachine* SimulatedFleet::holder(const std::string& job) {
+SimulatedMachine* SimulatedFleet::machine_running(const std::string& job) {
     for (auto& machine : machines_)
         if (machine->runs(job)) return machine.get();
     return nullptr;
 }
 
 size_t SimulatedFleet::replicas_up(const std::string& service) const {
-    size_t up = 0;
+    size_t running = 0;
     for (const auto& machine : machines_) {
         if (machine->deleted) continue;
         for (const auto& task : machine->worker.tasks)
-            up += task.name.job == service && task.phase == TaskPhase::kRunning ? 1 : 0;
+            running += task.name.job == service && task.phase == TaskPhase::kRunning ? 1 : 0;
     }
-    return up;
+    return running;
 }
 
 int SimulatedFleet::live_machines() const {
@@ -112,110 +112,112 @@
     return found == launches_.end() ? 0 : found->second;
 }
 
-Task<void> SimulatedFleet::report_forever(SimulatedMachine& machine) {
+Task<void> SimulatedFleet::heartbeat_loop(SimulatedMachine& machine) {
     Loop& loop = deployment_.loop;
     while (!machine.deleted) {
         if (machine.hung) {
-            co_await loop.sleep(kStep_s);
+            co_await loop.sleep(kPollInterval_s);
             continue;
         }
         Seconds sent = loop.now();
-        Seconds pause = co_await report(machine);
+        Seconds pause = co_await send_heartbeat(machine);
         if (pause > 0) {
             co_await loop.sleep(pause);
             continue;
         }
-        while (!machine.deleted &&
-               loop.now() - sent < (machine.report_soon ? kReportSoon_s : kReportInterval_s))
-            co_await loop.sleep(kStep_s);
+        while (!machine.deleted && loop.now() - sent < (machine.heartbeat_soon ? kChangedHeartbeatInterval_s
+                                                                               : kHeartbeatInterval_s))
+            co_await loop.sleep(kPollInterval_s);
     }
 }
 
-Task<Seconds> SimulatedFleet::report(SimulatedMachine& machine) {
+Task<Seconds> SimulatedFleet::send_heartbeat(SimulatedMachine& machine) {
     Loop& loop = deployment_.loop;
-    int asked = machine.node;
-    machine.node = (asked + 1) % static_cast<int>(deployment_.configs.size());
-    if (machine.cannot_report || machine.cut) co_return kRetry_s;
-    machine.report_soon = false;
+    int node = machine.target_node;
+    machine.target_node = (node + 1) % static_cast<int>(deployment_.configs.size());
+    if (machine.heartbeats_blocked || machine.partitioned) co_return kRetryInterval_s;
+    machine.heartbeat_soon = false;
     Seconds sent = loop.now();
     machine.last_heartbeat = sent;
     uint64_t incarnation = machine.worker.incarnation;
-    machine.reports.push_back(machine.worker.report());
-    HttpClient http(loop, deployment_.config(asked).listen, 1);
-    CallResult answer = co_await http.call("POST", "/hello", machine.reports.back(), kReportTimeout_s);
-    while (machine.hung) co_await loop.sleep(kStep_s);
-    bool heard = !machine.cannot_hear && !machine.cut && loop.now() - sent <= kReportTimeout_s;
-    if (heard && answer.status == 421) co_return follow_redirect(machine, asked, answer);
-    if (!heard || answer.status != 200) co_return kRetry_s;
-    machine.node = asked;
-    auto parsed = MsgpackDocument::parse(answer.body);
+    machine.sent_heartbeats.push_back(machine.worker.report());
+    HttpClient http(loop, deployment_.config(node).listen, 1);
+    CallResult response =
+        co_await http.call("POST", "/hello", machine.sent_heartbeats.back(), kHeartbeatTimeout_s);
+    while (machine.hung) co_await loop.sleep(kPollInterval_s);
+    bool received =
+        !machine.inbound_blocked && !machine.partitioned && loop.now() - sent <= kHeartbeatTimeout_s;
+    if (received && response.status == 421) co_return follow_redirect(machine, node, response);
+    if (!received || response.status != 200) co_return kRetryInterval_s;
+    machine.target_node = node;
+    auto parsed = MsgpackDocument::parse(response.body);
     if (machine.worker.incarnation == incarnation && parsed &&
         parsed->root()["epoch"].count_or(0) >= machine.worker.fencing_token) {
-        carry_out(machine, answer.body);
-        machine.lease_from = sent;
+        execute(machine, response.body);
+        machine.lease_start = sent;
     }
     co_return 0;
 }
 
-Seconds SimulatedFleet::follow_redirect(SimulatedMachine& machine, int asked, const CallResult& answer) {
-    auto redirect = MsgpackDocument::parse(answer.body);
+Seconds SimulatedFleet::follow_redirect(SimulatedMachine& machine, int node, const CallResult& response) {
+    auto redirect = MsgpackDocument::parse(response.body);
     std::string leader = redirect ? redirect->root()["harbor"].text_or("") : "";
-    int node = leader.empty() ? asked : node_number(leader);
-    if (node == asked) return kRetry_s;
-    machine.node = node;
-    return kRedirected_s;
+    int leader_node = leader.empty() ? node : node_number(leader);
+    if (leader_node == node) return kRetryInterval_s;
+    machine.target_node = leader_node;
+    return kRedirectDelay_s;
 }
 
 Task<Response> SimulatedFleet::handle_command(SimulatedMachine& machine, Request request) {
-    while (machine.hung || machine.cannot_hear || machine.cut || machine.deleted)
-        co_await deployment_.loop.sleep(kStep_s);
+    while (machine.hung || machine.inbound_blocked || machine.partitioned || machine.deleted)
+        co_await deployment_.loop.sleep(kPollInterval_s);
     if (!MsgpackDocument::parse(request.body)) co_return Response{400, "", 0, ""};
     if (Seconds delay = command_delay_ ? command_delay_() : 0; delay > 0) {
-        scope_.spawn(carry_out_late(machine, request.body, delay), "late command");
+        scope_.spawn(execute_late(machine, request.body, delay), "late command");
         while (true) co_await deployment_.loop.sleep(kNever_s);
     }
-    if (!machine.takes(request.body))
+    if (!machine.accepts(request.body))
         co_return Response{409, machine.worker.report(), 0, "application/msgpack"};
-    carry_out(machine, request.body);
+    execute(machine, request.body);
     co_return Response{200, machine.worker.report(), 0, "application/msgpack"};
 }
 
-// The command was held up on its way: what counts is the machine's state when it arrives.
-Task<void> SimulatedFleet::carry_out_late(SimulatedMachine& machine, std::string command, Seconds delay) {
+// A command that was delayed on its way is checked against the machine's state at its arrival.
+Task<void> SimulatedFleet::execute_late(SimulatedMachine& machine, std::string command, Seconds delay) {
     co_await deployment_.loop.sleep(delay);
-    while (machine.hung) co_await deployment_.loop.sleep(kStep_s);
-    if (machine.deleted || !machine.takes(command)) co_return;
-    ++late_commands_carried_out_;
-    carry_out(machine, command);
-    ++machine.worker.sequence;  // its answer is numbered like a report, and lost
+    while (machine.hung) co_await deployment_.loop.sleep(kPollInterval_s);
+    if (machine.deleted || !machine.accepts(command)) co_return;
+    ++late_commands_executed_;
+    execute(machine, command);
+    ++machine.worker.sequence;  // its lost response takes a sequence number, as a heartbeat does
 }
 
-void SimulatedFleet::carry_out(SimulatedMachine& machine, const std::string& body) {
+void SimulatedFleet::execute(SimulatedMachine& machine, const std::string& body) {
     FakeWorker& worker = machine.worker;
     std::set<std::pair<std::string, uint64_t>> before;
     for (const auto& task : worker.tasks) before.insert({task.name.text(), task.attempt});
     uint64_t fencing_token = worker.fencing_token;
     size_t live = worker.live_tasks();
     worker.carry_out(body);
-    machine.report_soon =
-        machine.report_soon || worker.fencing_token != fencing_token || worker.live_tasks() != live;
+    machine.heartbeat_soon =
+        machine.heartbeat_soon || worker.fencing_token != fencing_token || worker.live_tasks() != live;
     Seconds now = deployment_.loop.now();
     for (const auto& task : worker.tasks) {
         if (task.phase == TaskPhase::kExited || before.contains({task.name.text(), task.attempt})) continue;
         ++launches_[task.name.job];
-        machine.ends[task.name.text()] = now + jobs_.run_times[task.name.job];
+        machine.task_end_times[task.name.text()] = now + jobs_.run_times[task.name.job];
         auto cancelled = jobs_.cancelled.find(task.name.job);
         if (cancelled != jobs_.cancelled.end() && now > cancelled->second + kLaunchGrace_s)
             launched_after_cancellation_.push_back(task.name.text());
     }
 }
 
-Task<void> SimulatedFleet::resend(std::string body, int node) {
+Task<void> SimulatedFleet::resend_heartbeat(std::string body, int node) {
     HttpClient http(deployment_.loop, deployment_.config(node).listen, 1);
-    co_await http.call("POST", "/hello", std::move(body), kReportTimeout_s);
+    co_await http.call("POST", "/hello", std::move(body), kHeartbeatTimeout_s);
 }
 
-bool SimulatedFleet::gang_broken(const TaskStatus& task, Seconds now) {
+bool SimulatedFleet::gang_lost_peer(const TaskStatus& task, Seconds now) {
     auto gang = jobs_.gangs.find(task.name.job);
     if (gang == jobs_.gangs.end() || jobs_.done.contains(task.name.job)) return false;
     size_t live = 0;
@@ -227,7 +229,7 @@
                         ? 1
                         : 0;
     }
-    Seconds& complete_at = complete_at_[{task.name.job, task.attempt}];
+    Seconds& complete_at = gang_complete_at_[{task.name.job, task.attempt}];
     if (live == gang->second) complete_at = now;
     return complete_at > 0 && now - complete_at > deployment_.config(0).gang_peer_s;
 }
@@ -244,28 +246,30 @@
 }
 
 void SimulatedFleet::advance_machine(SimulatedMachine& machine, Seconds now) {
-    if (!machine.hung && now - machine.lease_from > deployment_.config(0).lease_s) {
+    if (!machine.hung && now - machine.lease_start > deployment_.config(0).lease_s) {
         machine.worker.tasks.clear();
         ++machine.worker.incarnation;
         machine.worker.sequence = 0;
-        machine.lease_from = now;
-        machine.report_soon = true;
+        machine.lease_start = now;
+        machine.heartbeat_soon = true;
     }
     if (!machine.hung)
         for (auto& task : machine.worker.tasks) advance_task(machine, task, now);
-    if (repeat_old_reports_ && machine.reports.size() > kResendFrom &&
-        now - machine.last_heartbeat > kResendAfter_s)
-        scope_.spawn(resend(machine.reports[machine.reports.size() / 2], machine.node), "copy");
+    if (resend_old_heartbeats_ && machine.sent_heartbeats.size() > kMinSentToResend &&
+        now - machine.last_heartbeat > kResendDelay_s)
+        scope_.spawn(resend_heartbeat(machine.sent_heartbeats[machine.sent_heartbeats.size() / 2],
+                                      machine.target_node),
+                     "resent heartbeat");
 }
 
 void SimulatedFleet::advance_task(SimulatedMachine& machine, TaskStatus& task, Seconds now) {
     if (task.phase == TaskPhase::kExited) return;
-    if (gang_broken(task, now)) {
+    if (gang_lost_peer(task, now)) {
         exit_task(task, ExitCause::kPeersGone);
-        machine.report_soon = true;
-    } else if (now >= machine.ends[task.name.text()]) {
+        machine.heartbeat_soon = true;
+    } else if (now >= machine.task_end_times[task.name.text()]) {
         exit_task(task, ExitCause::kDone);
-        machine.report_soon = true;
+        machine.heartbeat_soon = true;
         jobs_.complete_task(task.name.job, task.name.task);
     }
 }
--- a/tests/scenario/store_proxy.h
+++ b/tests/scenario/store_proxy.h
@@ -1,4 +1,4 @@
-// A proxy between one controller and the key-value store, which can refuse, hang or slow its requests.
+// A proxy between one controller and the key-value store. It can refuse, delay or hang requests.
 #pragma once
 #include <functional>
 
@@ -9,18 +9,19 @@
 struct StoreProxy {
     enum class Mode : uint8_t {
         kForward,
-        kRefuse,  // 503
-        kHang,    // no answer until the mode changes
+        kRefuse,  // responds 503
+        kHang,    // delays requests until the mode changes
     };
 
     StoreProxy(Loop& event_loop, FakeStore& store, Address at);
-    // Forwards everything at once again.
+    // Returns to forwarding without delay.
     void clear_faults();
 
     Mode mode = Mode::kForward;
     Seconds delay = 0;  // of each request
-    // Called for each request, if set: how much longer it takes before, and after, it is carried out.
-    std::function<Seconds(const Request&)> request_delay, answer_delay;
+    // If set, called for each request; extra delay before it reaches the store, and before its response
+    // returns.
+    std::function<Seconds(const Request&)> request_delay, response_delay;
     Loop& loop;
     HttpServer server;
 
