--- a/tests/controller/fault_combinations_test.cc
+++ b/tests/controller/fault_combinations_test.cc
@@ -101,8 +101,8 @@
     return conditions.size() == 2 ? TransactionKind::kAcceptance : TransactionKind::kCancellation;
 }
 
-// The store applies the next `count` transactions of this kind, but their responses are lost. Returns the
-// number of responses lost so far.
+// The store applies the next `count` transactions of this kind, but their responses are lost. Returns a
+// counter of the lost responses.
 std::shared_ptr<int> lose_responses(FaultScenario& scenario, TransactionKind kind, int count) {
     auto lost = std::make_shared<int>(0);
     scenario.deployment.store.let_through = [&scenario, kind, count, lost](const std::string& body) {
--- a/tests/scenario/job_ledger.h
+++ b/tests/scenario/job_ledger.h
@@ -11,7 +11,7 @@
 
 namespace hareshore::test {
 
-// Jobs are named by their identifiers.
+// Jobs are keyed by their ids.
 struct JobLedger {
     // Registers a job before its submission. Each of its tasks runs for `run_s`.
     void register_job(const std::string& id, uint32_t tasks, Seconds run_s,
--- a/tests/scenario/simulated_fleet.h
+++ b/tests/scenario/simulated_fleet.h
@@ -41,7 +41,7 @@
 
     // Adds a running machine and lists it in the cloud.
     void add(const std::string& name, const std::string& zone);
-    // The cloud rents out up to `max_machines` machines from now on; each boots within `boot_s`.
+    // The cloud rents out up to `max_machines` machines from now on; each takes `boot_s` to boot.
     void enable_renting(size_t max_machines, Seconds boot_s);
     // Brings all machines up to the current time: leases expire and tasks finish.
     void advance();
