--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -72,7 +72,7 @@
     heartbeat.ready = readiness() == Readiness::kReady;
     heartbeat.worker_heartbeats_received = static_cast<uint16_t>(worker_heartbeats_.count(loop_.now()));
     const auto store_contact = store_.last_contact();
-    heartbeat.store_age_ms = store_contact ? milliseconds_since(*store_contact) : peer::kNeverServed;
+    heartbeat.store_age_ms = store_contact ? milliseconds_since(*store_contact) : peer::kNoStoreContact;
     heartbeat.since_last_cancellation_ms = milliseconds_since(users_.last_cancellation());
     return heartbeat;
 }
--- a/src/controller/peer_confirmations.cc
+++ b/src/controller/peer_confirmations.cc
@@ -9,7 +9,7 @@
 Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since, Seconds now) {
     Seconds until = now;
     for (const auto& peer : peers) {
-        const auto answered_at = peer.answered_request_sent_at();
+        const auto answered_at = peer.acknowledged_heartbeat_sent_at();
         if (!answered_at || !peer.all_cancellations_known_since(since)) return since;
         until = std::min(until, *answered_at);
     }
@@ -18,7 +18,7 @@
 
 bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token, Seconds now) {
     return std::all_of(peers.begin(), peers.end(), [&](const peer::PeerStatus& peer) {
-        const auto answered_at = peer.answered_request_sent_at();
+        const auto answered_at = peer.acknowledged_heartbeat_sent_at();
         return answered_at && now - *answered_at < constants::kPeerHeartbeatTimeout_s &&
                peer.last_heartbeat().fencing_token <= fencing_token;
     });
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -128,16 +128,16 @@
     return notice;
 }
 
-std::string encode_relay_answer(uint16_t status, std::string_view body) {
-    const RelayAnswerHeader header{status};
+std::string encode_relay_response(uint16_t status, std::string_view body) {
+    const RelayResponseHeader header{status};
     std::string payload(bytes_of(header));
     return payload.append(body);
 }
 
-std::optional<RelayAnswer> decode_relay_answer(std::string_view payload) {
-    const auto header = take_layout<RelayAnswerHeader>(payload);
+std::optional<RelayResponse> decode_relay_response(std::string_view payload) {
+    const auto header = take_layout<RelayResponseHeader>(payload);
     if (!header) return std::nullopt;
-    return RelayAnswer{header->status, std::string(payload)};
+    return RelayResponse{header->status, std::string(payload)};
 }
 
 }  // namespace hareshore::peer
--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -19,9 +19,9 @@
 
 enum class FrameKind : uint16_t {
     kHeartbeat = 1,           // payload: ControllerHeartbeat
-    kHeartbeatAnswer = 2,     // payload: ControllerHeartbeat of the answering controller
+    kHeartbeatResponse = 2,   // payload: ControllerHeartbeat of the answering controller
     kRelay = 3,               // payload: the body of a worker's heartbeat
-    kRelayAnswer = 4,         // payload: RelayAnswerHeader and the body of the answer
+    kRelayResponse = 4,       // payload: RelayResponseHeader and the body of the answer
     kCancellationNotice = 5,  // payload: CancellationNoticeHeader and its jobs. Sent only to peers whose
                               // heartbeats announce kAnnouncedRecordFormat: older ones close the connection
 };
@@ -34,7 +34,7 @@
 inline constexpr uint8_t kAnnouncedRecordFormat = 2;
 
 // ControllerHeartbeat::store_age_ms of a controller that the store has never answered.
-inline constexpr uint32_t kNeverServed = UINT32_MAX;
+inline constexpr uint32_t kNoStoreContact = UINT32_MAX;
 
 #pragma pack(push, 1)
 
@@ -64,13 +64,13 @@
     uint8_t leads;                        // whether the sender is the leader with that fencing token
     uint8_t ready;                        // whether the sender takes users' requests
     uint16_t worker_heartbeats_received;  // directly from workers, in the last kHeartbeatCountWindow_s
-    uint32_t store_age_ms;                // since the store last answered the sender, or kNeverServed
+    uint32_t store_age_ms;                // since the store last answered the sender, or kNoStoreContact
     uint32_t since_last_cancellation_ms;  // since the sender last confirmed a cancellation to a user, or
                                           // since it started
 };
 
-// Wire layout: begins the payload of kRelayAnswer.
-struct RelayAnswerHeader {
+// Wire layout: begins the payload of kRelayResponse.
+struct RelayResponseHeader {
     uint16_t status;  // HTTP status of the leader's answer
 };
 
@@ -86,7 +86,7 @@
 
 static_assert(sizeof(FrameHeader) == 24);
 static_assert(sizeof(ControllerHeartbeat) == 68);
-static_assert(sizeof(RelayAnswerHeader) == 2);
+static_assert(sizeof(RelayResponseHeader) == 2);
 static_assert(sizeof(CancellationNoticeHeader) == 14);
 
 // A decoded frame; its payload is not yet checked.
@@ -142,14 +142,14 @@
 [[nodiscard]] std::optional<CancellationNotice> decode_cancellation_notice(std::string_view payload);
 
 // The answer to a relayed heartbeat.
-struct RelayAnswer {
+struct RelayResponse {
     uint16_t status = 0;  // HTTP status of the leader's answer
     std::string body;
 };
 
-// The payload of a kRelayAnswer frame.
-[[nodiscard]] std::string encode_relay_answer(uint16_t status, std::string_view body);
+// The payload of a kRelayResponse frame.
+[[nodiscard]] std::string encode_relay_response(uint16_t status, std::string_view body);
 // Nothing if the payload is malformed.
-[[nodiscard]] std::optional<RelayAnswer> decode_relay_answer(std::string_view payload);
+[[nodiscard]] std::optional<RelayResponse> decode_relay_response(std::string_view payload);
 
 }  // namespace hareshore::peer
--- a/src/peer/peer_status.cc
+++ b/src/peer/peer_status.cc
@@ -17,7 +17,7 @@
     take_in(heartbeat, now);
 }
 
-void PeerStatus::receive_answer(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now) {
+void PeerStatus::receive_response(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now) {
     if (heartbeat_id <= last_answered_id_) return;
     last_answered_id_ = heartbeat_id;
     if (answer.incarnation != incarnation_) last_heartbeat_id_ = 0;
@@ -68,7 +68,7 @@
 }
 
 std::optional<Seconds> PeerStatus::store_age() const {
-    if (last_heartbeat_.store_age_ms == kNeverServed) return std::nullopt;
+    if (last_heartbeat_.store_age_ms == kNoStoreContact) return std::nullopt;
     return last_heartbeat_.store_age_ms / 1000.0;
 }
 
--- a/src/peer/peer_status.h
+++ b/src/peer/peer_status.h
@@ -23,7 +23,7 @@
     void receive_heartbeat(uint32_t heartbeat_id, const ControllerHeartbeat& heartbeat, Seconds now);
     // Takes in the answer to this process's heartbeat `heartbeat_id`. It counts once, and not after the
     // answer to a later one.
-    void receive_answer(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now);
+    void receive_response(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now);
     // Takes in a notice, if it comes from this peer's answering process. Returns its jobs that were not
     // received before; they point into `notice`.
     [[nodiscard]] std::span<const std::string> receive_cancellations(const CancellationNotice& notice);
@@ -35,7 +35,7 @@
     // When it was received.
     [[nodiscard]] std::optional<Seconds> last_received_at() const { return last_received_at_; }
     // When this process sent the newest heartbeat that the peer has answered.
-    [[nodiscard]] std::optional<Seconds> answered_request_sent_at() const {
+    [[nodiscard]] std::optional<Seconds> acknowledged_heartbeat_sent_at() const {
         return answered_request_sent_at_;
     }
     // The newest record format that the peer has ever announced; no peer returns to an older version.
@@ -45,7 +45,7 @@
     // How long before its last heartbeat the peer was served by the store; nothing if never.
     [[nodiscard]] std::optional<Seconds> store_age() const;
     // Whether all cancellations that the peer confirmed to users from `since` until
-    // answered_request_sent_at() are known here. True only once an answer has counted.
+    // acknowledged_heartbeat_sent_at() are known here. True only once an answer has counted.
     [[nodiscard]] bool all_cancellations_known_since(Seconds since) const;
 
   private:
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -115,15 +115,15 @@
 Peers::FrameOutcome Peers::handle_frame(const std::shared_ptr<PeerLink>& link, Frame frame) {
     switch (frame.kind) {
         case FrameKind::kHeartbeat:
-        case FrameKind::kHeartbeatAnswer:
+        case FrameKind::kHeartbeatResponse:
             return handle_heartbeat(*link, frame);
         case FrameKind::kCancellationNotice:
             return handle_cancellation_notice(frame);
         case FrameKind::kRelay:
             relay_server_.handle(link, std::move(frame));
             return FrameOutcome::kHandled;
-        case FrameKind::kRelayAnswer:
-            relay_client_.receive_answer(frame);
+        case FrameKind::kRelayResponse:
+            relay_client_.receive_response(frame);
             return FrameOutcome::kHandled;
     }
     return FrameOutcome::kMalformed;  // not reached: FrameReader refuses unknown kinds
@@ -133,10 +133,10 @@
     const auto heartbeat = decode_controller_heartbeat(frame.payload);
     if (!heartbeat) return FrameOutcome::kMalformed;
     update_status(frame, *heartbeat);
-    if (frame.kind == FrameKind::kHeartbeatAnswer) return FrameOutcome::kHandled;
+    if (frame.kind == FrameKind::kHeartbeatResponse) return FrameOutcome::kHandled;
     if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_);
     const auto answer = make_heartbeat(heartbeat->request_sent_us);
-    link.send(encode_frame(FrameKind::kHeartbeatAnswer, frame.id, frame.incarnation, answer));
+    link.send(encode_frame(FrameKind::kHeartbeatResponse, frame.id, frame.incarnation, answer));
     return FrameOutcome::kHandled;
 }
 
@@ -149,14 +149,14 @@
 }
 
 void Peers::update_status(const Frame& frame, const ControllerHeartbeat& heartbeat) {
-    const bool is_answer = frame.kind == FrameKind::kHeartbeatAnswer;
+    const bool is_answer = frame.kind == FrameKind::kHeartbeatResponse;
     // Answers to an earlier process of this controller, or to no heartbeat at all, do not count.
     if (is_answer && (frame.incarnation != incarnation_ || frame.id >= next_heartbeat_id_)) return;
     const std::string label = label_of(heartbeat);
     for (auto& status : statuses_) {
         if (status.label() != label) continue;
         if (is_answer)
-            status.receive_answer(frame.id, heartbeat, loop_.now());
+            status.receive_response(frame.id, heartbeat, loop_.now());
         else
             status.receive_heartbeat(frame.id, heartbeat, loop_.now());
     }
--- a/src/peer/relay_client.cc
+++ b/src/peer/relay_client.cc
@@ -24,12 +24,12 @@
     co_return std::move(*relay.answer);
 }
 
-void RelayClient::receive_answer(const Frame& frame) {
+void RelayClient::receive_response(const Frame& frame) {
     // An answer to an earlier process's relay would give one worker the commands of another.
     if (frame.incarnation != incarnation_) return;
     const auto found = pending_.find(frame.id);
     if (found == pending_.end()) return;  // its relay has timed out
-    auto answer = decode_relay_answer(frame.payload);
+    auto answer = decode_relay_response(frame.payload);
     if (!answer) return;
     found->second->answer = std::move(*answer);
     found->second->answered.notify();
--- a/src/peer/relay_client.h
+++ b/src/peer/relay_client.h
@@ -13,7 +13,7 @@
 
 // Why a relay has no answer. The leader may have handled the heartbeat all the same after kTimedOut.
 enum class RelayError : uint8_t { kNotConnected, kTimedOut };
-using RelayResult = tl::expected<RelayAnswer, RelayError>;
+using RelayResult = tl::expected<RelayResponse, RelayError>;
 
 class RelayClient {
   public:
@@ -23,13 +23,13 @@
     // Sends the body of a worker's heartbeat and waits up to kRelayTimeout_s for the answer. `link` may be
     // null or closed: then the result is kNotConnected. The client must outlive the task.
     [[nodiscard]] Task<RelayResult> relay(std::shared_ptr<PeerLink> link, std::string body);
-    // Takes in a frame of kind kRelayAnswer. Ignored if it is malformed or belongs to no pending relay.
-    void receive_answer(const Frame& frame);
+    // Takes in a frame of kind kRelayResponse. Ignored if it is malformed or belongs to no pending relay.
+    void receive_response(const Frame& frame);
 
   private:
     struct PendingRelay {
         explicit PendingRelay(Loop& loop) : answered(loop) {}
-        std::optional<RelayAnswer> answer;
+        std::optional<RelayResponse> answer;
         Condition answered;
     };
 
--- a/src/peer/relay_server.cc
+++ b/src/peer/relay_server.cc
@@ -9,8 +9,8 @@
 
 Task<void> RelayServer::answer(std::shared_ptr<PeerLink> link, Frame frame) {
     const Response response = co_await delegate_.handle_relayed_heartbeat(std::move(frame.payload));
-    const std::string payload = encode_relay_answer(static_cast<uint16_t>(response.status), response.body);
-    link->send(encode_frame(FrameKind::kRelayAnswer, frame.id, frame.incarnation, payload));
+    const std::string payload = encode_relay_response(static_cast<uint16_t>(response.status), response.body);
+    link->send(encode_frame(FrameKind::kRelayResponse, frame.id, frame.incarnation, payload));
 }
 
 }  // namespace hareshore::peer
--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -414,7 +414,7 @@
 TEST(ProductionBytes, HeartbeatsAreReadAndWritten) {
     const std::pair<peer::FrameKind, const char*> stored[] = {
         {peer::FrameKind::kHeartbeat, kHeartbeatFrame},
-        {peer::FrameKind::kHeartbeatAnswer, kHeartbeatAnswerFrame}};
+        {peer::FrameKind::kHeartbeatResponse, kHeartbeatAnswerFrame}};
     for (const auto& [kind, hex] : stored) {
         peer::Frame frame = only_frame(from_hex(hex));
         EXPECT_EQ(frame.kind, kind);
@@ -462,11 +462,11 @@
     deployment.run(4);
     EXPECT_EQ(to_hex(answer), kRelayAnswerFrame);
     peer::Frame frame = only_frame(from_hex(kRelayAnswerFrame));
-    EXPECT_EQ(frame.kind, peer::FrameKind::kRelayAnswer);
+    EXPECT_EQ(frame.kind, peer::FrameKind::kRelayResponse);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kAskerIncarnation);
-    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHeader));
-    peer::RelayAnswerHeader head;
+    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayResponseHeader));
+    peer::RelayResponseHeader head;
     std::memcpy(&head, frame.payload.data(), sizeof head);
     EXPECT_EQ(head.status, 200);
     auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof head));
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -58,8 +58,8 @@
     b.leads = 1;
     b.request_sent_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
     std::string frames = peer::encode_frame(peer::FrameKind::kHeartbeat, 1000, 7, b) +
-                         peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, b) +
-                         peer::encode_frame(peer::FrameKind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+                         peer::encode_frame(peer::FrameKind::kHeartbeatResponse, 1, 7, b) +
+                         peer::encode_frame(peer::FrameKind::kRelayResponse, 1, 7, std::string("\xc8\0", 2));
     TaskGroup scope(deployment.loop);
     auto send = [](Loop& l, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(l, to, l.now() + 1);
--- a/tests/controller/readiness_test.cc
+++ b/tests/controller/readiness_test.cc
@@ -72,7 +72,7 @@
 TEST(Readiness, ServesInAnOutageForAll) {
     auto input = served_input();
     input.last_store_contact = kLater - 60;
-    const std::vector peers{peer_served_ago(2500, kLater), peer_served_ago(peer::kNeverServed, kLater)};
+    const std::vector peers{peer_served_ago(2500, kLater), peer_served_ago(peer::kNoStoreContact, kLater)};
     input.peers = peers;
     EXPECT_EQ(decide_readiness(input), Readiness::kReady);
 }
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -77,8 +77,8 @@
                 sends.clear();
                 peer::ControllerHeartbeat b = heartbeat();
                 b.request_sent_us = peer::decode_controller_heartbeat(fields->payload)->request_sent_us;
-                out +=
-                    peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, fields->id, fields->incarnation, b);
+                out += peer::encode_frame(peer::FrameKind::kHeartbeatResponse, fields->id,
+                                          fields->incarnation, b);
                 co_await stream.write(out, -1);
             }
         }
--- a/tests/peer/frames_test.cc
+++ b/tests/peer/frames_test.cc
@@ -48,11 +48,11 @@
 }
 
 TEST(Frames, RelayAnswersHoldStatusAndBody) {
-    const auto answer = peer::decode_relay_answer(peer::encode_relay_answer(421, "body"));
+    const auto answer = peer::decode_relay_response(peer::encode_relay_response(421, "body"));
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->status, 421);
     EXPECT_EQ(answer->body, "body");
-    EXPECT_FALSE(peer::decode_relay_answer("\x01"));
+    EXPECT_FALSE(peer::decode_relay_response("\x01"));
 }
 
 TEST(Frames, CutPayloadsAreRefused) {
--- a/tests/peer/peer_status_test.cc
+++ b/tests/peer/peer_status_test.cc
@@ -40,7 +40,7 @@
 
 TEST_F(PeerStatusTest, HasNoTimesBeforeTheFirstMessage) {
     EXPECT_FALSE(status.last_received_at());
-    EXPECT_FALSE(status.answered_request_sent_at());
+    EXPECT_FALSE(status.acknowledged_heartbeat_sent_at());
     EXPECT_FALSE(status.is_present(0));
     EXPECT_FALSE(status.all_cancellations_known_since(1e9));
     EXPECT_EQ(status.record_format(), 0);
@@ -63,7 +63,7 @@
 }
 
 TEST_F(PeerStatusTest, IgnoresHeartbeatsOfAnotherProcessWhileOneAnswers) {
-    status.receive_answer(1, from_process(kProcess), 100);
+    status.receive_response(1, from_process(kProcess), 100);
     status.receive_heartbeat(9, from_process(kNextProcess, 6), 103);
     EXPECT_EQ(status.last_received_at(), 100);
     status.receive_heartbeat(9, from_process(kNextProcess, 6), 104);
@@ -72,7 +72,7 @@
 
 TEST_F(PeerStatusTest, CountsHeartbeatsAnewForAProcessThatAnswers) {
     status.receive_heartbeat(50, from_process(kProcess), 100);
-    status.receive_answer(1, from_process(kNextProcess), 101);
+    status.receive_response(1, from_process(kNextProcess), 101);
     status.receive_heartbeat(1, from_process(kNextProcess, 6), 102);
     EXPECT_EQ(status.last_heartbeat().fencing_token, 6u);
 }
@@ -80,12 +80,12 @@
 TEST_F(PeerStatusTest, TakesEachAnswerOnce) {
     auto answer = from_process(kProcess);
     answer.request_sent_us = 99'500'000;
-    status.receive_answer(2, answer, 100);
-    EXPECT_EQ(status.answered_request_sent_at(), 99.5);
+    status.receive_response(2, answer, 100);
+    EXPECT_EQ(status.acknowledged_heartbeat_sent_at(), 99.5);
     answer.request_sent_us = 100'500'000;
-    status.receive_answer(2, answer, 101);
-    status.receive_answer(1, answer, 101);
-    EXPECT_EQ(status.answered_request_sent_at(), 99.5);
+    status.receive_response(2, answer, 101);
+    status.receive_response(1, answer, 101);
+    EXPECT_EQ(status.acknowledged_heartbeat_sent_at(), 99.5);
 }
 
 TEST_F(PeerStatusTest, KeepsTheNewestRecordFormat) {
@@ -106,7 +106,7 @@
 TEST_F(PeerStatusTest, ASilentPeerHasConfirmedNoCancellation) {
     auto answer = from_process(kProcess);
     answer.since_last_cancellation_ms = 50'000;
-    status.receive_answer(1, answer, 100);
+    status.receive_response(1, answer, 100);
     EXPECT_TRUE(status.all_cancellations_known_since(51));
     EXPECT_FALSE(status.all_cancellations_known_since(50)) << "its clock may run fast";
     answer.since_last_cancellation_ms = 90'000;
@@ -115,35 +115,35 @@
 }
 
 TEST_F(PeerStatusTest, KnowsAllFromTheFirstAnswerThatAnnounces) {
-    status.receive_answer(1, announcing(kProcess, 3), 100);
+    status.receive_response(1, announcing(kProcess, 3), 100);
     EXPECT_TRUE(status.all_cancellations_known_since(100));
-    status.receive_answer(2, announcing(kProcess, 3), 110);
+    status.receive_response(2, announcing(kProcess, 3), 110);
     EXPECT_TRUE(status.all_cancellations_known_since(100)) << "nothing is missing";
     EXPECT_FALSE(status.all_cancellations_known_since(99));
 }
 
 TEST_F(PeerStatusTest, AMissingNoticeBeginsAnew) {
-    status.receive_answer(1, announcing(kProcess, 0), 100);
-    status.receive_answer(2, announcing(kProcess, 1), 110);
+    status.receive_response(1, announcing(kProcess, 0), 100);
+    status.receive_response(2, announcing(kProcess, 1), 110);
     EXPECT_FALSE(status.all_cancellations_known_since(100));
     EXPECT_TRUE(status.all_cancellations_known_since(110));
 }
 
 TEST_F(PeerStatusTest, AnotherProcessBeginsAnew) {
-    status.receive_answer(1, announcing(kProcess, 0), 100);
-    status.receive_answer(2, announcing(kNextProcess, 0), 110);
+    status.receive_response(1, announcing(kProcess, 0), 100);
+    status.receive_response(2, announcing(kNextProcess, 0), 110);
     EXPECT_FALSE(status.all_cancellations_known_since(100));
 }
 
 TEST_F(PeerStatusTest, AVersionThatDoesNotAnnounceEndsIt) {
-    status.receive_answer(1, announcing(kProcess, 0), 100);
-    status.receive_answer(2, from_process(kProcess), 110);
+    status.receive_response(1, announcing(kProcess, 0), 100);
+    status.receive_response(2, from_process(kProcess), 110);
     EXPECT_FALSE(status.all_cancellations_known_since(109));
 }
 
 TEST_F(PeerStatusTest, ReturnsTheCancellationsThatAreNew) {
     EXPECT_EQ(receive_notice(kProcess, 0, {"job-1"}), 0u) << "no answer yet";
-    status.receive_answer(1, announcing(kProcess, 1), 100);
+    status.receive_response(1, announcing(kProcess, 1), 100);
     EXPECT_EQ(receive_notice(kNextProcess, 1, {"job-2"}), 0u) << "of another process";
     EXPECT_EQ(receive_notice(kProcess, 2, {"job-3"}), 0u) << "one before it is missing";
     EXPECT_EQ(receive_notice(kProcess, 0, {"job-1"}), 0u) << "confirmed before the first answer";
@@ -152,6 +152,6 @@
     ASSERT_EQ(jobs.size(), 2u);
     EXPECT_EQ(jobs[0], "job-2");
     EXPECT_EQ(jobs[1], "job-3");
-    status.receive_answer(2, announcing(kProcess, 3), 110);
+    status.receive_response(2, announcing(kProcess, 3), 110);
     EXPECT_TRUE(status.all_cancellations_known_since(100));
 }
--- a/tests/peer/relay_client_test.cc
+++ b/tests/peer/relay_client_test.cc
@@ -39,8 +39,8 @@
         loop.turn(0);
     }
     void answer(uint32_t id, uint64_t incarnation) {
-        client.receive_answer(
-            {peer::FrameKind::kRelayAnswer, id, incarnation, peer::encode_relay_answer(200, "commands")});
+        client.receive_response(
+            {peer::FrameKind::kRelayResponse, id, incarnation, peer::encode_relay_response(200, "commands")});
         loop.turn(0);
     }
 };
@@ -71,7 +71,7 @@
     start(link);
     answer(1, kIncarnation + 1);
     answer(2, kIncarnation);
-    client.receive_answer({peer::FrameKind::kRelayAnswer, 1, kIncarnation, "x"});
+    client.receive_response({peer::FrameKind::kRelayResponse, 1, kIncarnation, "x"});
     loop.turn(0);
     EXPECT_FALSE(result);
 }
--- a/tests/scenario/peer_link.cc
+++ b/tests/scenario/peer_link.cc
@@ -61,7 +61,8 @@
     reader.feed(bytes);
     while (auto frame = reader.next()) {
         if (frame->kind == peer::FrameKind::kCancellationNotice) continue;
-        if (frame->kind == peer::FrameKind::kHeartbeat || frame->kind == peer::FrameKind::kHeartbeatAnswer) {
+        if (frame->kind == peer::FrameKind::kHeartbeat ||
+            frame->kind == peer::FrameKind::kHeartbeatResponse) {
             auto heartbeat = peer::decode_controller_heartbeat(frame->payload);
             heartbeat->record_format = 0;
             heartbeat->cancellations_announced = 0;
--- a/tests/standins/peer_reports.h
+++ b/tests/standins/peer_reports.h
@@ -16,7 +16,7 @@
     peer::ControllerHeartbeat heartbeat{};
     peer::set_label(heartbeat, label);
     heartbeat.incarnation = 7;
-    heartbeat.store_age_ms = peer::kNeverServed;
+    heartbeat.store_age_ms = peer::kNoStoreContact;
     return heartbeat;
 }
 
@@ -31,7 +31,7 @@
 inline peer::PeerStatus peer_with_answer(peer::ControllerHeartbeat answer, Seconds sent_at) {
     answer.request_sent_us = static_cast<uint64_t>(sent_at * 1e6);
     peer::PeerStatus status(peer_address(peer::label_of(answer)));
-    status.receive_answer(1, answer, sent_at);
+    status.receive_response(1, answer, sent_at);
     return status;
 }
 
