--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -15,9 +15,9 @@
 
 namespace {
 
-// The controllers stand for election one after the other, in the order of their labels: this one's share of
-// the whole delay, from 0 for the first to below 1 for the last.
-double election_delay_share(const Config& config) {
+// Controllers campaign one after the other, ordered by label. Returns this controller's fraction of the
+// maximum campaign delay: 0 for the first label, below 1 for the last.
+double campaign_delay_fraction(const Config& config) {
     if (config.peers.empty()) return 0;
     const auto earlier = std::count_if(config.peers.begin(), config.peers.end(),
                                        [&](const PeerAddress& peer) { return peer.label < config.label; });
@@ -30,9 +30,9 @@
     : loop_(loop),
       config_(config),
       started_at_(loop.now()),
-      store_(loop, config.state, answer_limit(config)),
+      store_(loop, config.state, response_limit(config)),
       cloud_(loop, config.cloud, config.cloud_rps, config.peers.size() + 1),
-      election_(loop, store_, config.label, election_delay_share(config)),
+      election_(loop, store_, config.label, campaign_delay_fraction(config)),
       users_(loop, config, store_, machine_types_, record_format_,
              [this](const std::string& job) {
                  peers_.announce_cancellation(job);
@@ -44,11 +44,11 @@
       server_(loop, config.listen, connection_limit(config),
               [this](Request request) { return handle(std::move(request)); }),
       tasks_(loop) {
-    // Urgent: if these were late, the leadership would change, and all that waits would wait longer.
+    // Urgent: a delay here would cost the leadership, and the failover would delay all other work further.
     tasks_.spawn(election_.run(), "election", Priority::kUrgent);
-    tasks_.spawn(follow_election(), "leadership", Priority::kUrgent);
+    tasks_.spawn(watch_election(), "leadership", Priority::kUrgent);
     tasks_.spawn(load_machine_types(), "machine types");
-    tasks_.spawn(follow_record_format(), "record format");
+    tasks_.spawn(poll_record_format(), "record format");
 }
 
 Controller::~Controller() {
@@ -78,8 +78,8 @@
 }
 
 uint32_t Controller::milliseconds_since(Seconds time) const {
-    constexpr double kMost = 4e9;  // fits into the heartbeat's field
-    return static_cast<uint32_t>(std::clamp((loop_.now() - time) * 1000, 0.0, kMost));
+    constexpr double kMaxMilliseconds = 4e9;  // fits into the 32-bit field of the heartbeat
+    return static_cast<uint32_t>(std::clamp((loop_.now() - time) * 1000, 0.0, kMaxMilliseconds));
 }
 
 Readiness Controller::readiness() const {
@@ -92,25 +92,25 @@
 }
 
 void Controller::observe_cancellation(const std::string& job) {
-    // Without a leader there is nothing to do: one that begins later reads the records after this, and finds
-    // the cancellation there.
+    // Without a leader there is nothing to do: a leader elected later loads the records after this point, and
+    // they include the cancellation.
     if (const auto& leader = leader_runner_.leader()) leader->observe_cancellation(job);
 }
 
-Task<void> Controller::follow_election() {
+Task<void> Controller::watch_election() {
     while (true) {
         co_await loop_.wait(election_.changed(), loop_.now() + constants::kPeerHeartbeatInterval_s);
-        report_peers_to_election();
+        report_peer_terms_to_election();
         resign_if_isolated();
-        leader_runner_.follow_election();
+        leader_runner_.update();
     }
 }
 
-void Controller::report_peers_to_election() {
+void Controller::report_peer_terms_to_election() {
     for (const auto& peer : peers_.statuses()) {
         if (!peer.is_present(loop_.now())) continue;
-        // Also a peer that does not lead proves that there was such a term: the new leader itself may be cut
-        // off from here.
+        // A follower's fencing token also proves that the term exists; the new leader itself may be
+        // unreachable from here.
         const auto& heartbeat = peer.last_heartbeat();
         election_.observe_peer_term(heartbeat.leads ? peer.label() : "", heartbeat.fencing_token);
     }
@@ -130,22 +130,22 @@
 }
 
 Task<void> Controller::load_machine_types() {
-    // What an earlier leader stored is at hand sooner than the cloud's answer, and also while the cloud is
-    // away. Later changes of prices concern only the leader, which reads them itself.
+    // The machine types stored by an earlier leader are available sooner than the cloud's response, and also
+    // during an outage of the cloud. Later price changes matter only to the leader, which reads them itself.
     while (machine_types_.empty()) {
         const GetResult stored = co_await store_.get(kMachineTypesKey, constants::kStoreCallTimeout_s);
         if (stored.status == StoreStatus::kOk) {
             if (auto types = decode_machine_types(stored.entry.data)) machine_types_ = std::move(*types);
         }
         if (!machine_types_.empty()) break;
-        auto offered = co_await cloud_.machine_types();
-        if (offered) machine_types_ = std::move(*offered);
+        auto fetched = co_await cloud_.machine_types();
+        if (fetched) machine_types_ = std::move(*fetched);
         if (machine_types_.empty()) co_await loop_.sleep(constants::kRetryBackoffMax_s / 2);
     }
 }
 
-Task<void> Controller::follow_record_format() {
-    // Until the newest format is in force; no version goes back after that.
+Task<void> Controller::poll_record_format() {
+    // Polls until the newest format is in force; the format never reverts to an older one.
     while (record_format_.below_newest()) {
         co_await learn_record_format(store_, record_format_);
         if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
@@ -159,8 +159,8 @@
     if (method && request.method != *method) co_return empty_response(HttpStatus::kMethodNotAllowed);
     switch (endpoint) {
         case Endpoint::kWorkerHeartbeat:
-            // Its worker has given up and asks another controller. One that has fallen so far behind would
-            // otherwise spend its time on answers that nobody reads, and never catch up.
+            // The worker has given up and contacted another controller. An overloaded controller would
+            // otherwise spend its time on responses that nobody reads, and never catch up.
             if (request.abandoned) co_return empty_response(HttpStatus::kServiceUnavailable);
             co_return co_await handle_heartbeat(std::move(request.body));
         case Endpoint::kReadiness:
@@ -188,22 +188,22 @@
 Task<Response> Controller::handle_heartbeat(std::string body) {
     auto heartbeat = decode_heartbeat(body);
     if (!heartbeat) co_return empty_response(HttpStatus::kBadRequest);
-    const HeartbeatHeader header = heartbeat->header();  // the heartbeat itself goes to the leader
+    const HeartbeatHeader header = heartbeat->header();  // copied: the leader takes the heartbeat
     worker_heartbeats_.record(loop_.now());
     if (const auto leader = leader_runner_.leader()) {
         Response response = co_await leader->handle_heartbeat(
             std::move(*heartbeat), constants::kIdleHeartbeatHold_s, HeartbeatRoute::kDirect);
-        const bool leads_still = leader_runner_.leader() == leader && election_.leading();
-        if (response.status == static_cast<int>(HttpStatus::kOk) || leads_still) co_return response;
+        const bool still_leading = leader_runner_.leader() == leader && election_.leading();
+        if (response.status == static_cast<int>(HttpStatus::kOk) || still_leading) co_return response;
     }
     const std::string& leader_label = election_.leader();
     if (leader_label.empty() || leader_label == config_.label) co_return redirect_response(std::nullopt);
     if (router_.route(header, leader_label, loop_.now()) == HeartbeatRouting::kRedirect)
         co_return redirect_response(leader_label);
-    auto answer = co_await peers_.relay(leader_label, std::move(body));
-    if (!answer || answer->status != static_cast<int>(HttpStatus::kOk))
+    auto relayed = co_await peers_.relay(leader_label, std::move(body));
+    if (!relayed || relayed->status != static_cast<int>(HttpStatus::kOk))
         co_return redirect_response(std::nullopt);
-    co_return Response{.status = answer->status, .body = std::move(answer->body)};
+    co_return Response{.status = relayed->status, .body = std::move(relayed->body)};
 }
 
 Task<Response> Controller::handle_relayed_heartbeat(std::string body) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,8 +1,8 @@
-// One controller process. Every controller serves users and takes part in elections; the elected one leads,
-// and the others redirect or relay workers to it.
+// One controller process. Every controller serves users and takes part in leader elections; the others
+// redirect or relay workers to the leader.
 //
-// The decisions stand in files of their own, as functions of time and plain inputs: readiness.h,
-// heartbeat_router.h, resignation.h, peer_confirmations.h. This class joins them to the network.
+// Decisions are pure functions of time and plain inputs, each in its own file: readiness.h,
+// heartbeat_router.h, resignation.h, peer_confirmations.h. This class connects them to the network.
 #pragma once
 #include <memory>
 #include <optional>
@@ -24,45 +24,44 @@
 
 namespace hareshore {
 
-// Owns all parts; they refer to one another and to the controller, and so do the coroutines that run in their
-// task groups. `loop`, `config` and `settings` must outlive it. To destroy it, call stop() and let the loop
-// take turns until all coroutines have unwound.
+// Owns all components of the process. They, and the coroutines in their task groups, refer to one another and
+// to the controller. `loop`, `config` and `settings` must outlive it. Before destroying it, call stop() and
+// run the loop until all coroutines have unwound.
 class Controller : private peer::PeerDelegate {
   public:
-    // Starts to listen and to take part in elections. Throws std::system_error if an address cannot be
-    // listened on.
+    // Starts listening and campaigning. Throws std::system_error if it cannot listen on an address.
     Controller(Loop& loop, const Config& config, const Settings& settings);
     ~Controller() override;
-    // Cancels all coroutines; they unwind in the next turns of the loop.
+    // Cancels all coroutines; they unwind in the following turns of the loop.
     void stop();
-    // Answers one HTTP request.
+    // Handles one HTTP request.
     [[nodiscard]] Task<Response> handle(Request request);
 
     [[nodiscard]] const Election& election() const { return election_; }
-    // Null while this controller does not lead. A caller that awaits something of the leader holds the
-    // pointer meanwhile.
+    // Null while this controller is not the leader. A caller that awaits one of the leader's coroutines must
+    // hold the pointer until it completes.
     [[nodiscard]] std::shared_ptr<Leader> leader() const { return leader_runner_.leader(); }
 
   private:
-    // For the peers.
+    // peer::PeerDelegate.
     [[nodiscard]] peer::ControllerHeartbeat heartbeat() const override;
     [[nodiscard]] Task<Response> handle_relayed_heartbeat(std::string body) override;
-    void cancellation_announced(const std::string& job) override { observe_cancellation(job); }
+    void on_cancellation_announced(const std::string& job) override { observe_cancellation(job); }
 
-    // Coroutines of tasks_; they end when it is cancelled.
-    Task<void> follow_election();
+    // Coroutines that run in tasks_ until it is cancelled.
+    Task<void> watch_election();
     Task<void> load_machine_types();
-    Task<void> follow_record_format();
+    Task<void> poll_record_format();
 
-    void report_peers_to_election();
+    void report_peer_terms_to_election();
     void resign_if_isolated();
-    // A user is being told, here or by a peer, that the job is cancelled.
+    // Called when this controller or a peer confirms to a user that the job is cancelled.
     void observe_cancellation(const std::string& job);
 
     Task<Response> handle_heartbeat(std::string body);
     [[nodiscard]] Response show_operator_page(OperatorPage page) const;
     [[nodiscard]] Readiness readiness() const;
-    // For the heartbeats to the peers; 0 for a time to come.
+    // Elapsed time as sent in peer heartbeats; 0 if `time` is in the future.
     [[nodiscard]] uint32_t milliseconds_since(Seconds time) const;
 
     Loop& loop_;
@@ -71,7 +70,7 @@
     StoreClient store_;
     CloudClient cloud_;
     Election election_;
-    std::vector<MachineType> machine_types_;  // empty until they are known
+    std::vector<MachineType> machine_types_;  // empty until loaded
     RecordFormat record_format_;
     UserService users_;
     HeartbeatRouter router_;
--- a/src/controller/endpoint_wire.h
+++ b/src/controller/endpoint_wire.h
@@ -1,4 +1,4 @@
-// The paths that a controller serves.
+// The HTTP paths that a controller serves.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
 };
 
 [[nodiscard]] Endpoint endpoint_of(std::string_view path);
-// The only method that the endpoint takes; nothing for kUsers, which checks its methods itself.
+// The only HTTP method that the endpoint accepts; nullopt for kUsers, whose service checks methods itself.
 [[nodiscard]] std::optional<std::string_view> required_method(Endpoint endpoint);
 
 }  // namespace hareshore
--- a/src/controller/heartbeat_router.cc
+++ b/src/controller/heartbeat_router.cc
@@ -9,21 +9,22 @@
     if (workers_.size() > constants::kRedirectionsKept) workers_.clear();
     WorkerState& worker = workers_[heartbeat.machine];
     const bool is_new = heartbeat.newer_than(worker.incarnation, worker.sequence);
-    const bool was_sent_there =
+    const bool recently_redirected =
         worker.leader == leader && now - worker.routed_at < constants::kRelayAfterRedirection_s;
-    const bool returned = is_new && was_sent_there;
+    const bool redirect_failed = is_new && recently_redirected;
     if (is_new) {
         worker.incarnation = heartbeat.incarnation;
         worker.sequence = heartbeat.sequence;
     }
-    if (returned && !worker.relayed_since)
-        partitions_.record_returned_worker(heartbeat.zone, heartbeat.machine, now);
+    if (redirect_failed && !worker.relayed_since)
+        partitions_.record_failed_redirect(heartbeat.zone, heartbeat.machine, now);
 
-    // Other workers of a partitioned zone are relayed without being redirected first.
-    const bool unreachable = returned || (is_new && partitions_.is_partitioned(heartbeat.zone, now));
+    // All workers of a partitioned zone are relayed without a redirect of their own.
+    const bool leader_unreachable =
+        redirect_failed || (is_new && partitions_.is_partitioned(heartbeat.zone, now));
     const bool relayed_long_enough =
         worker.relayed_since && now - *worker.relayed_since >= constants::kRelayPeriod_s;
-    const bool relay = unreachable && !relayed_long_enough;
+    const bool relay = leader_unreachable && !relayed_long_enough;
     if (!relay) {
         worker.relayed_since.reset();
     } else if (!worker.relayed_since || worker.leader != leader) {
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -1,4 +1,4 @@
-// Decides how a worker's heartbeat reaches the leader when it came to another controller.
+// Decides how a worker's heartbeat that arrived at a non-leader reaches the leader.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,25 +11,26 @@
 namespace hareshore {
 
 enum class HeartbeatRouting : uint8_t {
-    kRedirect,  // the worker is told to send to the leader
-    kRelay,     // the worker cannot reach the leader: this controller sends the heartbeat on
+    kRedirect,  // the worker is told to contact the leader
+    kRelay,     // the worker cannot reach the leader: this controller forwards the heartbeat
 };
 
-// Remembers where workers were sent. A worker that was redirected and returns is relayed for kRelayPeriod_s,
-// then redirected again to find out whether the cut is over.
+// Tracks where workers were redirected. A worker that contacts this controller again within
+// kRelayAfterRedirection_s of a redirect could not reach the leader: it is relayed for kRelayPeriod_s, then
+// redirected again to probe whether the leader has become reachable.
 class HeartbeatRouter {
   public:
-    // `leader`: the label of the leader, which is another controller.
+    // `leader`: the label of the current leader, which must be another controller.
     [[nodiscard]] HeartbeatRouting route(const HeartbeatHeader& heartbeat, const std::string& leader,
                                          Seconds now);
 
   private:
     struct WorkerState {
-        std::string leader;  // to which the worker was last redirected or relayed
+        std::string leader;  // label of the leader to which the worker was last routed
         Seconds routed_at = 0;
         std::optional<Seconds> relayed_since;
-        // The newest heartbeat that was routed. A late copy of it, or of an older one, does not show that the
-        // worker returned.
+        // The newest heartbeat routed. A delayed duplicate of it, or an older one, does not show that a
+        // redirect failed.
         uint64_t incarnation = 0;
         uint64_t sequence = 0;
     };
--- a/src/controller/heartbeat_window.h
+++ b/src/controller/heartbeat_window.h
@@ -1,4 +1,4 @@
-// Counts the worker heartbeats that reached this controller directly in the last seconds.
+// Sliding-window count of the worker heartbeats that reached this controller directly.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -8,13 +8,13 @@
 
 namespace hareshore {
 
-// Keeps the times of the last kHeartbeatCountWindow_s, at most kRedirectionsKept of them.
+// Stores the times of the heartbeats of the last kHeartbeatCountWindow_s, at most kRedirectionsKept of them.
 class HeartbeatWindow {
   public:
     void record(Seconds now);
-    // How many were recorded in the last kHeartbeatCountWindow_s.
+    // Number of heartbeats recorded in the last kHeartbeatCountWindow_s.
     [[nodiscard]] size_t count(Seconds now) const;
-    // When the last one was recorded; nothing before the first.
+    // Time of the last recorded heartbeat; nullopt if there was none.
     [[nodiscard]] std::optional<Seconds> last() const;
 
   private:
--- a/src/controller/http_responses.h
+++ b/src/controller/http_responses.h
@@ -1,4 +1,4 @@
-// The answers that the controller itself gives, without the leader or the users' service.
+// HTTP responses that the controller creates itself, without the leader or the user service.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,14 +12,14 @@
     kOk = 200,
     kBadRequest = 400,
     kMethodNotAllowed = 405,
-    kMisdirectedRequest = 421,  // another controller leads
+    kMisdirectedRequest = 421,  // this controller is not the leader
     kServiceUnavailable = 503,
 };
 
-// An answer without a body.
+// A response without a body.
 [[nodiscard]] Response empty_response(HttpStatus status);
-// Tells a worker that this controller does not lead, and which one does; nothing if it is not known or the
-// worker cannot reach it.
+// Tells a worker that this controller is not the leader. `leader`: the leader's label; nullopt if it is
+// unknown or the worker cannot reach it.
 [[nodiscard]] Response redirect_response(std::optional<std::string_view> leader);
 
 }  // namespace hareshore
--- a/src/controller/leader_runner.cc
+++ b/src/controller/leader_runner.cc
@@ -4,7 +4,7 @@
 
 namespace hareshore {
 
-void LeaderRunner::follow_election() {
+void LeaderRunner::update() {
     const bool term_is_over =
         leader_ && (!election_.leading() || leader_->fencing_token() != election_.fencing_token());
     if (term_is_over) {
--- a/src/controller/leader_runner.h
+++ b/src/controller/leader_runner.h
@@ -1,4 +1,4 @@
-// Runs a Leader for each term of leadership that this controller wins.
+// Runs a Leader during each term that this controller wins.
 #pragma once
 #include <memory>
 #include <vector>
@@ -9,22 +9,21 @@
 
 namespace hareshore {
 
-// The only lasting owner of the Leader. Others that await something of it hold it meanwhile, so that it lives
-// until they are done; stopped() then tells them that its term is over.
+// The only long-term owner of the Leader. Callers that await one of its coroutines share ownership until it
+// completes; Leader::stopped() then tells them that the term is over.
 class LeaderRunner {
   public:
-    // All that is referred to must outlive the runner and every Leader. `machine_types` are copied when a
-    // term begins.
+    // All references must outlive the runner and every Leader. `machine_types` are copied when a term begins.
     LeaderRunner(const LeaderEnvironment& environment, Election& election, const peer::Peers& peers,
                  const std::vector<MachineType>& machine_types)
         : environment_(environment), election_(election), peers_(peers), machine_types_(machine_types) {}
 
-    // Stops the Leader of a term that is over and starts that of a new one. To be called whenever the
+    // Stops the Leader of a term that is over and starts one for a new term. Call whenever the state of the
     // election changes.
-    void follow_election();
-    // Stops the Leader, if there is one; it is kept until its coroutines have unwound.
+    void update();
+    // Stops the Leader, if there is one. It stays allocated until its coroutines have unwound.
     void stop();
-    // Null while this controller does not lead.
+    // Null while this controller is not the leader.
     [[nodiscard]] const std::shared_ptr<Leader>& leader() const { return leader_; }
 
   private:
--- a/src/controller/operator_page.h
+++ b/src/controller/operator_page.h
@@ -1,4 +1,4 @@
-// The read-only text pages for operators.
+// Read-only text pages for operators.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,14 +10,14 @@
 
 enum class OperatorPage : uint8_t { kStatus, kJobs, kMachines };
 
-// What the status page shows of this controller.
+// The contents of the status page.
 struct ControllerStatus {
     std::string label;
-    std::string leader;          // the label of the controller that is thought to lead; empty if unknown
+    std::string leader;          // the label of the last known leader; empty if unknown
     uint64_t fencing_token = 0;  // the highest that this controller has seen
 };
 
-// `leader` is null if this controller does not lead; all pages then show its status.
+// `leader` is null if this controller is not the leader; every page then shows the status of this controller.
 [[nodiscard]] Response operator_page(OperatorPage page, const Leader* leader, const ControllerStatus& status);
 
 }  // namespace hareshore
--- a/src/controller/peer_confirmations.cc
+++ b/src/controller/peer_confirmations.cc
@@ -9,17 +9,17 @@
 Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since, Seconds now) {
     Seconds until = now;
     for (const auto& peer : peers) {
-        const auto answered_at = peer.acknowledged_heartbeat_sent_at();
-        if (!answered_at || !peer.all_cancellations_known_since(since)) return since;
-        until = std::min(until, *answered_at);
+        const auto heartbeat_sent_at = peer.acknowledged_heartbeat_sent_at();
+        if (!heartbeat_sent_at || !peer.all_cancellations_known_since(since)) return since;
+        until = std::min(until, *heartbeat_sent_at);
     }
     return std::max(since, until);
 }
 
 bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token, Seconds now) {
     return std::all_of(peers.begin(), peers.end(), [&](const peer::PeerStatus& peer) {
-        const auto answered_at = peer.acknowledged_heartbeat_sent_at();
-        return answered_at && now - *answered_at < constants::kPeerHeartbeatTimeout_s &&
+        const auto heartbeat_sent_at = peer.acknowledged_heartbeat_sent_at();
+        return heartbeat_sent_at && now - *heartbeat_sent_at < constants::kPeerHeartbeatTimeout_s &&
                peer.last_heartbeat().fencing_token <= fencing_token;
     });
 }
--- a/src/controller/peer_confirmations.h
+++ b/src/controller/peer_confirmations.h
@@ -1,4 +1,4 @@
-// What the peers' answers to heartbeats prove to a leader while the store cannot be asked.
+// What a leader can conclude from peers' heartbeat responses while the store is unreachable.
 #pragma once
 #include <span>
 
@@ -7,14 +7,14 @@
 
 namespace hareshore {
 
-// Until when all cancellations that any controller confirmed to users are known to this process, given that
-// all those confirmed before `since` are. Between `since` and `now`. What this process itself confirms is
-// known to it at once.
+// The time up to which this process knows every cancellation that any controller has confirmed to a user,
+// given that it knows all those confirmed before `since`. The result lies between `since` and `now`. Its own
+// confirmations are known to it at once, so only peers limit the result.
 [[nodiscard]] Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since,
                                                 Seconds now);
 
-// Whether every peer has answered a heartbeat sent less than kPeerHeartbeatTimeout_s ago, and none has seen a
-// higher fencing token than `fencing_token`: then no other leader can exist.
+// True if every peer has responded to a heartbeat sent less than kPeerHeartbeatTimeout_s ago and none has
+// seen a higher fencing token than `fencing_token`. In that case no other leader can exist.
 [[nodiscard]] bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token,
                                    Seconds now);
 
--- a/src/controller/resignation.cc
+++ b/src/controller/resignation.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool is_reached_by_workers(const peer::PeerStatus& peer, Seconds now) {
+bool receives_worker_heartbeats(const peer::PeerStatus& peer, Seconds now) {
     const auto received_at = peer.last_received_at();
     return received_at && now - *received_at <= constants::kPeerHeartbeatTimeout_s &&
            peer.last_heartbeat().worker_heartbeats_received >= constants::kResignMinMachines;
@@ -21,7 +21,7 @@
         input.now - *input.last_worker_heartbeat < constants::kResignAfterSilence_s)
         return std::nullopt;
     for (const auto& peer : input.peers)
-        if (is_reached_by_workers(peer, input.now)) return Resignation{peer.label()};
+        if (receives_worker_heartbeats(peer, input.now)) return Resignation{peer.label()};
     return std::nullopt;
 }
 
--- a/src/controller/resignation.h
+++ b/src/controller/resignation.h
@@ -1,4 +1,4 @@
-// Whether a leader should resign because the workers cannot reach it.
+// Decides whether a leader should resign because workers cannot reach it.
 #pragma once
 #include <optional>
 #include <span>
@@ -9,22 +9,22 @@
 
 namespace hareshore {
 
-// Describes a controller that leads. All times are on the steady clock.
+// The state of the leading controller. All times are on the steady clock.
 struct ResignationInput {
     Seconds now = 0;
-    Seconds loaded_for = 0;                        // since the leader has loaded its records; 0 if it has not
-    size_t machines_seen = 0;                      // machines that have reported to this leader
-    std::optional<Seconds> last_worker_heartbeat;  // that reached this controller directly
+    Seconds loaded_for = 0;                        // time since the leader loaded the records; 0 before
+    size_t machines_seen = 0;                      // machines whose heartbeats this leader received
+    std::optional<Seconds> last_worker_heartbeat;  // received directly, not relayed by a peer
     std::span<const peer::PeerStatus> peers;
 };
 
 // Why the leader should resign.
 struct Resignation {
-    std::string peer;  // the label of a peer that workers reach
+    std::string peer;  // label of a peer that workers reach
 };
 
-// A leader whom the store confirms but whom no worker reaches, while workers reach a peer, is cut off from
-// them. Nothing if there is no such proof.
+// Returns a resignation if the leader holds its lease but receives no worker heartbeats while a peer does:
+// then the leader is partitioned from the workers. nullopt otherwise.
 [[nodiscard]] std::optional<Resignation> decide_resignation(const ResignationInput& input);
 
 }  // namespace hareshore
--- a/src/controller/resource_limits.h
+++ b/src/controller/resource_limits.h
@@ -1,4 +1,4 @@
-// How a controller shares out the sockets and the memory that the platform gives it.
+// Limits derived from the sockets and the memory that the platform grants a controller.
 #pragma once
 #include <cstddef>
 
@@ -6,10 +6,10 @@
 
 namespace hareshore {
 
-// Connections that the HTTP server accepts at once; the other sockets are for calls to others and for
-// listening.
+// Maximum number of concurrent connections of the HTTP server. The remaining sockets are for outgoing calls
+// and for listening.
 [[nodiscard]] size_t connection_limit(const Config& config);
-// Bytes of one answer of the store or the cloud that are read.
-[[nodiscard]] size_t answer_limit(const Config& config);
+// Maximum size in bytes of one response of the store or the cloud.
+[[nodiscard]] size_t response_limit(const Config& config);
 
 }  // namespace hareshore
--- a/src/controller/term_checks.h
+++ b/src/controller/term_checks.h
@@ -1,4 +1,4 @@
-// The checks of one term of leadership that need the election and the peers.
+// Leadership checks of one term, based on the election and on the peers.
 #pragma once
 #include <cstdint>
 
@@ -8,8 +8,8 @@
 
 namespace hareshore {
 
-// Given to a Leader, which owns it. The references must outlive that Leader. Its answers are negative once
-// the election has gone on to another term.
+// Owned by a Leader. The references must outlive that Leader. Once the election has moved on to another term,
+// the checks of the lease and of other leaders fail and step_down() has no effect.
 class TermChecks : public Leadership {
   public:
     TermChecks(const Loop& loop, Election& election, const peer::Peers& peers, uint64_t fencing_token)
--- a/src/controller/zone_partition.cc
+++ b/src/controller/zone_partition.cc
@@ -6,25 +6,26 @@
 
 namespace hareshore {
 
-ZonePartitionDetector::ReturnTimes& ZonePartitionDetector::returns_of(const std::string& zone) {
+ZonePartitionDetector::FailureTimes& ZonePartitionDetector::failed_redirects_in(const std::string& zone) {
     if (zones_.size() > constants::kRedirectionsKept) zones_.clear();
     return zones_[zone];
 }
 
-void ZonePartitionDetector::record_returned_worker(const std::string& zone, const std::string& machine,
+void ZonePartitionDetector::record_failed_redirect(const std::string& zone, const std::string& machine,
                                                    Seconds now) {
-    returns_of(zone)[machine] = now;
+    failed_redirects_in(zone)[machine] = now;
 }
 
 bool ZonePartitionDetector::is_partitioned(const std::string& zone, Seconds now) {
-    auto& returns = returns_of(zone);
-    // Stops at the first recent ones: this is asked for each heartbeat, and a look at all workers of a large
-    // zone would cost the square of their number.
+    auto& failed_redirects = failed_redirects_in(zone);
+    // Stops as soon as enough recent ones are found: this runs for each heartbeat, and scanning all workers
+    // of a large zone each time would be quadratic in their number.
     size_t recent = 0;
-    for (auto it = returns.begin(); it != returns.end() && recent < constants::kPartitionWitnesses;) {
+    for (auto it = failed_redirects.begin();
+         it != failed_redirects.end() && recent < constants::kPartitionWitnesses;) {
         const bool outdated = now - it->second > constants::kRelayAfterRedirection_s;
         if (!outdated) ++recent;
-        it = outdated ? returns.erase(it) : std::next(it);
+        it = outdated ? failed_redirects.erase(it) : std::next(it);
     }
     return recent >= constants::kPartitionWitnesses;
 }
--- a/src/controller/zone_partition.h
+++ b/src/controller/zone_partition.h
@@ -1,4 +1,4 @@
-// Detects that the network is cut between a zone's workers and the leader.
+// Detects a network partition between a zone's workers and the leader.
 #pragma once
 #include <map>
 #include <string>
@@ -7,22 +7,22 @@
 
 namespace hareshore {
 
-// A worker that was redirected to the leader and returns could not reach it. One such worker may be at fault
-// itself; kPartitionWitnesses of a zone within kRelayAfterRedirection_s show that its other workers are cut
-// off, too.
+// A worker that contacts this controller again after a redirect could not reach the leader. A single such
+// worker may be faulty itself; kPartitionWitnesses workers of one zone within kRelayAfterRedirection_s show
+// that the zone's other workers cannot reach the leader either.
 class ZonePartitionDetector {
   public:
-    void record_returned_worker(const std::string& zone, const std::string& machine, Seconds now);
-    // Whether the zone counts as cut off from the leader. Forgets workers that returned too long ago.
+    void record_failed_redirect(const std::string& zone, const std::string& machine, Seconds now);
+    // Whether the zone is considered partitioned from the leader. Removes failed redirects that have expired.
     [[nodiscard]] bool is_partitioned(const std::string& zone, Seconds now);
 
   private:
-    using ReturnTimes = std::map<std::string, Seconds>;  // by machine
+    using FailureTimes = std::map<std::string, Seconds>;  // by machine
 
-    // Zones are named by workers, so their number is bounded only here.
-    ReturnTimes& returns_of(const std::string& zone);
+    // Workers send arbitrary zone names, so the number of zones is bounded here.
+    FailureTimes& failed_redirects_in(const std::string& zone);
 
-    std::map<std::string, ReturnTimes> zones_;
+    std::map<std::string, FailureTimes> zones_;
 };
 
 }  // namespace hareshore
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,4 +1,4 @@
-// The program `hareshore`: reads its settings and runs one controller until the process is ended.
+// The program `hareshore`: reads its settings and runs one controller until the process is terminated.
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -16,8 +16,8 @@
 
 struct Options {
     std::string config_path;    // the platform's settings
-    std::string settings_path;  // the operators' settings; empty: all defaults
-    bool check_only = false;    // read both and end
+    std::string settings_path;  // the operators' settings; all defaults if empty
+    bool check_only = false;    // validate both and exit
 };
 
 // Declares the program's options; parsing stores them in `options`.
@@ -28,8 +28,10 @@
         ->type_name("FILE");
     app.add_option("--settings", options.settings_path, "the operators' settings (S-expressions)")
         ->type_name("FILE");
-    app.add_flag("--check", options.check_only, "read the settings, say whether they are in order, and end");
-    app.footer("LOG_LEVEL sets how much is logged to standard error: error, info (as if unset) or debug.");
+    app.add_flag("--check", options.check_only, "validate the settings and exit");
+    app.footer(
+        "The environment variable LOG_LEVEL sets the log level of standard error: error, info (default) or "
+        "debug.");
 }
 
 void run_controller(const Config& config, const Settings& settings) {
@@ -43,7 +45,7 @@
     loop.run();
 }
 
-// Returns the exit status. Throws ConfigError if the settings are not in order.
+// Returns the exit status. Throws ConfigError if the settings are invalid.
 int run(int argc, char** argv) {
     CLI::App app{"hareshore, a cluster scheduler: one controller"};
     Options options;
--- a/src/peer/cancellation_announcements.cc
+++ b/src/peer/cancellation_announcements.cc
@@ -7,11 +7,11 @@
 namespace hareshore::peer {
 
 void CancellationAnnouncements::add(const std::string& job) {
-    if (!known_jobs_.insert(job).second) return;
+    if (!kept_jobs_.insert(job).second) return;
     jobs_.push_back(job);
     ++count_;
     if (jobs_.size() > constants::kCancellationAnnouncementsKept) {
-        known_jobs_.erase(jobs_.front());
+        kept_jobs_.erase(jobs_.front());
         jobs_.pop_front();
     }
 }
--- a/src/peer/cancellation_announcements.h
+++ b/src/peer/cancellation_announcements.h
@@ -1,4 +1,4 @@
-// The cancellations that this process has confirmed to users, for the notices to its peers.
+// Log of the cancellations that this process has confirmed to users, from which peers are notified.
 #pragma once
 #include <deque>
 #include <optional>
@@ -9,24 +9,23 @@
 
 namespace hareshore::peer {
 
-// Numbers them in the order in which they were confirmed and keeps the last kCancellationAnnouncementsKept of
-// them.
+// Numbers cancellations in the order of their confirmation and keeps the last kCancellationAnnouncementsKept.
 class CancellationAnnouncements {
   public:
-    // `incarnation` is that of this process.
+    // `incarnation`: of this process.
     explicit CancellationAnnouncements(uint64_t incarnation) : incarnation_(incarnation) {}
 
-    // To be called before the user's request is answered. A job that is still kept is not added again.
+    // Call before responding to the user. A job that is still kept is not added again.
     void add(const std::string& job);
-    // How many were added so far, also those that are no longer kept.
+    // Number of jobs added so far, including those no longer kept.
     [[nodiscard]] uint32_t count() const { return count_; }
-    // All that are kept and not among the first `already_sent`; nothing if count() were sent.
+    // The kept jobs except the first `already_sent` of all that were added; nullopt if all have been sent.
     [[nodiscard]] std::optional<CancellationNotice> notice_after(uint32_t already_sent) const;
 
   private:
     uint64_t incarnation_;
-    std::deque<std::string> jobs_;      // the last ones, oldest first
-    std::set<std::string> known_jobs_;  // the same
+    std::deque<std::string> jobs_;     // the kept jobs, oldest first
+    std::set<std::string> kept_jobs_;  // the same jobs, for lookup
     uint32_t count_ = 0;
 };
 
--- a/src/peer/frames.cc
+++ b/src/peer/frames.cc
@@ -13,19 +13,19 @@
 
 namespace {
 
-// The bytes that a label may take if no extension fields follow it.
-constexpr size_t kLabelRoom = offsetof(ControllerHeartbeat, incarnation);
-static_assert(kLabelRoom == 32);
+// Size of the label, with its terminating zero, if it extends over the extension fields.
+constexpr size_t kMaxLabelFieldBytes = offsetof(ControllerHeartbeat, incarnation);
+static_assert(kMaxLabelFieldBytes == 32);
 
-// The bytes of a wire layout.
+// A wire layout as raw bytes.
 template <class Layout>
-std::string_view bytes_of(const Layout& layout) {
+std::string_view as_bytes(const Layout& layout) {
     return {reinterpret_cast<const char*>(&layout), sizeof layout};
 }
 
-// Takes a wire layout from the front of `bytes`; nothing if they are too few.
+// Reads a wire layout and removes it from the front of `bytes`; nullopt if there are too few bytes.
 template <class Layout>
-std::optional<Layout> take_layout(std::string_view& bytes) {
+std::optional<Layout> read_layout(std::string_view& bytes) {
     if (bytes.size() < sizeof(Layout)) return std::nullopt;
     Layout layout{};
     std::memcpy(&layout, bytes.data(), sizeof layout);
@@ -33,8 +33,9 @@
     return layout;
 }
 
-// Takes a text that is preceded by its length in one byte; nothing if the bytes are too few.
-std::optional<std::string_view> take_text(std::string_view& bytes) {
+// Reads a string with a one-byte length prefix and removes it from the front of `bytes`; nullopt if there are
+// too few bytes.
+std::optional<std::string_view> read_string(std::string_view& bytes) {
     if (bytes.empty()) return std::nullopt;
     const size_t length = static_cast<uint8_t>(bytes.front());
     bytes.remove_prefix(1);
@@ -57,19 +58,19 @@
     const FrameHeader header{
         kMagic,     kVersion, static_cast<uint16_t>(kind), id, static_cast<uint32_t>(payload.size()),
         incarnation};
-    std::string frame(bytes_of(header));
+    std::string frame(as_bytes(header));
     return frame.append(payload);
 }
 
 std::string encode_frame(FrameKind kind, uint32_t id, uint64_t incarnation,
                          const ControllerHeartbeat& heartbeat) {
-    return encode_frame(kind, id, incarnation, bytes_of(heartbeat));
+    return encode_frame(kind, id, incarnation, as_bytes(heartbeat));
 }
 
 std::optional<Frame> FrameReader::next() {
     if (malformed_) return std::nullopt;
     std::string_view bytes = buffer_;
-    const auto header = take_layout<FrameHeader>(bytes);
+    const auto header = read_layout<FrameHeader>(bytes);
     if (!header) return std::nullopt;
     if (!is_valid(*header)) {
         malformed_ = true;
@@ -84,19 +85,19 @@
 
 std::optional<ControllerHeartbeat> decode_controller_heartbeat(std::string_view payload) {
     if (payload.size() != sizeof(ControllerHeartbeat)) return std::nullopt;
-    return take_layout<ControllerHeartbeat>(payload);
+    return read_layout<ControllerHeartbeat>(payload);
 }
 
 std::string label_of(const ControllerHeartbeat& heartbeat) {
-    const char* label = bytes_of(heartbeat).data();
-    return {label, strnlen(label, has_extension(heartbeat) ? sizeof heartbeat.label : kLabelRoom)};
+    const char* label = as_bytes(heartbeat).data();
+    return {label, strnlen(label, has_extension(heartbeat) ? sizeof heartbeat.label : kMaxLabelFieldBytes)};
 }
 
 void set_label(ControllerHeartbeat& heartbeat, std::string_view label) {
-    // Through a pointer to the whole struct: a long label goes on into the extension fields.
-    char* room = reinterpret_cast<char*>(&heartbeat);
-    std::memset(room, 0, kLabelRoom);
-    std::memcpy(room, label.data(), std::min(label.size(), kLabelRoom - 1));
+    // Writes through a pointer to the whole struct because a long label extends into the extension fields.
+    char* label_field = reinterpret_cast<char*>(&heartbeat);
+    std::memset(label_field, 0, kMaxLabelFieldBytes);
+    std::memcpy(label_field, label.data(), std::min(label.size(), kMaxLabelFieldBytes - 1));
 }
 
 bool has_extension(const ControllerHeartbeat& heartbeat) {
@@ -110,17 +111,17 @@
 std::string encode_cancellation_notice(const CancellationNotice& notice) {
     const CancellationNoticeHeader header{notice.incarnation, notice.first_index,
                                           static_cast<uint16_t>(notice.jobs.size())};
-    std::string payload(bytes_of(header));
+    std::string payload(as_bytes(header));
     for (const auto& job : notice.jobs) payload.append(1, static_cast<char>(job.size())).append(job);
     return payload;
 }
 
 std::optional<CancellationNotice> decode_cancellation_notice(std::string_view payload) {
-    const auto header = take_layout<CancellationNoticeHeader>(payload);
+    const auto header = read_layout<CancellationNoticeHeader>(payload);
     if (!header) return std::nullopt;
     CancellationNotice notice{header->incarnation, header->first_index, {}};
     for (uint16_t i = 0; i < header->count; ++i) {
-        const auto job = take_text(payload);
+        const auto job = read_string(payload);
         if (!job) return std::nullopt;
         notice.jobs.emplace_back(*job);
     }
@@ -130,12 +131,12 @@
 
 std::string encode_relay_response(uint16_t status, std::string_view body) {
     const RelayResponseHeader header{status};
-    std::string payload(bytes_of(header));
+    std::string payload(as_bytes(header));
     return payload.append(body);
 }
 
 std::optional<RelayResponse> decode_relay_response(std::string_view payload) {
-    const auto header = take_layout<RelayResponseHeader>(payload);
+    const auto header = read_layout<RelayResponseHeader>(payload);
     if (!header) return std::nullopt;
     return RelayResponse{header->status, std::string(payload)};
 }
--- a/src/peer/peer_delegate.h
+++ b/src/peer/peer_delegate.h
@@ -1,4 +1,4 @@
-// What the connections to the other controllers need of the controller that they belong to.
+// Callback interface of Peers to the controller that owns it.
 #pragma once
 #include <string>
 
@@ -7,7 +7,7 @@
 
 namespace hareshore::peer {
 
-// Implemented by the controller. Must outlive the Peers that it is given to.
+// Implemented by the controller. Must outlive the Peers object that uses it.
 class PeerDelegate {
   public:
     PeerDelegate() = default;
@@ -15,12 +15,12 @@
     PeerDelegate& operator=(const PeerDelegate&) = delete;
     virtual ~PeerDelegate() = default;
 
-    // What this controller reports of itself now; Peers fills in the fields that concern the connections.
+    // This controller's current state. Peers fills in the fields of the peer protocol itself.
     [[nodiscard]] virtual ControllerHeartbeat heartbeat() const = 0;
-    // Answers a worker's heartbeat that a peer relayed to this controller.
+    // Handles a worker's heartbeat that a peer relayed to this controller.
     [[nodiscard]] virtual Task<Response> handle_relayed_heartbeat(std::string body) = 0;
-    // A peer has confirmed to a user that the job is cancelled.
-    virtual void cancellation_announced(const std::string& job) = 0;
+    // Called when a peer has confirmed to a user that the job is cancelled.
+    virtual void on_cancellation_announced(const std::string& job) = 0;
 };
 
 }  // namespace hareshore::peer
--- a/src/peer/peer_link.cc
+++ b/src/peer/peer_link.cc
@@ -39,8 +39,8 @@
             continue;
         }
         const std::string bytes = std::exchange(link->outbox_, {});
-        const Seconds until = link->loop_.now() + constants::kPeerHeartbeatTimeout_s;
-        if (!co_await link->stream_->write(bytes, until)) link->close();
+        const Seconds deadline = link->loop_.now() + constants::kPeerHeartbeatTimeout_s;
+        if (!co_await link->stream_->write(bytes, deadline)) link->close();
     }
 }
 
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -1,4 +1,4 @@
-// One connection to a peer, with the frames that wait to be written to it.
+// One connection to a peer, with its queue of outgoing frames.
 #pragma once
 #include <memory>
 #include <string>
@@ -9,26 +9,27 @@
 
 namespace hareshore::peer {
 
-// Shared by the coroutines that read, write and answer on the connection; the last of them closes the socket.
+// Shared by the coroutines that read, write and respond on the connection. The socket is closed when the last
+// of them releases the link.
 class PeerLink {
   public:
-    // `outbox_limit`: bytes that may wait to be written.
+    // `outbox_limit`: maximum number of queued bytes.
     PeerLink(Loop& loop, std::unique_ptr<Stream> stream, size_t outbox_limit)
         : loop_(loop), stream_(std::move(stream)), outbox_limit_(outbox_limit), outbox_changed_(loop) {}
 
-    // Queues a frame. A link whose outbox would exceed its limit is closed instead: its peer does not read,
-    // and nothing that waits is worth keeping for later.
+    // Queues a frame. If the outbox would exceed its limit, closes the link instead: the peer has stopped
+    // reading, and the queued frames are worthless once they are delayed.
     void send(std::string_view frame);
-    // Queues a notice of the announcements that this link was not sent before, if there are any.
+    // Queues a notice of the announcements not yet sent on this link, if there are any.
     void send_new_announcements(const CancellationAnnouncements& announcements);
     [[nodiscard]] bool is_open() const { return open_; }
-    // Ends the coroutines of this link at their next turn.
+    // The coroutines of this link end when they next run.
     void close();
 
-    // The next bytes. The peer sends a heartbeat every second, so a silence of kPeerHeartbeatTimeout_s ends
-    // in a timeout.
+    // Reads the next bytes. Times out after kPeerHeartbeatTimeout_s, since a live peer sends a heartbeat
+    // every second.
     [[nodiscard]] Task<Stream::Read> read();
-    // Writes what is queued until the link is closed. Runs once for each link, and keeps it alive.
+    // Writes queued frames until the link is closed. Run it once per link; it keeps the link alive.
     static Task<void> write_queued(std::shared_ptr<PeerLink> link);
 
   private:
@@ -36,9 +37,9 @@
     std::unique_ptr<Stream> stream_;
     size_t outbox_limit_;
     std::string outbox_;
-    uint32_t announcements_sent_ = 0;  // those that were no longer kept included
+    uint32_t announcements_sent_ = 0;  // including those no longer kept
     bool open_ = true;
-    Condition outbox_changed_;  // or the link was closed
+    Condition outbox_changed_;  // also notified when the link is closed
 };
 
 }  // namespace hareshore::peer
--- a/src/peer/peer_status.cc
+++ b/src/peer/peer_status.cc
@@ -9,52 +9,52 @@
 void PeerStatus::receive_heartbeat(uint32_t heartbeat_id, const ControllerHeartbeat& heartbeat, Seconds now) {
     if (heartbeat.incarnation == incarnation_) {
         if (heartbeat_id <= last_heartbeat_id_) return;
-    } else if (last_answer_at_ && now - *last_answer_at_ < constants::kPeerHeartbeatTimeout_s) {
-        // Another process than the one that answers: a late copy from one that has ended.
+    } else if (last_response_at_ && now - *last_response_at_ < constants::kPeerHeartbeatTimeout_s) {
+        // Another incarnation is responding: this is a delayed message of a process that has ended.
         return;
     }
     last_heartbeat_id_ = heartbeat_id;
-    take_in(heartbeat, now);
+    apply_heartbeat(heartbeat, now);
 }
 
-void PeerStatus::receive_response(uint32_t heartbeat_id, const ControllerHeartbeat& answer, Seconds now) {
-    if (heartbeat_id <= last_answered_id_) return;
-    last_answered_id_ = heartbeat_id;
-    if (answer.incarnation != incarnation_) last_heartbeat_id_ = 0;
-    answered_request_sent_at_ = static_cast<double>(answer.request_sent_us) / 1e6;
-    last_answer_at_ = now;
-    update_cancellations(answer, now);
-    take_in(answer, now);
+void PeerStatus::receive_response(uint32_t heartbeat_id, const ControllerHeartbeat& response, Seconds now) {
+    if (heartbeat_id <= last_acknowledged_id_) return;
+    last_acknowledged_id_ = heartbeat_id;
+    if (response.incarnation != incarnation_) last_heartbeat_id_ = 0;
+    acknowledged_heartbeat_sent_at_ = static_cast<double>(response.request_sent_us) / 1e6;
+    last_response_at_ = now;
+    update_cancellations(response, now);
+    apply_heartbeat(response, now);
 }
 
-void PeerStatus::take_in(const ControllerHeartbeat& heartbeat, Seconds now) {
+void PeerStatus::apply_heartbeat(const ControllerHeartbeat& heartbeat, Seconds now) {
     if (has_extension(heartbeat)) record_format_ = std::max(record_format_, heartbeat.record_format);
     incarnation_ = heartbeat.incarnation;
     last_received_at_ = now;
     last_heartbeat_ = heartbeat;
 }
 
-void PeerStatus::update_cancellations(const ControllerHeartbeat& answer, Seconds now) {
-    // From this very answer: with the value of a later heartbeat, which answers no request, the answer would
-    // seem to cover a longer time than it does.
+void PeerStatus::update_cancellations(const ControllerHeartbeat& response, Seconds now) {
+    // Computed from the response itself: combined with the value of a later unsolicited heartbeat, the
+    // response would seem to cover a longer time than it does.
     none_confirmed_since_ =
-        now - answer.since_last_cancellation_ms / 1000.0 * (1 - constants::kClockDriftRate);
-    if (!announces_cancellations(answer)) {
+        now - response.since_last_cancellation_ms / 1000.0 * (1 - constants::kClockDriftRate);
+    if (!announces_cancellations(response)) {
         all_received_since_.reset();
         return;
     }
-    const bool nothing_missing = all_received_since_ && answer.incarnation == answering_incarnation_ &&
-                                 answer.cancellations_announced == announcements_received_;
+    const bool nothing_missing = all_received_since_ && response.incarnation == responding_incarnation_ &&
+                                 response.cancellations_announced == announcements_received_;
     if (nothing_missing) return;
-    // Its process is new here, or a notice was lost. From now on nothing is.
+    // A new incarnation, or a notice was lost: the interval of complete knowledge restarts now.
     all_received_since_ = now;
-    announcements_received_ = answer.cancellations_announced;
-    answering_incarnation_ = answer.incarnation;
+    announcements_received_ = response.cancellations_announced;
+    responding_incarnation_ = response.incarnation;
 }
 
 std::span<const std::string> PeerStatus::receive_cancellations(const CancellationNotice& notice) {
-    if (!all_received_since_ || notice.incarnation != answering_incarnation_) return {};
-    // Some are missing before it: the count in the answer that follows will show that.
+    if (!all_received_since_ || notice.incarnation != responding_incarnation_) return {};
+    // Earlier cancellations are missing; the count in the following response will reveal that.
     if (notice.first_index > announcements_received_) return {};
     const size_t received_before = announcements_received_ - notice.first_index;
     if (received_before >= notice.jobs.size()) return {};
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-uint64_t draw_incarnation() {
+uint64_t generate_incarnation() {
     std::random_device source;
     return (static_cast<uint64_t>(source()) << 32) | source();
 }
@@ -22,7 +22,7 @@
 Peers::Peers(Loop& loop, const Config& config, PeerDelegate& delegate)
     : loop_(loop),
       delegate_(delegate),
-      incarnation_(draw_incarnation()),
+      incarnation_(generate_incarnation()),
       task_limit_(std::max(constants::kMinConcurrentPeerRequests, config.sockets)),
       outbox_limit_(std::max(constants::kMinPeerSendQueueBytes,
                              config.sockets * constants::kPeerSendQueueBytesPerSocket)),
@@ -43,7 +43,7 @@
                                      [&](const PeerStatus& peer) { return peer.label() == label; });
     std::shared_ptr<PeerLink> link;
     if (status != statuses_.end()) link = dialed_links_[static_cast<size_t>(status - statuses_.begin())];
-    // No coroutine of its own: its frame would be one more allocation for each relay.
+    // Not a coroutine itself: its coroutine frame would cost one more allocation per relay.
     return relay_client_.relay(std::move(link), std::move(body));
 }
 
@@ -57,12 +57,12 @@
         } else if (tasks_.size() > task_limit_) {
             close(*fd);
         } else {
-            tasks_.spawn(serve(*fd), "peer connection", Priority::kUrgent);
+            tasks_.spawn(serve_connection(*fd), "peer connection", Priority::kUrgent);
         }
     }
 }
 
-Task<void> Peers::serve(int fd) {
+Task<void> Peers::serve_connection(int fd) {
     const auto link = make_link(std::make_unique<Stream>(loop_, fd));
     tasks_.spawn(PeerLink::write_queued(link), "peer writer", Priority::kUrgent);
     co_await read_frames(link);
@@ -70,8 +70,8 @@
 
 Task<void> Peers::dial(size_t peer) {
     while (true) {
-        const Seconds until = loop_.now() + constants::kConnectTimeout_s;
-        auto stream = co_await connect_to(loop_, statuses_[peer].address().addr, until);
+        const Seconds deadline = loop_.now() + constants::kConnectTimeout_s;
+        auto stream = co_await connect_to(loop_, statuses_[peer].address().addr, deadline);
         if (stream) {
             const auto link = make_link(std::move(stream));
             dialed_links_[peer] = link;
@@ -95,9 +95,9 @@
 Task<void> Peers::read_frames(std::shared_ptr<PeerLink> link) {
     FrameReader reader;
     while (link->is_open()) {
-        const Stream::Read got = co_await link->read();
-        if (!got.ok()) break;
-        reader.feed(got.bytes);
+        const Stream::Read chunk = co_await link->read();
+        if (!chunk.ok()) break;
+        reader.feed(chunk.bytes);
         while (auto frame = reader.next()) {
             if (handle_frame(link, std::move(*frame)) == FrameOutcome::kMalformed) {
                 link->close();
@@ -126,7 +126,7 @@
             relay_client_.receive_response(frame);
             return FrameOutcome::kHandled;
     }
-    return FrameOutcome::kMalformed;  // not reached: FrameReader refuses unknown kinds
+    return FrameOutcome::kMalformed;  // unreachable: FrameReader rejects unknown kinds
 }
 
 Peers::FrameOutcome Peers::handle_heartbeat(PeerLink& link, const Frame& frame) {
@@ -135,8 +135,8 @@
     update_status(frame, *heartbeat);
     if (frame.kind == FrameKind::kHeartbeatResponse) return FrameOutcome::kHandled;
     if (announces_cancellations(*heartbeat)) link.send_new_announcements(announcements_);
-    const auto answer = make_heartbeat(heartbeat->request_sent_us);
-    link.send(encode_frame(FrameKind::kHeartbeatResponse, frame.id, frame.incarnation, answer));
+    const auto response = make_heartbeat(heartbeat->request_sent_us);
+    link.send(encode_frame(FrameKind::kHeartbeatResponse, frame.id, frame.incarnation, response));
     return FrameOutcome::kHandled;
 }
 
@@ -144,18 +144,19 @@
     const auto notice = decode_cancellation_notice(frame.payload);
     if (!notice) return FrameOutcome::kMalformed;
     for (auto& status : statuses_)
-        for (const auto& job : status.receive_cancellations(*notice)) delegate_.cancellation_announced(job);
+        for (const auto& job : status.receive_cancellations(*notice))
+            delegate_.on_cancellation_announced(job);
     return FrameOutcome::kHandled;
 }
 
 void Peers::update_status(const Frame& frame, const ControllerHeartbeat& heartbeat) {
-    const bool is_answer = frame.kind == FrameKind::kHeartbeatResponse;
-    // Answers to an earlier process of this controller, or to no heartbeat at all, do not count.
-    if (is_answer && (frame.incarnation != incarnation_ || frame.id >= next_heartbeat_id_)) return;
+    const bool is_response = frame.kind == FrameKind::kHeartbeatResponse;
+    // Ignore responses to an earlier incarnation of this controller or to a heartbeat that was never sent.
+    if (is_response && (frame.incarnation != incarnation_ || frame.id >= next_heartbeat_id_)) return;
     const std::string label = label_of(heartbeat);
     for (auto& status : statuses_) {
         if (status.label() != label) continue;
-        if (is_answer)
+        if (is_response)
             status.receive_response(frame.id, heartbeat, loop_.now());
         else
             status.receive_heartbeat(frame.id, heartbeat, loop_.now());
--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -1,4 +1,4 @@
-// Every decoder of what peers send, with arbitrary input: it is taken or left.
+// Robustness of the decoders against arbitrary input.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -18,7 +18,7 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-// What a peer sends may be anything: every decoder takes it or leaves it.
+// Decoders must accept or reject any input without crashing.
 TEST(Decoders, SurviveMutatedMessages) {
     JobRecord record;
     record.spec.id = "job-1";
@@ -39,39 +39,39 @@
         encode_machine_types({MachineType{"g2", 16, 2, 64, 50, 1, 4, 1, 30, {"a"}}}),
         kSettingsText};
     std::mt19937 rng(11);
-    size_t taken = 0;
+    size_t accepted = 0;
     for (int i = 0; i < 40000; ++i) {
-        std::string s = seeds[rng() % seeds.size()];
-        mutate(s, rng);
-        taken += JobRecord::unpack(s).has_value();
-        taken += decode_heartbeat(s).has_value();
-        taken += parse_submission(s).has_value();
-        taken += FinalRecord::unpack(s).has_value();
-        taken += decode_machine_types(s).has_value();
+        std::string input = seeds[rng() % seeds.size()];
+        mutate(input, rng);
+        accepted += JobRecord::unpack(input).has_value();
+        accepted += decode_heartbeat(input).has_value();
+        accepted += parse_submission(input).has_value();
+        accepted += FinalRecord::unpack(input).has_value();
+        accepted += decode_machine_types(input).has_value();
         peer::FrameReader reader;
-        reader.feed(s);
-        while (auto fields = reader.next()) {
-            taken += peer::decode_controller_heartbeat(fields->payload).has_value();
-            taken += peer::decode_cancellation_notice(fields->payload).has_value();
+        reader.feed(input);
+        while (auto frame = reader.next()) {
+            accepted += peer::decode_controller_heartbeat(frame->payload).has_value();
+            accepted += peer::decode_cancellation_notice(frame->payload).has_value();
         }
         try {
-            static_cast<void>(Settings::parse(s));
-            ++taken;
+            static_cast<void>(Settings::parse(input));
+            ++accepted;
         } catch (const ConfigError&) {
         }
-        if (i % 8) continue;  // slower than all others together
+        if (i % 8) continue;  // slower than all the other decoders together
         try {
-            static_cast<void>(Config::parse(s));
-            ++taken;
+            static_cast<void>(Config::parse(input));
+            ++accepted;
         } catch (const ConfigError&) {
         }
     }
-    EXPECT_GT(taken, 1000U);  // the mutations are mild enough to reach the insides
+    EXPECT_GT(accepted, 1000U);  // enough mutated messages are still valid to reach beyond the first checks
 }
 
-TEST(Decoders, RefuseDeepNesting) {
-    std::string deep(60000, '\x91');  // lists in lists
+TEST(Decoders, RejectDeepAndOversizedArrays) {
+    std::string deep(60000, '\x91');  // nested arrays
     EXPECT_FALSE(MsgpackDocument::parse(deep + '\xc0'));
-    std::string wide = "\xdd\xff\xff\xff\xff";  // a list that claims four thousand million entries
+    std::string wide = "\xdd\xff\xff\xff\xff";  // an array that claims 2^32 - 1 entries
     EXPECT_FALSE(MsgpackDocument::parse(wide));
 }
--- a/tests/controller/endpoint_wire_test.cc
+++ b/tests/controller/endpoint_wire_test.cc
@@ -4,7 +4,7 @@
 
 using namespace hareshore;
 
-TEST(Endpoints, AreFoundByTheirWholePath) {
+TEST(Endpoints, MatchWholePath) {
     EXPECT_EQ(endpoint_of("/hello"), Endpoint::kWorkerHeartbeat);
     EXPECT_EQ(endpoint_of("/ready"), Endpoint::kReadiness);
     EXPECT_EQ(endpoint_of("/operator"), Endpoint::kOperatorStatus);
@@ -14,9 +14,9 @@
         EXPECT_EQ(endpoint_of(path), Endpoint::kUsers) << path;
 }
 
-TEST(Endpoints, HaveOneMethod) {
+TEST(Endpoints, RequireOneMethod) {
     EXPECT_EQ(required_method(Endpoint::kWorkerHeartbeat), "POST");
     EXPECT_EQ(required_method(Endpoint::kReadiness), "GET");
     EXPECT_EQ(required_method(Endpoint::kOperatorStatus), "GET");
-    EXPECT_FALSE(required_method(Endpoint::kUsers)) << "checked by the users' service";
+    EXPECT_FALSE(required_method(Endpoint::kUsers)) << "checked by the user service";
 }
--- a/tests/controller/heartbeat_router_test.cc
+++ b/tests/controller/heartbeat_router_test.cc
@@ -17,27 +17,27 @@
 
 }  // namespace
 
-TEST(HeartbeatRouter, RelaysAWorkerThatReturns) {
+TEST(HeartbeatRouter, RelaysWorkerAfterFailedRedirect) {
     HeartbeatRouter router;
     EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-1", 110), HeartbeatRouting::kRelay);
     EXPECT_EQ(router.route(heartbeat("vm-2", 1), "node-1", 110), HeartbeatRouting::kRedirect);
 }
 
-TEST(HeartbeatRouter, RedirectsAWorkerThatWasAwayForLong) {
+TEST(HeartbeatRouter, RedirectsAgainAfterLongAbsence) {
     HeartbeatRouter router;
     EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-1", 125), HeartbeatRouting::kRedirect);
 }
 
-TEST(HeartbeatRouter, RedirectsToANewLeader) {
+TEST(HeartbeatRouter, RedirectsToNewLeader) {
     HeartbeatRouter router;
     EXPECT_EQ(router.route(heartbeat("vm-1", 1), "node-1", 100), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", 2), "node-2", 105), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", 3), "node-2", 110), HeartbeatRouting::kRelay);
 }
 
-TEST(HeartbeatRouter, DoesNotTakeALateCopyForAReturn) {
+TEST(HeartbeatRouter, IgnoresDelayedDuplicates) {
     HeartbeatRouter router;
     EXPECT_EQ(router.route(heartbeat("vm-1", 5), "node-1", 100), HeartbeatRouting::kRedirect);
     EXPECT_EQ(router.route(heartbeat("vm-1", 5), "node-1", 101), HeartbeatRouting::kRedirect);
@@ -45,7 +45,7 @@
     EXPECT_EQ(router.route(heartbeat("vm-1", 6), "node-1", 103), HeartbeatRouting::kRelay);
 }
 
-TEST(HeartbeatRouter, RedirectsAgainAfterAWhileOfRelaying) {
+TEST(HeartbeatRouter, RetriesRedirectAfterRelayPeriod) {
     HeartbeatRouter router;
     uint64_t sequence = 0;
     EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 100), HeartbeatRouting::kRedirect);
@@ -56,14 +56,14 @@
     EXPECT_EQ(router.route(heartbeat("vm-1", ++sequence), "node-1", 155), HeartbeatRouting::kRelay);
 }
 
-TEST(HeartbeatRouter, RelaysTheOtherWorkersOfAPartitionedZoneAtOnce) {
+TEST(HeartbeatRouter, RelaysOtherWorkersOfPartitionedZone) {
     HeartbeatRouter router;
     for (const char* machine : {"vm-1", "vm-2"}) {
         EXPECT_EQ(router.route(heartbeat(machine, 1), "node-1", 100), HeartbeatRouting::kRedirect);
         EXPECT_EQ(router.route(heartbeat(machine, 2), "node-1", 105), HeartbeatRouting::kRelay);
     }
     EXPECT_EQ(router.route(heartbeat("vm-3", 1), "node-1", 106), HeartbeatRouting::kRelay);
-    HeartbeatHeader elsewhere = heartbeat("vm-4", 1);
-    elsewhere.zone = "zone-b";
-    EXPECT_EQ(router.route(elsewhere, "node-1", 106), HeartbeatRouting::kRedirect);
+    HeartbeatHeader other_zone = heartbeat("vm-4", 1);
+    other_zone.zone = "zone-b";
+    EXPECT_EQ(router.route(other_zone, "node-1", 106), HeartbeatRouting::kRedirect);
 }
--- a/tests/controller/heartbeat_window_test.cc
+++ b/tests/controller/heartbeat_window_test.cc
@@ -4,7 +4,7 @@
 
 using namespace hareshore;
 
-TEST(HeartbeatWindow, CountsTheLastSeconds) {
+TEST(HeartbeatWindow, CountsHeartbeatsWithinWindow) {
     HeartbeatWindow window;
     EXPECT_EQ(window.count(100), 0u);
     EXPECT_FALSE(window.last());
@@ -16,7 +16,7 @@
     EXPECT_EQ(window.last(), 103);
 }
 
-TEST(HeartbeatWindow, KeepsABoundedNumber) {
+TEST(HeartbeatWindow, BoundsStoredTimes) {
     HeartbeatWindow window;
     for (int i = 0; i < 10'100; ++i) window.record(100);
     EXPECT_EQ(window.count(100), 10'000u);
--- a/tests/controller/readiness_test.cc
+++ b/tests/controller/readiness_test.cc
@@ -14,7 +14,7 @@
 constexpr Seconds kStarted = 1000;
 constexpr Seconds kLater = 1100;
 
-ReadinessInput served_input() {
+ReadinessInput input_with_store() {
     return {.now = kLater,
             .started_at = kStarted,
             .last_store_contact = kLater - 1,
@@ -23,7 +23,7 @@
             .peers = {}};
 }
 
-peer::PeerStatus peer_served_ago(uint32_t store_age_ms, Seconds received_at) {
+peer::PeerStatus peer_with_store_age(uint32_t store_age_ms, Seconds received_at) {
     auto heartbeat = controller_heartbeat("node-1");
     heartbeat.ready = 1;
     heartbeat.store_age_ms = store_age_ms;
@@ -32,26 +32,26 @@
 
 }  // namespace
 
-TEST(Readiness, IsReadyWhileTheStoreAnswers) {
-    EXPECT_EQ(decide_readiness(served_input()), Readiness::kReady);
+TEST(Readiness, ReadyWhileStoreResponds) {
+    EXPECT_EQ(decide_readiness(input_with_store()), Readiness::kReady);
 }
 
-TEST(Readiness, NeedsRecordsThatItCanRead) {
-    auto input = served_input();
+TEST(Readiness, RequiresReadableRecords) {
+    auto input = input_with_store();
     input.records_readable = false;
     EXPECT_EQ(decide_readiness(input), Readiness::kRecordsUnreadable);
 }
 
-TEST(Readiness, NeedsTheMachineTypesOnceTheStoreHasAnswered) {
-    auto input = served_input();
+TEST(Readiness, RequiresMachineTypesAfterFirstStoreContact) {
+    auto input = input_with_store();
     input.machine_types_known = false;
     EXPECT_EQ(decide_readiness(input), Readiness::kStarting);
     input.last_store_contact.reset();
-    EXPECT_EQ(decide_readiness(input), Readiness::kReady) << "in an outage it serves without them";
+    EXPECT_EQ(decide_readiness(input), Readiness::kReady) << "ready without machine types during an outage";
 }
 
-TEST(Readiness, WaitsForThePeersReportsWhenItStartsInAnOutage) {
-    auto input = served_input();
+TEST(Readiness, WaitsForPeerHeartbeatsWhenStartedDuringOutage) {
+    auto input = input_with_store();
     input.last_store_contact.reset();
     input.now = kStarted + 1.9;
     EXPECT_EQ(decide_readiness(input), Readiness::kStarting);
@@ -59,36 +59,37 @@
     EXPECT_EQ(decide_readiness(input), Readiness::kReady);
 }
 
-TEST(Readiness, LeavesUsersToAPeerThatTheStoreServes) {
-    auto input = served_input();
-    const std::vector peers{peer_served_ago(2499, kLater)};
+TEST(Readiness, UnreadyIfPeerReachesStore) {
+    auto input = input_with_store();
+    const std::vector peers{peer_with_store_age(2499, kLater)};
     input.peers = peers;
     input.last_store_contact = kLater - 4.9;
-    EXPECT_EQ(decide_readiness(input), Readiness::kReady) << "not refused for long enough";
+    EXPECT_EQ(decide_readiness(input), Readiness::kReady) << "kUnreadyAfterStoreRefusal_s has not passed";
     input.last_store_contact = kLater - 5;
-    EXPECT_EQ(decide_readiness(input), Readiness::kOnlyPeersHaveStore);
+    EXPECT_EQ(decide_readiness(input), Readiness::kStoreReachableFromPeerOnly);
 }
 
-TEST(Readiness, ServesInAnOutageForAll) {
-    auto input = served_input();
+TEST(Readiness, ReadyIfNoControllerReachesStore) {
+    auto input = input_with_store();
     input.last_store_contact = kLater - 60;
-    const std::vector peers{peer_served_ago(2500, kLater), peer_served_ago(peer::kNoStoreContact, kLater)};
+    const std::vector peers{peer_with_store_age(2500, kLater),
+                            peer_with_store_age(peer::kNoStoreContact, kLater)};
     input.peers = peers;
     EXPECT_EQ(decide_readiness(input), Readiness::kReady);
 }
 
-TEST(Readiness, IgnoresAPeerThatIsAbsent) {
-    auto input = served_input();
+TEST(Readiness, IgnoresAbsentPeer) {
+    auto input = input_with_store();
     input.last_store_contact = kLater - 9.9;
-    const std::vector peers{peer_served_ago(0, kLater - 3.5)};
+    const std::vector peers{peer_with_store_age(0, kLater - 3.5)};
     input.peers = peers;
     EXPECT_EQ(decide_readiness(input), Readiness::kReady);
     input.last_store_contact = kLater - 10;
     EXPECT_EQ(decide_readiness(input), Readiness::kIsolated);
 }
 
-TEST(Readiness, IsNeverIsolatedWithoutConfiguredPeers) {
-    auto input = served_input();
+TEST(Readiness, NeverIsolatedWithoutConfiguredPeers) {
+    auto input = input_with_store();
     input.last_store_contact = kLater - 60;
     EXPECT_EQ(decide_readiness(input), Readiness::kReady);
 }
--- a/tests/peer/cancellation_announcements_test.cc
+++ b/tests/peer/cancellation_announcements_test.cc
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-TEST(CancellationAnnouncements, AreNumberedInTheirOrder) {
+TEST(CancellationAnnouncements, NumberedInOrderOfConfirmation) {
     peer::CancellationAnnouncements announcements(kIncarnation);
     EXPECT_FALSE(announcements.notice_after(0));
     announcements.add("job-1");
     announcements.add("job-2");
     announcements.add("job-1");
-    EXPECT_EQ(announcements.count(), 2u) << "the same job counts once";
+    EXPECT_EQ(announcements.count(), 2u) << "a kept job is not added again";
     const auto all = announcements.notice_after(0);
     ASSERT_TRUE(all);
     EXPECT_EQ(all->incarnation, kIncarnation);
@@ -29,15 +29,15 @@
     EXPECT_FALSE(announcements.notice_after(2));
 }
 
-TEST(CancellationAnnouncements, KeepTheLastOnes) {
+TEST(CancellationAnnouncements, OldestDroppedBeyondLimit) {
     peer::CancellationAnnouncements announcements(kIncarnation);
     for (int i = 0; i < 1030; ++i) announcements.add("job-" + std::to_string(i));
     EXPECT_EQ(announcements.count(), 1030u);
     const auto notice = announcements.notice_after(2);
     ASSERT_TRUE(notice);
-    EXPECT_EQ(notice->first_index, 6u) << "shows the receiver that some are missing";
+    EXPECT_EQ(notice->first_index, 6u) << "tells the receiver that earlier ones are missing";
     EXPECT_EQ(notice->jobs.size(), 1024u);
     EXPECT_EQ(notice->jobs.front(), "job-6");
     announcements.add("job-0");
-    EXPECT_EQ(announcements.count(), 1031u) << "no longer kept, so it is announced again";
+    EXPECT_EQ(announcements.count(), 1031u) << "a dropped job is announced again";
 }
--- a/tests/peer/frames_test.cc
+++ b/tests/peer/frames_test.cc
@@ -12,17 +12,17 @@
 
 }  // namespace
 
-TEST(Frames, AreCutOutOfAnyPieces) {
+TEST(Frames, ReassembledFromSingleBytes) {
     peer::FrameReader reader;
     const std::string bytes = frame() + frame();
     size_t frames = 0;
     for (char byte : bytes) {
         reader.feed({&byte, 1});
-        while (const auto read = reader.next()) {
-            EXPECT_EQ(read->kind, peer::FrameKind::kRelay);
-            EXPECT_EQ(read->id, 3u);
-            EXPECT_EQ(read->incarnation, 4u);
-            EXPECT_EQ(read->payload, "payload");
+        while (const auto decoded = reader.next()) {
+            EXPECT_EQ(decoded->kind, peer::FrameKind::kRelay);
+            EXPECT_EQ(decoded->id, 3u);
+            EXPECT_EQ(decoded->incarnation, 4u);
+            EXPECT_EQ(decoded->payload, "payload");
             ++frames;
         }
     }
@@ -30,7 +30,7 @@
     EXPECT_FALSE(reader.malformed());
 }
 
-TEST(Frames, MalformedHeadersEndTheStream) {
+TEST(Frames, MalformedHeaderEndsStream) {
     constexpr size_t kMagicAt = 0;
     constexpr size_t kVersionAt = 4;
     constexpr size_t kKindAt = 6;
@@ -47,22 +47,22 @@
     }
 }
 
-TEST(Frames, RelayAnswersHoldStatusAndBody) {
-    const auto answer = peer::decode_relay_response(peer::encode_relay_response(421, "body"));
-    ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->status, 421);
-    EXPECT_EQ(answer->body, "body");
+TEST(Frames, RelayResponseRoundTrip) {
+    const auto response = peer::decode_relay_response(peer::encode_relay_response(421, "body"));
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->status, 421);
+    EXPECT_EQ(response->body, "body");
     EXPECT_FALSE(peer::decode_relay_response("\x01"));
 }
 
-TEST(Frames, CutPayloadsAreRefused) {
+TEST(Frames, TruncatedAndOversizedPayloadsAreRejected) {
     const std::string notice = peer::encode_cancellation_notice({7, 3, {"job-1", "job-22"}});
     for (size_t size = 0; size < notice.size(); ++size)
         EXPECT_FALSE(peer::decode_cancellation_notice(notice.substr(0, size))) << size;
     EXPECT_FALSE(peer::decode_cancellation_notice(notice + "x"));
-    const auto read = peer::decode_cancellation_notice(notice);
-    ASSERT_TRUE(read);
-    EXPECT_EQ(read->jobs, (std::vector<std::string>{"job-1", "job-22"}));
+    const auto decoded = peer::decode_cancellation_notice(notice);
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->jobs, (std::vector<std::string>{"job-1", "job-22"}));
 
     const std::string heartbeat(sizeof(peer::ControllerHeartbeat), '\0');
     EXPECT_TRUE(peer::decode_controller_heartbeat(heartbeat));
--- a/tests/peer/relay_client_test.cc
+++ b/tests/peer/relay_client_test.cc
@@ -18,7 +18,7 @@
     std::shared_ptr<peer::PeerLink> link;
     std::unique_ptr<FileDescriptor> other_end;
     std::optional<peer::RelayResult> result;
-    TaskGroup scope{loop};
+    TaskGroup coroutines{loop};
 
     RelayClientTest() {
         std::array<int, 2> sockets{};
@@ -27,7 +27,7 @@
         other_end = std::make_unique<FileDescriptor>(loop, sockets[1]);
     }
     ~RelayClientTest() override {
-        scope.cancel();
+        coroutines.cancel();
         loop.turn(0);
     }
 
@@ -35,10 +35,10 @@
         result = co_await client.relay(std::move(through), "heartbeat");
     }
     void start(std::shared_ptr<peer::PeerLink> through) {
-        scope.spawn(relay(std::move(through)), "relay");
+        coroutines.spawn(relay(std::move(through)), "relay");
         loop.turn(0);
     }
-    void answer(uint32_t id, uint64_t incarnation) {
+    void deliver_response(uint32_t id, uint64_t incarnation) {
         client.receive_response(
             {peer::FrameKind::kRelayResponse, id, incarnation, peer::encode_relay_response(200, "commands")});
         loop.turn(0);
@@ -47,16 +47,16 @@
 
 }  // namespace
 
-TEST_F(RelayClientTest, ReturnsTheAnswer) {
+TEST_F(RelayClientTest, ReturnsResponse) {
     start(link);
     EXPECT_FALSE(result);
-    answer(1, kIncarnation);
+    deliver_response(1, kIncarnation);
     ASSERT_TRUE(result && *result);
     EXPECT_EQ((*result)->status, 200);
     EXPECT_EQ((*result)->body, "commands");
 }
 
-TEST_F(RelayClientTest, NeedsAnOpenLink) {
+TEST_F(RelayClientTest, FailsWithoutOpenLink) {
     start(nullptr);
     ASSERT_TRUE(result && !*result);
     EXPECT_EQ(result->error(), peer::RelayError::kNotConnected);
@@ -67,10 +67,10 @@
     EXPECT_EQ(result->error(), peer::RelayError::kNotConnected);
 }
 
-TEST_F(RelayClientTest, IgnoresAnswersToOtherRelays) {
+TEST_F(RelayClientTest, IgnoresResponsesToOtherRelays) {
     start(link);
-    answer(1, kIncarnation + 1);
-    answer(2, kIncarnation);
+    deliver_response(1, kIncarnation + 1);
+    deliver_response(2, kIncarnation);
     client.receive_response({peer::FrameKind::kRelayResponse, 1, kIncarnation, "x"});
     loop.turn(0);
     EXPECT_FALSE(result);
@@ -81,5 +81,5 @@
     ASSERT_TRUE(loop.run_until([&] { return result.has_value(); }, 4));
     ASSERT_FALSE(*result);
     EXPECT_EQ(result->error(), peer::RelayError::kTimedOut);
-    answer(1, kIncarnation);  // too late, and harmless
+    deliver_response(1, kIncarnation);  // a late response is ignored
 }
