--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -415,7 +415,7 @@
 TEST(ProductionCompatibility, ReadsAndWritesPeerHeartbeats) {
     const std::pair<peer::FrameKind, const char*> stored[] = {
         {peer::FrameKind::kHeartbeat, kHeartbeatFrame},
-        {peer::FrameKind::kHeartbeatAnswer, kHeartbeatResponseFrame}};
+        {peer::FrameKind::kHeartbeatResponse, kHeartbeatResponseFrame}};
     for (const auto& [kind, hex] : stored) {
         peer::Frame frame = only_frame(from_hex(hex));
         EXPECT_EQ(frame.kind, kind);
@@ -463,11 +463,11 @@
     deployment.run(4);
     EXPECT_EQ(to_hex(response), kRelayResponseFrame);
     peer::Frame frame = only_frame(from_hex(kRelayResponseFrame));
-    EXPECT_EQ(frame.kind, peer::FrameKind::kRelayAnswer);
+    EXPECT_EQ(frame.kind, peer::FrameKind::kRelayResponse);
     EXPECT_EQ(frame.id, kFrameId);
     EXPECT_EQ(frame.incarnation, kSenderIncarnation);
-    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayAnswerHeader));
-    peer::RelayAnswerHeader header;
+    ASSERT_GE(frame.payload.size(), sizeof(peer::RelayResponseHeader));
+    peer::RelayResponseHeader header;
     std::memcpy(&header, frame.payload.data(), sizeof header);
     EXPECT_EQ(header.status, 200);
     auto body = MsgpackDocument::parse(std::string_view(frame.payload).substr(sizeof header));
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -62,8 +62,8 @@
     heartbeat.leads = 1;
     heartbeat.request_sent_us = static_cast<uint64_t>((deployment.loop.now() + 100) * 1e6);
     std::string frames = peer::encode_frame(peer::FrameKind::kHeartbeat, 1000, 7, heartbeat) +
-                         peer::encode_frame(peer::FrameKind::kHeartbeatAnswer, 1, 7, heartbeat) +
-                         peer::encode_frame(peer::FrameKind::kRelayAnswer, 1, 7, std::string("\xc8\0", 2));
+                         peer::encode_frame(peer::FrameKind::kHeartbeatResponse, 1, 7, heartbeat) +
+                         peer::encode_frame(peer::FrameKind::kRelayResponse, 1, 7, std::string("\xc8\0", 2));
     TaskGroup scope(deployment.loop);
     auto send_repeatedly = [](Loop& event_loop, Address to, std::string bytes) -> Task<void> {
         auto stream = co_await connect_to(event_loop, to, event_loop.now() + 1);
