--- a/src/fleet/cancelled_tasks.cc
+++ b/src/fleet/cancelled_tasks.cc
@@ -13,7 +13,7 @@
     Seconds lease_expiry =
         config.lease_s * (1 + constants::kClockDriftRate) + constants::kLeaseExpiryMargin_s;
     Seconds silent_after = constants::kSilentAfterHeartbeatIntervals * config.heartbeat_interval_s;
-    // A new leader, and one that stood still, hears its workers first.
+    // A new leader, or one whose process was stalled, first waits for the heartbeats of its workers.
     if (now - leading_since <= silent_after) return names;
     for (const auto& [id, job] : jobs.all()) {
         if (!job->cancelled) continue;
@@ -21,8 +21,8 @@
             auto it = cluster.machines.find(placement.machine);
             if (it == cluster.machines.end() || it->second->deleting) continue;
             const Machine& machine = *it->second;
-            // Its user may have been told long before a leader that inherits it, or one that learns of it
-            // late: then the machine's silence counts.
+            // If this leader inherited the cancellation or learned of it late, the user may have been told
+            // long before; then the time since the machine's last heartbeat counts.
             bool never_reported = job->cancelled_before_term && !machine.heartbeat_received;
             if (never_reported || now - machine.last_heartbeat > lease_expiry ||
                 now - job->cancellation_known_at > lease_expiry)
--- a/src/fleet/cancelled_tasks.h
+++ b/src/fleet/cancelled_tasks.h
@@ -1,4 +1,4 @@
-// Machines that may go on with a task of a cancelled job. No I/O; time is a parameter.
+// Machines that may still run a task of a cancelled job. No I/O; time is a parameter.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,11 +9,11 @@
 
 namespace hareshore {
 
-// The names, sorted, of machines that still hold a task of a cancelled job when every lease that may have
-// been given since has expired. A task that could be stopped is gone by then, one whose machine hears nobody
-// ended with its lease: what is still there is on a machine that hangs and may go on, and only the machine's
-// deletion ends it. This includes machines in a zone that is cut off, and comes early enough for the cloud to
-// be slow or away for a while within cancel_s.
+// Returns the sorted names of machines that still have a task of a cancelled job after every lease that may
+// have been granted to them has expired. By then a task that could be stopped has ended, and a worker that
+// reaches no controller has stopped its tasks at lease expiry. A task that is still recorded may be running
+// on a hung machine, and only deleting the machine ends it. This applies to machines in partitioned zones
+// as well, and is early enough for the cloud to be slow or unavailable for a while within cancel_s.
 [[nodiscard]] std::vector<std::string> machines_holding_cancelled(const Cluster& cluster,
                                                                   const JobTable& jobs, const Config& config,
                                                                   Seconds now, Seconds leading_since);
--- a/src/fleet/consolidation.cc
+++ b/src/fleet/consolidation.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The sort key of a machine to be drained; the smallest is tried first: the dearest, then the least used.
+// The sort key of a machine to be drained; the smallest is tried first: on-demand machines before the
+// cheaper spot machines, then the least used.
 struct DrainRank {
     bool spot;
     double negated_free_gpus;
@@ -22,8 +23,8 @@
     return {planned.kind.spot, -planned.free.gpus, -planned.free.cpus};
 }
 
-// Whether a task can be moved at little cost: it can save, has run for a while and is expected to go on for
-// longer than the move takes.
+// Whether a task can be moved at little cost: it can checkpoint, has run for a while and is expected to run
+// for longer than the move takes.
 bool movable(const Job& job, const Placement& placement, Seconds now) {
     if (job.spec.gang() && job.spec.tasks > 1) return false;
     if (job.spec.checkpoint_s <= 0 || placement.stopping || !placement.running_since) return false;
@@ -32,7 +33,7 @@
            job.spec.estimate_s - ran >= constants::kConsolidationMinRemaining_s;
 }
 
-// Whether all that runs on the machine can be moved.
+// Whether all tasks on the machine can be moved.
 bool all_movable(const PlanningContext& context, const Machine& machine) {
     if (machine.placed_tasks == 0 || !machine.schedulable) return false;
     const auto& tasks = context.jobs.on_machine(machine.name);
@@ -42,7 +43,7 @@
            });
 }
 
-// Whether machines may be drained now: no new work is likely to need them, and one is drained at a time.
+// Whether a machine may be drained now: new work is unlikely to need it, and no other machine is draining.
 bool may_drain(const PlanningContext& context) {
     if (!context.calm()) return false;
     const auto& jobs = context.jobs.all();
@@ -65,8 +66,8 @@
     return candidates;
 }
 
-// Copies of the machines that the work of `drained` may move to: those in use, and spot machines if it is
-// dearer.
+// Copies of the machines to which the tasks of `drained` may move: machines in use, and also idle spot
+// machines if `drained` is not a spot machine.
 std::vector<PlannedMachine> move_targets(const FleetCapacity& capacity, const PlannedMachine& drained) {
     std::vector<PlannedMachine> targets;
     for (const PlannedMachine& planned : capacity.machines())
@@ -76,7 +77,7 @@
     return targets;
 }
 
-// Places one task on the first machine that it may use and has room; false if there is none.
+// Places one task on the first allowed machine that has room; returns false if there is none.
 bool place_on_any(std::vector<PlannedMachine>& targets, const JobSpec& spec) {
     if ((spec.single_zone && spec.tasks > 1) || spec.spread_across_zones) return false;
     return std::any_of(targets.begin(), targets.end(), [&](PlannedMachine& target) {
--- a/src/fleet/fleet_capacity.cc
+++ b/src/fleet/fleet_capacity.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// What the placements on the machine free before a machine requested now would be up. A task that is long
-// overdue is not counted on.
+// The resources that running tasks are expected to free before a machine requested now would have booted.
+// Tasks that are long overdue are not counted.
 Resources expected_to_come_free(const PlanningContext& context, const Machine& machine, Seconds boot_s) {
     Seconds now = context.input.now;
     Resources expected;
@@ -94,8 +94,8 @@
     ++requested_;
 }
 
-// The cloud's capacity bounds a fleet; the requests on their way are bounded by what it can be asked for in a
-// second, however many tasks wait.
+// The size of a fleet is bounded by the cloud's capacity; outstanding requests are bounded by what the
+// cloud accepts in a second, however many tasks wait.
 size_t FleetCapacity::most_requested() const {
     double requests_per_s = std::max(1.0, context_.input.config.cloud_rps);
     return constants::kMachinesPerScaleOutRequest * static_cast<size_t>(requests_per_s);
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-// The sort key of an idle machine; the smallest is deleted first: the dearest, then those idle longest.
+// The sort key of an idle machine; the smallest is deleted first: on-demand machines before the cheaper
+// spot machines, then those that have been idle longest.
 struct IdleRank {
     bool spot = false;
     std::optional<Seconds> idle_since;
@@ -35,7 +36,7 @@
     return idle;
 }
 
-// How many machines the zone lacks, those that are planned included.
+// How many machines the zone lacks, counting those that are planned.
 int lacking_in_zone(const PlanningContext& context, const FleetCapacity& capacity, const std::string& zone) {
     int idle = 0;
     for (const PlannedMachine& planned : capacity.machines())
--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr size_t kPartitionMinSilent = 3;  // fewer silent machines do not show that a zone is cut off
+constexpr size_t kPartitionMinSilent = 3;  // fewer silent machines are no evidence of a partition
 
-// The machines of a zone that should report.
+// The machines of a zone that should send heartbeats.
 struct ZoneCount {
     size_t silent = 0;
     size_t known = 0;
@@ -20,8 +20,9 @@
 
 }  // namespace
 
-// Machines that the cloud lists as running count, too, so that a new leader sees a partition that is older
-// than it. Counted before any machine is judged, lest the first to fall silent are deleted one by one.
+// Also counts machines that the cloud lists as running, so that a new leader detects a partition older than
+// its term. All machines are counted before any is evaluated; otherwise those that became silent first
+// would be deleted one by one.
 void MachineHealth::find_partitioned_zones() {
     std::map<std::string, ZoneCount> zones;
     for (const auto& [name, machine] : context_.cluster.machines) {
@@ -51,7 +52,8 @@
 
 std::optional<ScaleInReason> MachineHealth::reason_to_delete(const Machine& machine) const {
     if (machine.phase == MachinePhase::kFailed) return ScaleInReason::kFailed;
-    // What runs on a machine that gets no answers ends with its lease; then nothing is lost by deleting it.
+    // The tasks of a machine that receives no responses end at lease expiry; after that, deleting the
+    // machine loses nothing.
     Seconds answers_lost_after = (partitioned(machine) ? 2 : 1) * context_.input.config.lease_s;
     if (machine.unreachable_since && context_.input.now - *machine.unreachable_since > answers_lost_after)
         return ScaleInReason::kAnswersLost;
@@ -79,8 +81,9 @@
     return std::nullopt;
 }
 
-// A report from before this leader's term may be a late copy, even of a machine long deleted: until the
-// machine takes up the fencing token or the cloud lists it, it provides no capacity.
+// A heartbeat from before this leader's term may be a delayed copy, even from a machine that was deleted
+// long ago. Until the machine adopts the current fencing token or the cloud lists it, it provides no
+// capacity.
 bool MachineHealth::provides_capacity(const Machine& machine) const {
     bool leaving = machine.deleting || machine.cordoned || machine.draining || machine.spot_reclaim_at ||
                    scaled_in_.contains(&machine);
@@ -90,8 +93,8 @@
     return !partitioned(machine) || !silent(machine);
 }
 
-// Counted anew from the end of a partition: when half of a zone is heard again, the rest is still on its way,
-// and was deleted at once for a silence that was the partition's.
+// Restarts at the end of a partition: when half of a zone sends heartbeats again, the others are still
+// reconnecting and must not be deleted for silence that the partition caused.
 Seconds MachineHealth::silence(const Machine& machine) const {
     const ScalingInput& input = context_.input;
     Seconds since = std::max(machine.last_heartbeat, input.leading_since);
--- a/src/fleet/work_placement.cc
+++ b/src/fleet/work_placement.cc
@@ -18,7 +18,7 @@
     auto operator<=>(const KindRank&) const = default;
 };
 
-// Places tasks on the machine as far as the zone rule of their job allows; returns how many.
+// Places tasks on the machine as far as the job's zone constraints allow; returns how many were placed.
 uint32_t place_by_rule(PlannedMachine& planned, const JobSpec& spec, uint32_t tasks, ZoneRule& rule) {
     uint32_t placed = planned.place(spec, std::min(tasks, rule.remaining(planned.kind.zone)));
     for (uint32_t i = 0; i < placed; ++i) rule.add(planned.kind.zone);
@@ -39,7 +39,7 @@
 
 void WorkPlacement::place(const Job& job) {
     if (context_.input.now < job.failures.retry_at) return;
-    // Machines without room for any that waits are passed over by all that come after.
+    // Machines too full for even the smallest waiting request are skipped for all further jobs.
     std::erase_if(open_, [&](size_t index) {
         const PlannedMachine& planned = capacity_.machines()[index];
         return !planned.free.holds(smallest_request_) && !planned.expected_free.holds(smallest_request_);
@@ -66,13 +66,13 @@
 
 void WorkPlacement::place_across_zones(const Job& job, uint32_t tasks) {
     const JobSpec& spec = job.spec;
-    // What must be spread counts on no more of a zone than it may use.
+    // A job that must be spread uses no more of a zone than its constraint allows.
     ZoneRule rule(job);
     for (size_t index : open_)
         if (PlannedMachine& planned = capacity_.machines()[index]; tasks > 0 && planned.allowed_for(spec))
             tasks -= place_by_rule(planned, spec, tasks, rule);
-    // Tasks that need not start together can as well wait for room that comes free before a new machine is
-    // up; not those with a deadline, since estimates are often wrong.
+    // Tasks that need not start together can wait for resources that become free before a new machine has
+    // booted. This does not apply to jobs with a deadline, since estimates are often wrong.
     if (!spec.gang() && !spec.service() && !spec.due_s)
         for (size_t index : open_)
             if (PlannedMachine& planned = capacity_.machines()[index];
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -12,13 +12,13 @@
 
 namespace {
 
-// The sort key of a machine for a gang; the smallest is used first.
+// The sort key of a machine for a gang; machines with the smallest key are used first.
 struct MachineRank {
     bool lacks_image;
     double free_gpus;
     double free_cpus;
-    // Of machines that are alike, those that can be told first: a held heartbeat is answered at once, and the
-    // next one comes soonest from where the last is oldest.
+    // Tie-breakers that start the tasks sooner: a held heartbeat can be answered at once; otherwise the
+    // machine with the oldest heartbeat sends the next one soonest.
     bool heartbeat_not_held;
     Seconds last_heartbeat;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
@@ -36,8 +36,8 @@
     Job& job = *queued.job;
     if (job.pending.empty()) return;
     bool new_attempt = job.live.empty();
-    // Tasks of the last attempt are still on their machines; a gang that has started or is ending takes no
-    // replacement.
+    // Tasks of the previous attempt are still on their machines. A gang that has started or is ending gets
+    // no replacement tasks.
     if (!new_attempt && (job.gang_attempt.started || job.gang_attempt.broken)) {
         job.wait.reason = WaitReason::kOldAttempt;
         return;
--- a/src/scheduler/gang_placement.h
+++ b/src/scheduler/gang_placement.h
@@ -1,4 +1,4 @@
-// Places gangs of several tasks: all of them at once, or none.
+// Places gangs of several tasks: either all tasks of a gang or none.
 #pragma once
 #include <compare>
 #include <map>
@@ -11,22 +11,23 @@
 
 namespace hareshore {
 
-// Binds gangs in the pass and sets the wait reasons of those that it cannot place.
+// Binds gangs to machines and sets the wait reason of each gang that cannot be placed.
 class GangPlacer {
   public:
     GangPlacer(PassContext& pass, const TeamQuota& quota) : pass_(pass), quota_(quota) {}
 
-    // Binds all waiting tasks of the gang if there is room for them. One that starves for want of its team's
-    // limit preempts the team's own lower work.
+    // Binds all pending tasks of the gang if there is room for all of them. If a starved gang exceeds its
+    // team's limit, preempts the team's own lower-priority work.
     void place(const QueuedJob& queued);
 
   private:
-    // Machines for the tasks of a gang.
+    // The machines selected for the tasks of a gang.
     struct GangSlots {
-        std::vector<Machine*> machines;  // one entry a task; empty if there is not room for all
-        uint32_t with_image = 0;         // of them, those that hold the gang's image
+        std::vector<Machine*> machines;  // one entry per task; empty if there is not room for all
+        uint32_t with_image = 0;         // how many of them have the gang's image cached
     };
-    // The size of a task and where it may run; the room for it bounds that for any gang of this size.
+    // The size of a task and the zone it is placed in. Gangs with the same task size share one upper bound
+    // on the free slots.
     struct SizeInZone {
         double cpus = 0;
         double gpus = 0;
@@ -36,17 +37,18 @@
         auto operator<=>(const SizeInZone&) const = default;
     };
 
-    // The zone, or all zones, in which most of the tasks find their image.
+    // Returns the slots in the zone (or across all zones) where most tasks find their image cached.
     [[nodiscard]] GangSlots find_best_slots(const Job& job, uint32_t tasks);
-    // Slots in one zone, or in all if its name is empty; machines that hold the image first.
+    // Finds slots in one zone, or in all zones if the name is empty. Machines that have the image cached
+    // come first.
     [[nodiscard]] GangSlots find_slots(const Job& job, const std::string& zone, uint32_t tasks);
-    // False if free room cannot hold so many tasks, whatever their constraints.
+    // Returns false if the free resources cannot fit that many tasks, ignoring placement constraints.
     [[nodiscard]] bool may_have_room(const JobSpec& spec, const std::string& zone, uint32_t tasks);
 
     PassContext& pass_;
     const TeamQuota& quota_;
-    // Upper bounds of the free slots. In a pass free room only shrinks: what one gang lacked, the next one of
-    // the same size lacks, too.
+    // Upper bounds on the free slots. Free resources only shrink during a pass, so a bound that was too
+    // small for one gang is also too small for the next one of the same size.
     std::map<SizeInZone, uint32_t> most_slots_;
 };
 
--- a/src/scheduler/image_preemption.cc
+++ b/src/scheduler/image_preemption.cc
@@ -16,14 +16,15 @@
                        [](const Victim& victim) { return victim.job->skips_saving(); });
 }
 
-// Whether a start on the machine would be much faster for the image that it holds.
+// Whether a cached image makes the start on this machine much faster.
 bool saves_long_fetch(const PassContext& pass, const JobSpec& spec, const Machine& machine) {
     const MachineType* type = pass.cluster.machine_type(machine.machine_type);
     return machine.cache.has(spec.image) &&
            spec.image_gb >= constants::kImagePreemptionMinFetch_s * type->fetch_gb_per_s;
 }
 
-// The capacities of machines that hold the image, with only the preemption of work that need not save first.
+// Returns the capacities of the machines that have the image cached, keeping only preemptions of work that
+// need not save first.
 std::vector<MachineCapacity> image_holder_capacities(const PassContext& pass, const JobSpec& spec,
                                                      const std::vector<MachineCapacity>& capacities) {
     std::vector<MachineCapacity> holders;
--- a/src/scheduler/image_preemption.h
+++ b/src/scheduler/image_preemption.h
@@ -5,9 +5,9 @@
 
 namespace hareshore {
 
-// For a gang whose image takes long to fetch: if the machines that hold the image are busy with preemptible
-// work that loses little, stops that work at once and reserves its room, rather than to let the gang fetch
-// the image elsewhere. Tried once for each wait of a job.
+// For a gang whose image takes long to fetch: if the machines that have the image cached run preemptible
+// work that loses little, preempts that work at once and reserves the freed room, so that the gang need not
+// fetch the image elsewhere. Tried once per waiting period of a job.
 void preempt_for_image(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
                        const QueuedJob& gang);
 
--- a/src/scheduler/machine_capacity.cc
+++ b/src/scheduler/machine_capacity.cc
@@ -8,28 +8,29 @@
 
 namespace {
 
-constexpr uint32_t kMostSlots = constants::kMaxTasksPerHeartbeat;  // no machine reports more tasks
+constexpr uint32_t kMostSlots = constants::kMaxTasksPerHeartbeat;  // a heartbeat lists no more tasks
 
-// The expected end of a task, and what that frees.
+// The expected end of a task and the resources it frees.
 struct TaskEnd {
     Seconds at = 0;
     Resources amount;
 };
 
-// What the placements on one machine can free.
+// The placements on one machine that can free resources.
 struct MachineTasks {
     std::vector<Victim> victims;
     std::vector<TaskEnd> ends;
 };
 
-// When a placement is expected to end. Estimates are often wrong by half: what is overdue is expected to take
-// a part of its time again.
+// When a placement is expected to end. Estimates are often wrong by half, so an overdue task is expected to
+// run for a further share of the time it has run already.
 Seconds expected_end(const Job& job, const Placement& placement, Seconds now) {
     Seconds ran = now - placement.running_since.value_or(now);
     return now + std::max(job.spec.estimate_s - ran, constants::kOverdueRemainingShare * ran);
 }
 
-// Sorts out the machine's placements; what is being stopped is added to `available`.
+// Classifies the machine's placements as victims and expected ends. Resources of tasks that are already
+// being stopped are added to `available`.
 MachineTasks examine_tasks(PassContext& pass, const QueuedJob& queued, Machine& machine,
                            Resources& available) {
     const JobSpec& spec = queued.job->spec;
@@ -39,10 +40,11 @@
             available += Resources::of(job->spec);
             continue;
         }
-        // Only gangs wait for what comes free by itself.
+        // Only gangs wait for running tasks to end.
         if (spec.gang() && !job->spec.service())
             found.ends.push_back({expected_end(*job, *placement, pass.input.now), Resources::of(job->spec)});
-        // A service does not wait for a gang to end, which may take all the room there is.
+        // A service may preempt a whole gang instead of waiting for it to end, since the gang may occupy
+        // all the room there is.
         bool stoppable_alone = !job->spec.gang() || job->spec.tasks == 1 || spec.service();
         if (may_preempt(pass, queued, *job) && stoppable_alone)
             found.victims.push_back({job, task, placement, &machine});
@@ -50,7 +52,7 @@
     return found;
 }
 
-// When the slots beyond those in `available` are expected, if nothing is preempted.
+// When slots beyond those in `available` are expected to become free without preemption.
 std::vector<Seconds> expected_slots(const JobSpec& spec, Resources available, std::vector<TaskEnd>& ends,
                                     uint32_t slots) {
     std::sort(ends.begin(), ends.end(), [](const TaskEnd& a, const TaskEnd& b) { return a.at < b.at; });
@@ -63,7 +65,7 @@
     return expected;
 }
 
-// The slots beyond those in `available` that stopping the victims, in their order, frees.
+// The slots beyond those in `available` that are freed by stopping the victims in the given order.
 std::vector<PreemptionStep> preemption_steps(const JobSpec& spec, Resources available,
                                              const std::vector<Victim>& victims, uint32_t slots,
                                              Seconds now) {
@@ -73,7 +75,7 @@
         available += Resources::of(victim.job->spec);
         step.victims.push_back(victim);
         step.loss += preemption_loss(victim, now);
-        // A large victim may free several slots: those after the first cost nothing more.
+        // A large victim may free several slots; those after the first have no further cost.
         for (uint32_t fitting = available.count_fitting(spec, kMostSlots); slots < fitting; ++slots)
             steps.push_back(std::exchange(step, {}));
     }
--- a/src/scheduler/machine_capacity.h
+++ b/src/scheduler/machine_capacity.h
@@ -1,5 +1,5 @@
-// What each machine can give to a job that waits: slots that are free, that preemption frees, and that come
-// free by themselves. A slot is the room for one task of the job.
+// The slots that each machine can offer to a waiting job: free slots, slots freed by preemption, and slots
+// expected to become free when tasks end. A slot is room for one task of the job.
 #pragma once
 #include <compare>
 #include <map>
@@ -13,16 +13,16 @@
 // Victims on one machine that together free one more slot.
 struct PreemptionStep {
     std::vector<Victim> victims;
-    double loss = 0;  // GPU seconds, of all victims
+    double loss = 0;  // of all victims, in GPU seconds
 };
 
 // The slots of one machine for one kind of request.
 struct MachineCapacity {
     Machine* machine = nullptr;
-    uint64_t changes = 0;                     // the machine's, when this was found
-    uint32_t free_slots = 0;                  // free, or being freed, beside reservations
-    std::vector<PreemptionStep> preemptions;  // each builds on those before it
-    std::vector<Seconds> expected_slots;      // when further slots are expected to come free, earliest first
+    uint64_t changes = 0;                     // the machine's room_changes when this was computed
+    uint32_t free_slots = 0;                  // free or being freed, excluding reservations
+    std::vector<PreemptionStep> preemptions;  // each assumes the ones before it
+    std::vector<Seconds> expected_slots;      // when further slots should become free, earliest first
 };
 
 // One of a machine's preemption steps.
@@ -33,15 +33,15 @@
     [[nodiscard]] const PreemptionStep& step() const { return capacity->preemptions[index]; }
 };
 
-// Finds capacities once a pass for jobs that request the same of machines and may preempt the same work, and
-// again only of machines that have changed since. Looked at job by job, a queue of 100 gangs cost 700
-// machines each, and a pass took longer than the leader's share allows.
+// Computes machine capacities once per pass for all jobs with the same request and the same preemption
+// rights, and recomputes only the machines that have changed since. Without the cache, a queue of 100 gangs
+// examined 700 machines per gang, and a pass took longer than the leader's share of CPU time allows.
 class CapacityCache {
   public:
     explicit CapacityCache(PassContext& pass) : pass_(pass) {}
 
-    // The capacities of all machines that the job may use, by machine name. Valid until the pass ends; a
-    // later call for a similar job may update them.
+    // Returns the capacities of all machines that the job may use, ordered by machine name. Valid until the
+    // pass ends; a later call for a job with the same request may update them.
     [[nodiscard]] const std::vector<MachineCapacity>& find(const QueuedJob& queued);
 
   private:
@@ -56,7 +56,7 @@
         JobKind kind = JobKind::kArray;
         PriorityClass priority = PriorityClass::kStandard;
         bool within_guarantee = false;
-        std::string guaranteed_team;  // empty if it is not within its team's guarantee
+        std::string guaranteed_team;  // empty if the job is not within its team's guarantee
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted <=>
         auto operator<=>(const Request&) const = default;
     };
--- a/src/scheduler/pass_context.h
+++ b/src/scheduler/pass_context.h
@@ -1,4 +1,4 @@
-// What the parts of one scheduling pass share.
+// The state shared by the parts of one scheduling pass.
 #pragma once
 #include <set>
 #include <vector>
@@ -8,26 +8,27 @@
 
 namespace hareshore {
 
-// The state of one scheduling pass. Its parts hold references to it; it lives as long as the call of
+// The state of one scheduling pass. The parts of the pass hold references to it; it lives for one call of
 // schedule().
 struct PassContext {
     Cluster& cluster;
     JobTable& jobs;
     const SchedulerInput& input;
     std::set<const Job*> within_guarantee;  // jobs within their team's guarantee
-    std::vector<Machine*> schedulable;      // machines on which tasks may be bound, by name
-    std::vector<Binding> bindings;          // so far, in the order in which they were made
-    size_t room_searches = 0;               // jobs for which room beyond what is free was sought
+    std::vector<Machine*> schedulable;      // machines that accept tasks, ordered by name
+    std::vector<Binding> bindings;          // made so far, in order
+    size_t room_searches = 0;               // searches counted by start_room_search()
 
     void count_steps(size_t steps) const {
         if (input.steps) *input.steps += steps;
     }
 
-    // Counts a search for room beyond what is free; false if the pass has made as many as it may. The head of
-    // the queue decides: a search for each job of a long queue would cost its length times the machines.
+    // Counts a search for room beyond the free resources; returns false once the pass has used up its
+    // searches. Only the jobs at the head of the queue get one: a search for every job of a long queue
+    // would cost the queue's length times the number of machines.
     [[nodiscard]] bool start_room_search() { return ++room_searches <= constants::kPreemptionSearchJobs; }
 
-    // Binds a task to a machine and accounts for its resources.
+    // Binds a task to a machine and updates the resource accounting.
     void bind(Job& job, uint32_t task, Machine& machine, uint64_t attempt);
 };
 
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -29,8 +29,8 @@
             !job.likely_late(pass.input.config, now), preemption_loss(victim, now)};
 }
 
-// Whether a team's own job yields its share of the team's limit to another of the team. A gang is stopped
-// whole, which may free more than is needed, so only gangs of one task yield.
+// Whether a job can be preempted for another job of its team that waits for the team's limit. A gang is
+// stopped as a whole, which may free more than needed, so only gangs of one task qualify.
 bool yields_team_limit(const Job& job, const JobSpec& beneficiary) {
     return job.spec.priority < beneficiary.priority && !job.cancelled && !job.spec.service() &&
            (!job.spec.gang() || job.spec.tasks == 1);
@@ -39,7 +39,7 @@
 // What preemption can free of a team's limit.
 struct TeamPreemption {
     std::vector<Victim> victims;
-    TeamUsage freed;  // by tasks that are being stopped already
+    TeamUsage freed;  // by tasks that are already being stopped
 };
 
 TeamPreemption find_team_preemption(PassContext& pass, const JobSpec& beneficiary) {
@@ -63,8 +63,9 @@
 
 bool may_preempt(const PassContext& pass, const QueuedJob& queued, const Job& running) {
     if (&running == queued.job || running.cancelled) return false;
-    if (running.spec.service()) return false;  // its replicas make room for nobody
-    // Stopped, its only task would be what a starved job began with, and it would take the room again.
+    if (running.spec.service()) return false;  // replicas are never preempted
+    // This is the only task that a starved job has started. If it were stopped, the job would be starved
+    // again and take the room back.
     if (pass.input.now - running.accepted > pass.input.settings.begin_bound_s && running.done.empty() &&
         running.live.size() == 1)
         return false;
@@ -78,12 +79,12 @@
     const Placement& placement = *victim.placement;
     const JobSpec& spec = victim.job->spec;
     Seconds lost = now - (placement.running_since.value_or(placement.bound_at));
-    // A start counts for the objectives only if the task is not stopped soon after it.
+    // A start counts towards the objectives only if the task is not stopped soon after it.
     if (!placement.running_since || lost < constants::kMinRunToCountAsStarted_s)
         lost += constants::kMinRunToCountAsStarted_s;
     else if (spec.checkpoint_s > 0)
         lost = std::fmod(lost, spec.checkpoint_s);
-    // A gang is stopped whole.
+    // A gang is stopped as a whole.
     uint32_t tasks = spec.gang() ? spec.tasks : 1;
     return tasks * spec.gpus * (lost + constants::kExpectedStartLatency_s);
 }
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,4 +1,4 @@
-// Which tasks may be preempted for a job, in which order, and what stopping them costs.
+// Which tasks may be preempted for a job, in which order, and the cost of stopping them.
 #pragma once
 #include <vector>
 
@@ -7,7 +7,8 @@
 
 namespace hareshore {
 
-// A task that may be stopped to make room. The placement stays valid until the table changes it.
+// A task that may be stopped to make room. The placement pointer is valid until the job table changes that
+// placement.
 struct Victim {
     Job* job = nullptr;
     uint32_t task = 0;
@@ -18,19 +19,20 @@
 // Whether tasks of the running job may be stopped to make room for the queued one.
 [[nodiscard]] bool may_preempt(const PassContext& pass, const QueuedJob& queued, const Job& running);
 
-// What stopping a task costs, in GPU seconds: the progress since its last checkpoint, or what its start took
-// so far, and its next start. Of a gang's task: what stopping the whole gang costs.
+// The cost of stopping a task in GPU seconds: the progress since its last checkpoint (or the time its start
+// has taken so far) plus the time of its next start. For a task of a gang, the cost of stopping the whole
+// gang.
 [[nodiscard]] double preemption_loss(const Victim& victim, Seconds now);
 
-// Sorts by the order in which victims are stopped: arrays before gangs, what can save before what cannot, the
-// lowest priority, jobs that are late anyway, and the least loss.
+// Sorts victims into the order in which they are stopped: arrays before gangs, tasks that can checkpoint
+// before those that cannot, then lowest priority, jobs that are likely late anyway, and least loss.
 void sort_by_loss(const PassContext& pass, std::vector<Victim>& victims);
 
-// Stops the victims in the table to make room for `beneficiary`.
+// Stops the victims in the job table to make room for `beneficiary`.
 void preempt(PassContext& pass, const Job& beneficiary, const std::vector<Victim>& victims);
 
-// Stops tasks of the team's own jobs of lower priority for a starved job that waits for its team's limit, if
-// that frees the limit for `tasks` of it.
+// For a starved job that waits for its team's limit: stops tasks of the team's own lower-priority jobs if
+// that frees enough of the limit for `tasks` of its tasks.
 void preempt_for_team_limit(PassContext& pass, const QueuedJob& queued, uint32_t tasks);
 
 }  // namespace hareshore
--- a/src/scheduler/queue.cc
+++ b/src/scheduler/queue.cc
@@ -25,7 +25,7 @@
 QueueRank rank_of(const QueuedJob& queued) {
     QueueRank rank;
     rank.accepted = queued.job->accepted;
-    if (queued.starved) return rank;  // by age alone
+    if (queued.starved) return rank;  // starved jobs are ordered by age alone
     rank.not_starved = true;
     rank.not_production_service = !queued.production_service;
     rank.outside_guarantee = !queued.within_guarantee;
@@ -39,7 +39,7 @@
     return team.cpus > 0 || team.gpus > 0;
 }
 
-// Adds the team's oldest jobs, as many as its guarantee holds. Sorts `jobs` by age.
+// Adds the team's oldest jobs up to its guarantee. Sorts `jobs` by age.
 void add_jobs_within_guarantee(const Team& team, std::vector<const Job*>& jobs, std::set<const Job*>& out) {
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->accepted, a->spec.id) < std::tie(b->accepted, b->spec.id);
--- a/src/scheduler/replica_preemption.cc
+++ b/src/scheduler/replica_preemption.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-// Counts the replicas that still lack a slot, and in which zones they may start.
+// Counts the replicas that still need a slot and checks in which zones they may start.
 class MissingReplicas {
   public:
     MissingReplicas(const Job& job, uint32_t number) : rule_(job), number_(number) {}
 
     [[nodiscard]] bool none() const { return number_ == 0; }
-    // Whether a slot on the machine serves one of them, which then lacks none.
+    // Assigns a slot on the machine to one of the missing replicas; returns false if none can use it.
     bool take_slot(const Machine& machine) {
         if (number_ == 0 || rule_.remaining(machine.zone) == 0) return false;
         rule_.add(machine.zone);
@@ -47,7 +47,7 @@
         for (size_t i = 0; i < capacity.preemptions.size(); ++i) steps.push_back({&capacity, i});
     }
     if (missing.none()) return;
-    // A machine's steps build on each other; the first of them loses least.
+    // The steps of a machine build on each other, and its first step loses least.
     std::sort(steps.begin(), steps.end(), [](const StepReference& a, const StepReference& b) {
         return std::tie(a.index, a.step().loss, a.capacity->machine->name) <
                std::tie(b.index, b.step().loss, b.capacity->machine->name);
--- a/src/scheduler/replica_preemption.h
+++ b/src/scheduler/replica_preemption.h
@@ -5,8 +5,8 @@
 
 namespace hareshore {
 
-// Stops lower work at once for replicas that have no room on any machine, as far as the zones of the service
-// and its team's limit allow them to start.
+// Preempts lower-priority work for replicas that have no room on any machine, as far as the service's zone
+// constraints and its team's limit allow them to start.
 void preempt_for_replicas(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
                           const QueuedJob& service);
 
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -11,17 +11,17 @@
 
 namespace {
 
-// How many tasks of an array or gang room is to be made for; 0 if for none.
+// The number of tasks of an array or gang to make room for; 0 if no room is to be made.
 uint32_t tasks_to_make_room_for(const TeamQuota& quota, const QueuedJob& queued) {
     const Job& job = *queued.job;
     uint32_t pending = job.pending.size();
     if (job.spec.gang()) {
-        // A gang that has started or is ending takes no replacement.
+        // A gang that has started or is ending gets no replacement tasks.
         if (!job.live.empty() && (job.gang_attempt.started || job.gang_attempt.broken)) return 0;
         return quota.within_limit(job.spec, pending) ? pending : 0;
     }
-    // An array preempts others only for what its team is guaranteed, and for no more than its team's limit
-    // lets it use: what is stopped beyond that is stopped for nothing.
+    // An array preempts others only within its team's guarantee, and for no more tasks than the team's
+    // limit allows: preempting beyond the limit would stop work for tasks that cannot start.
     return queued.within_guarantee ? quota.most_within_limit(job.spec, pending) : 0;
 }
 
@@ -58,7 +58,7 @@
     uint32_t tasks = tasks_to_make_room_for(quota, queued);
     if (tasks == 0) return std::nullopt;
     SlotSelection best = select_best_slots(pass, job, tasks, capacities.find(queued));
-    // A gang that cannot be completed so stops nobody; it waits for what comes free by itself.
+    // A gang that would still lack room after preemption stops no tasks; it waits for running tasks to end.
     bool worth_stopping = best.complete || !job.spec.gang();
     if (worth_stopping && now - job.wait.since >= pass.input.settings.preempt_after_s)
         preempt(pass, job, best.victims);
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Jobs of a class are served together, all of them before the next class.
+// Whether two jobs are in the same class. All jobs of a class are served before the next class.
 bool same_class(const QueuedJob& a, const QueuedJob& b) {
     if (a.starved || b.starved) return a.starved == b.starved;
     return a.production_service == b.production_service && a.within_guarantee == b.within_guarantee &&
@@ -49,8 +49,9 @@
     }
 
   private:
-    // In queue order: tasks that are placed one by one are pulled by the requesting machines; a gang of
-    // several tasks is placed whole, or reserves the room that it waits for from all jobs that come after it.
+    // Serves the jobs in queue order. Tasks that are placed one by one are pulled by the requesting
+    // machines. A gang of several tasks is placed as a whole, or reserves the room it waits for against all
+    // jobs after it.
     void serve_class(std::span<const QueuedJob> jobs) {
         for (const auto& queued : jobs)
             if (queued.job->spec.gang()) preempt_for_image(pass_, quota_, capacities_, queued);
@@ -65,7 +66,7 @@
             quota_.reserve(queued, make_room(pass_, quota_, capacities_, queued));
         }
         serve_pulled(pulled);
-        for (const auto& queued : jobs)  // no requesting machine had room to be offered
+        for (const auto& queued : jobs)  // no requesting machine had room for any task
             if (queued.job->wait.reason == WaitReason::kNew && queued.job->waiting())
                 queued.job->wait.reason = WaitReason::kNoRoom;
     }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,4 +1,4 @@
-// Cache-Matched Pull: which waiting task goes to which machine. No I/O; time is a parameter.
+// Cache-Matched Pull: decides which waiting task runs on which machine. No I/O; time is a parameter.
 #pragma once
 #include <vector>
 
@@ -8,16 +8,15 @@
 
 namespace hareshore {
 
-// What a scheduling pass is given.
+// The input of a scheduling pass.
 struct SchedulerInput {
     const Config& config;
     const Settings& settings;
     Seconds now;
-    // Machines that request work now: those whose heartbeats wait for an answer.
+    // Machines that request work now: those whose heartbeats are held for a response.
     std::vector<Machine*> requesting_machines;
-    uint64_t record_format;  // of the records that are written now
-    uint64_t* steps =
-        nullptr;  // counts the steps taken, machines looked at above all; for tests of their growth
+    uint64_t record_format;     // the format in which job records are written
+    uint64_t* steps = nullptr;  // counts the machines examined, so that tests can check how the cost grows
 };
 
 // A task that a pass has bound to a machine.
@@ -27,8 +26,9 @@
     Machine* machine = nullptr;
 };
 
-// Runs one scheduling pass: binds tasks in the table and takes their resources from the machines. The counts
-// of recount() must be current. Where a job may preempt others, their tasks are stopped in the table.
+// Runs one scheduling pass: binds tasks in the job table and subtracts their resources from the machines.
+// The counts of recount() must be current. Where a job may preempt others, their tasks are stopped in the
+// job table.
 std::vector<Binding> schedule(Cluster& cluster, JobTable& jobs, const SchedulerInput& input);
 
 }  // namespace hareshore
--- a/src/scheduler/slot_selection.cc
+++ b/src/scheduler/slot_selection.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The sort key of a preemption step among those of all machines; the smallest is taken first.
+// The sort key of a preemption step among the steps of all machines; the smallest is taken first.
 struct StepRank {
     bool lacks_image;
     double loss;
@@ -25,15 +25,15 @@
             reference.capacity, reference.index};
 }
 
-// A slot that comes free by itself.
+// A slot that is expected to become free when a task ends.
 struct ExpectedSlot {
     Seconds at;
     Machine* machine;
 };
 
-// What the machines of a zone can give.
+// The slots that the machines of a zone can offer.
 struct Candidates {
-    std::vector<Machine*> free;  // one entry a slot, no more than are needed
+    std::vector<Machine*> free;  // one entry per slot, no more than needed
     std::vector<StepReference> steps;
     std::vector<ExpectedSlot> expected;
 };
@@ -57,7 +57,8 @@
 // Adds up to `missing` slots by preemption; returns how many are still missing.
 uint32_t take_preemptions(const Job& job, std::vector<StepReference>& steps, uint32_t missing,
                           SlotSelection& selection) {
-    // Steps of one machine are taken in order, so that at most as many are passed over as are taken.
+    // A machine's steps must be taken in order: taking a later step takes the ones before it, so at most as
+    // many steps are skipped as are taken, and twice `missing` are enough.
     auto end = steps.begin() + static_cast<long>(std::min<size_t>(steps.size(), size_t{2} * missing));
     std::partial_sort(steps.begin(), end, steps.end(), [&](const StepReference& a, const StepReference& b) {
         return rank_of(a, job) < rank_of(b, job);
@@ -76,7 +77,8 @@
     return missing;
 }
 
-// Adds up to `missing` slots that come free by themselves, soonest first, and sets when they are available.
+// Adds up to `missing` slots that are expected to become free, earliest first, and sets when all are
+// available.
 void take_expected(std::vector<ExpectedSlot>& expected, uint32_t missing, Seconds now,
                    SlotSelection& selection) {
     auto end = expected.begin() + static_cast<long>(std::min<size_t>(expected.size(), missing));
@@ -106,7 +108,7 @@
     auto missing = tasks - static_cast<uint32_t>(free_slots);
     selection.complete = take_preemptions(job, candidates.steps, missing, selection) == 0;
     if (selection.complete) return selection;
-    // Even with victims there is not room for all: the slots that come free first are reserved instead.
+    // Preemption does not free enough slots for all tasks, so the expected slots are reserved instead.
     selection.machines.resize(free_slots);
     take_expected(candidates.expected, missing, pass.input.now, selection);
     return selection;
--- a/src/scheduler/slot_selection.h
+++ b/src/scheduler/slot_selection.h
@@ -1,4 +1,4 @@
-// Where the slots of a job that waits could come from in one zone.
+// Selects the slots for a waiting job in one zone or across all zones.
 #pragma once
 #include <compare>
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace hareshore {
 
-// The machines chosen for the waiting tasks of a job, and what is to be stopped on them.
+// The machines selected for the pending tasks of a job, and the victims to stop on them.
 struct SlotSelection {
-    std::vector<Machine*> machines;  // one entry a slot
+    std::vector<Machine*> machines;  // one entry per slot
     std::vector<Victim> victims;
-    bool complete = false;     // with the victims stopped all tasks have a slot
-    Seconds available_at = 0;  // if it is not complete: when all tasks have one without preemption
+    bool complete = false;     // all tasks have a slot once the victims are stopped
+    Seconds available_at = 0;  // if incomplete: when all tasks have a slot without preemption
 
-    // Complete ones with the fewest victims first, then those that are available soonest.
+    // Complete selections come first, ordered by the number of victims; incomplete ones follow, ordered by
+    // the time at which all slots are available.
     [[nodiscard]] bool better_than(const SlotSelection& other) const { return rank() < other.rank(); }
 
   private:
@@ -29,9 +30,10 @@
     [[nodiscard]] Rank rank() const { return {!complete, complete ? victims.size() : 0, available_at}; }
 };
 
-// Selects slots for `tasks` tasks of the job in the zone, or in all zones if its name is empty: free slots,
-// then slots to be preempted on machines that hold the image, then those whose preemption loses least. If
-// that is not enough for all, the slots that come free first by themselves in place of the preempted ones.
+// Selects slots for `tasks` tasks of the job in the zone, or in all zones if the name is empty: free slots
+// first, then preemptible slots on machines that have the image cached, then those whose preemption loses
+// least. If preemption does not free enough slots for all tasks, selects the slots that are expected to
+// become free earliest instead of the preemptible ones.
 [[nodiscard]] SlotSelection select_slots(const PassContext& pass, const std::string& zone, const Job& job,
                                          uint32_t tasks, const std::vector<MachineCapacity>& capacities);
 
--- a/src/scheduler/task_fit.h
+++ b/src/scheduler/task_fit.h
@@ -1,11 +1,11 @@
-// Whether a task of a job may start now, and whether it fits on a machine. Asked of each job and machine of a
-// pass: what most machines fail is inline.
+// Whether a task of a job may start now, and whether it fits on a machine. Evaluated for each job and
+// machine of a pass, so the checks that rule out most machines are inline.
 #pragma once
 #include "scheduler/pass_context.h"
 
 namespace hareshore {
 
-// Whether the job may start tasks at all now; sets its wait reason if not.
+// Whether the job may start any task now; sets its wait reason if not.
 [[nodiscard]] inline bool may_start(Job& job, Seconds now) {
     if (now < job.failures.retry_at) {
         job.wait.reason = WaitReason::kBackoff;
@@ -18,17 +18,17 @@
     return true;
 }
 
-// Whether the job keeps away from a machine that its tasks failed on. A failing job does not: the fault is
-// its own.
+// Whether the job avoids the machine because its tasks failed there. A failing job does not avoid machines,
+// since the fault is its own.
 [[nodiscard]] inline bool avoids(const Job& job, const Machine& machine) {
     return !job.failures.failing && job.failures.machines.contains(machine.name);
 }
 
-// What the job may use of a machine with reservations: also what is reserved, as backfill, if its tasks are
-// expected to end before the reservation begins.
+// The free resources of a machine with reservations that the job may use. Includes the reserved resources,
+// as backfill, if the job's tasks are expected to end before the reservation begins.
 Resources resources_beside_reservations(const PassContext& pass, const Job& job, const Machine& machine);
 
-// What the job may use of a machine's free resources.
+// The free resources of a machine that the job may use.
 [[nodiscard]] inline Resources available_resources(const PassContext& pass, const Job& job,
                                                    const Machine& machine) {
     const Resources& reserved = machine.reserved;
@@ -36,8 +36,8 @@
     return resources_beside_reservations(pass, job, machine);
 }
 
-// Whether a task of the job can run on the machine now, its zone constraints apart. The cheapest checks come
-// first: most machines of a busy fleet are full.
+// Whether a task of the job can run on the machine now, ignoring zone constraints. The cheapest checks come
+// first, since most machines of a busy fleet are full.
 [[nodiscard]] inline bool fits(const PassContext& pass, const Job& job, const Machine& machine) {
     return machine.schedulable && machine.free.holds(job.spec) &&
            available_resources(pass, job, machine).holds(job.spec) &&
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -14,12 +14,13 @@
 bool has_startable_task(const QueuedJob& queued, Seconds now) {
     Job& job = *queued.job;
     if (job.pending.empty() || (job.spec.gang() && job.spec.tasks > 1) || !may_start(job, now)) return false;
-    // A starved array is let begin; the rest of it takes its usual place.
+    // Starvation moves only the first task of an array ahead; once it has started, the others keep their
+    // regular place in the queue.
     return !queued.starved || job.live.empty();
 }
 
-// How much of what the job has would be lost with the machine: its replicas there, and one that is too many
-// on spot machines, which are reclaimed in waves.
+// How many replicas would be lost with the machine: the job's replicas on it, plus one if more than half of
+// the replicas would be on spot machines, which are reclaimed in waves.
 size_t replica_crowding(const Job& job, const Machine& machine, size_t spot_replicas) {
     auto here = std::count_if(job.live.begin(), job.live.end(),
                               [&](const auto& live) { return live.second.machine == machine.name; });
@@ -55,7 +56,8 @@
             break;
         if (!has_startable_task(queued, pass_.input.now)) continue;
         if (auto reason = reason_to_wait(job, machine)) {
-            // That one machine lacks room does not hide that it waits for others.
+            // Lack of room on this machine must not overwrite that the job waits for a machine with its
+            // image.
             if (*reason != WaitReason::kNoRoom || job.wait.reason != WaitReason::kHeldForImage)
                 job.wait.reason = *reason;
             continue;
@@ -83,8 +85,8 @@
     return std::nullopt;
 }
 
-// A replica's time counts from the first second: it waits only while a machine with the image is likely to
-// request work before the image would be fetched, and no longer than that takes.
+// A replica's downtime counts from the first second. It waits only if a machine with the image is likely to
+// request work before the fetch would finish, and at most for a share of the fetch time.
 bool TaskMatcher::should_wait_for_image(const Job& job, const Machine& requesting) {
     Seconds waited = pass_.input.now - job.wait.since;
     if (waited >= pass_.input.settings.hold_s) return false;
@@ -112,8 +114,8 @@
     return count;
 }
 
-// The longer a replica waits the more crowding it accepts: a machine that requests work is better than one
-// that may.
+// The accepted concentration grows with the waiting time: a machine that requests work now is better than
+// one that might do so later.
 bool TaskMatcher::should_wait_for_spread(const Job& job, const Machine& requesting) {
     size_t spot_replicas = count_spot_replicas(pass_.cluster, job);
     Seconds waited = pass_.input.now - job.wait.since;
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -1,4 +1,4 @@
-// The teams' limits within a scheduling pass, and what is reserved of them for gangs that wait.
+// The teams' limits within a scheduling pass, and the parts of them reserved for waiting gangs.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,26 +10,28 @@
 
 namespace hareshore {
 
-// Reads the teams' usage from the pass's cluster; changes nothing but its own reservations.
+// Reads the teams' usage from the cluster of the pass; modifies only its own reservations.
 class TeamQuota {
   public:
     explicit TeamQuota(const PassContext& pass) : pass_(pass) {}
 
-    // Whether the team's limit, less what is reserved before this job, allows so many more of its tasks.
+    // Whether the team's limit, less the reservations that take precedence over this job, allows that many
+    // more of its tasks.
     [[nodiscard]] bool within_limit(const JobSpec& spec, uint32_t tasks) const {
         return pass_.cluster.within_limit(pass_.input.config, spec, tasks,
                                           reservations_.empty() ? TeamUsage{} : reserved_before(spec));
     }
 
-    // The most of `tasks` that within_limit() allows.
+    // The largest number of tasks, up to `tasks`, that within_limit() allows.
     [[nodiscard]] uint32_t most_within_limit(const JobSpec& spec, uint32_t tasks) const;
 
-    // Reserves the limit that a gang waits for. What comes free of it would else go to the team's small jobs
-    // one by one, and the gang would not start while they keep coming. It is reserved from the team's
-    // work of lower priority; once the gang starves, from all. The reservation stays while machines are
-    // lacking: given to the team's other work, the limit would be lacking when the machines come free. Until
-    // `room_at`, when there is room for all of the gang, it may be used by backfill. To be called after all
-    // else that is done for the gang in the pass, whose own tasks would else be counted twice.
+    // Reserves the part of the team's limit that a gang waits for. Otherwise the team's small jobs would
+    // take each freed part of the limit, and the gang would not start while such jobs keep arriving. The
+    // reservation applies to the team's lower-priority work, and to all of its work once the gang is
+    // starved. It is kept while the gang lacks machines: if other work took the limit meanwhile, the gang
+    // would lack the limit once machines become free. Until `room_at`, when the whole gang is expected to
+    // have room, the reserved part may be used for backfill. Must be called after everything else is done
+    // for the gang in the pass; otherwise the gang's own tasks would be counted twice.
     void reserve(const QueuedJob& gang, std::optional<Seconds> room_at);
 
   private:
@@ -37,10 +39,10 @@
         PriorityClass priority = PriorityClass::kIdle;
         bool starved = false;
         TeamUsage usage;
-        Seconds backfill_until = 0;  // tasks that are expected to end before may use it
+        Seconds backfill_until = 0;  // tasks expected to end before this may use it
     };
 
-    // What is reserved of the team's limit for others and not open to this job.
+    // The part of the team's limit that is reserved for others and unavailable to this job.
     [[nodiscard]] TeamUsage reserved_before(const JobSpec& spec) const;
 
     const PassContext& pass_;
--- a/src/scheduler/zone_rule.cc
+++ b/src/scheduler/zone_rule.cc
@@ -4,7 +4,7 @@
 
 ZoneRule::ZoneRule(const Job& job) : job_(job) {
     if (!job.spec.single_zone && !job.spec.spread_across_zones)
-        return;  // an array may have thousands of placements
+        return;  // no zone constraint to count for; an array may have thousands of placements
     for (const auto& [task, placement] : job.live) ++placed_[placement.zone];
 }
 
--- a/src/scheduler/zone_rule.h
+++ b/src/scheduler/zone_rule.h
@@ -9,10 +9,10 @@
 
 namespace hareshore {
 
-// Counts a job's placements by zone and applies its zone constraints to further ones.
+// Counts a job's placements by zone and applies the job's zone constraints to further placements.
 class ZoneRule {
   public:
-    // Starts from the job's live placements; the job must outlive the rule.
+    // Starts with the job's live placements; the job must outlive the rule.
     explicit ZoneRule(const Job& job);
     // How many more tasks may be placed in the zone.
     [[nodiscard]] uint32_t remaining(const std::string& zone) const;
@@ -24,8 +24,8 @@
     std::map<std::string, uint32_t> placed_;
 };
 
-// The zones that are tried one after the other for all tasks of a job: each zone alone if the job is bound to
-// a single one, else one empty name, which stands for all zones together.
+// The zones to try in turn for all tasks of a job: each zone separately if the job must run in a single
+// zone, else one empty name that stands for all zones together.
 std::vector<std::string> zones_to_try(const JobSpec& spec, const Config& config);
 
 }  // namespace hareshore
