--- a/src/fleet/cancelled_tasks.cc
+++ b/src/fleet/cancelled_tasks.cc
@@ -6,9 +6,9 @@
 
 namespace hareshore {
 
-std::vector<std::string> machines_holding_cancelled(const Cluster& cluster, const JobTable& jobs,
-                                                    const Config& config, Seconds now,
-                                                    Seconds leading_since) {
+std::vector<std::string> machines_with_cancelled_tasks(const Cluster& cluster, const JobTable& jobs,
+                                                       const Config& config, Seconds now,
+                                                       Seconds leading_since) {
     std::vector<std::string> names;
     Seconds lease_expiry =
         config.lease_s * (1 + constants::kClockDriftRate) + constants::kLeaseExpiryMargin_s;
--- a/src/fleet/cancelled_tasks.h
+++ b/src/fleet/cancelled_tasks.h
@@ -14,8 +14,9 @@
 // reaches no controller has stopped its tasks at lease expiry. A task that is still recorded may be running
 // on a hung machine, and only deleting the machine ends it. This applies to machines in partitioned zones
 // as well, and is early enough for the cloud to be slow or unavailable for a while within cancel_s.
-[[nodiscard]] std::vector<std::string> machines_holding_cancelled(const Cluster& cluster,
-                                                                  const JobTable& jobs, const Config& config,
-                                                                  Seconds now, Seconds leading_since);
+[[nodiscard]] std::vector<std::string> machines_with_cancelled_tasks(const Cluster& cluster,
+                                                                     const JobTable& jobs,
+                                                                     const Config& config, Seconds now,
+                                                                     Seconds leading_since);
 
 }  // namespace hareshore
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -56,8 +56,8 @@
 void FleetScaler::delete_machines_holding_cancelled() {
     if (!parts_.leadership.lease_confirmed() && !parts_.leadership.no_other_leader()) return;
     std::vector<ScaleInDecision> decisions;
-    for (auto& name : machines_holding_cancelled(parts_.cluster, parts_.jobs, parts_.config,
-                                                 parts_.loop.now(), listening_since()))
+    for (auto& name : machines_with_cancelled_tasks(parts_.cluster, parts_.jobs, parts_.config,
+                                                    parts_.loop.now(), listening_since()))
         decisions.push_back({std::move(name), ScaleInReason::kHoldsCancelledTask, true});
     parts_.deletion.start(decisions);
 }
--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -104,7 +104,7 @@
 TEST_F(ScalingPlanRules, AMachineWithCancelledTasksIsDueForDeletionAfterALease) {
     config.cancel_s = 49;
     auto due = [&](Seconds leading_since) {
-        return machines_holding_cancelled(cluster, jobs, config, now, leading_since);
+        return machines_with_cancelled_tasks(cluster, jobs, config, now, leading_since);
     };
     using Names = std::vector<std::string>;
     for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
