--- a/src/fleet/consolidation.cc
+++ b/src/fleet/consolidation.cc
@@ -45,7 +45,7 @@
 
 // Whether a machine may be drained now: new work is unlikely to need it, and no other machine is draining.
 bool may_drain(const PlanningContext& context) {
-    if (!context.calm()) return false;
+    if (!context.no_recent_arrivals()) return false;
     const auto& jobs = context.jobs.all();
     if (std::any_of(jobs.begin(), jobs.end(), [](const auto& entry) { return entry.second->waiting(); }))
         return false;
--- a/src/fleet/fleet_capacity.cc
+++ b/src/fleet/fleet_capacity.cc
@@ -10,7 +10,7 @@
 
 // The resources that running tasks are expected to free before a machine requested now would have booted.
 // Tasks that are long overdue are not counted.
-Resources expected_to_come_free(const PlanningContext& context, const Machine& machine, Seconds boot_s) {
+Resources expected_to_become_free(const PlanningContext& context, const Machine& machine, Seconds boot_s) {
     Seconds now = context.input.now;
     Resources expected;
     for (const auto& [job, task, placement] : context.jobs.on_machine(machine.name)) {
@@ -57,9 +57,9 @@
 bool FleetCapacity::request(const MachineKind& kind) {
     const MachineType* type = context_.cluster.machine_type(kind.machine_type);
     if (!type) return false;
-    int most_in_zone = context_.input.settings.max_machines;
-    if (most_in_zone > 0 && machines_in_zone(kind.zone) >= most_in_zone) return false;
-    if (requested_ >= most_requested()) return false;
+    int max_in_zone = context_.input.settings.max_machines;
+    if (max_in_zone > 0 && machines_in_zone(kind.zone) >= max_in_zone) return false;
+    if (requested_ >= max_requested()) return false;
     add_requested(kind, *type, true);
     return true;
 }
@@ -79,7 +79,7 @@
     planned.machine = &machine;
     planned.kind = {machine.machine_type, machine.zone, machine.spot};
     planned.free = machine.free;
-    planned.expected_free = expected_to_come_free(context_, machine, type.boot_s);
+    planned.expected_free = expected_to_become_free(context_, machine, type.boot_s);
     machines_.push_back(planned);
     ++in_zone_[machine.zone];
 }
@@ -96,7 +96,7 @@
 
 // The size of a fleet is bounded by the cloud's capacity; outstanding requests are bounded by what the
 // cloud accepts in a second, however many tasks wait.
-size_t FleetCapacity::most_requested() const {
+size_t FleetCapacity::max_requested() const {
     double requests_per_s = std::max(1.0, context_.input.config.cloud_rps);
     return constants::kMachinesPerScaleOutRequest * static_cast<size_t>(requests_per_s);
 }
--- a/src/fleet/fleet_capacity.h
+++ b/src/fleet/fleet_capacity.h
@@ -56,7 +56,7 @@
     void add_existing(const Machine& machine, const MachineType& type);
     void add_requested(const MachineKind& kind, const MachineType& type, bool new_request);
     // The maximum number of machines that may be requested without a response so far.
-    [[nodiscard]] size_t most_requested() const;
+    [[nodiscard]] size_t max_requested() const;
 
     const PlanningContext& context_;
     std::vector<PlannedMachine> machines_;
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -37,7 +37,7 @@
 }
 
 // How many machines the zone lacks, counting those that are planned.
-int lacking_in_zone(const PlanningContext& context, const FleetCapacity& capacity, const std::string& zone) {
+int missing_in_zone(const PlanningContext& context, const FleetCapacity& capacity, const std::string& zone) {
     int idle = 0;
     for (const PlannedMachine& planned : capacity.machines())
         if (planned.kind.zone == zone && planned.idle()) ++idle;
@@ -48,15 +48,15 @@
 
 }  // namespace
 
-void request_reserve(const PlanningContext& context, FleetCapacity& capacity) {
+void request_minimum_machines(const PlanningContext& context, FleetCapacity& capacity) {
     for (const auto& zone : context.input.config.zones) {
-        int lacking = lacking_in_zone(context, capacity, zone);
+        int missing = missing_in_zone(context, capacity, zone);
         for (const MachineType& type : context.cluster.machine_types) {
             if (std::find(type.zones.begin(), type.zones.end(), zone) == type.zones.end()) continue;
             for (bool spot : {true, false}) {
                 MachineKind kind{type.name, zone, spot};
                 if ((spot && !context.input.spot_allowed) || !capacity.available(kind)) continue;
-                while (lacking > 0 && capacity.request(kind)) --lacking;
+                while (missing > 0 && capacity.request(kind)) --missing;
             }
         }
     }
@@ -64,19 +64,20 @@
 
 void scale_in_idle(PlanningContext& context, const FleetCapacity& capacity) {
     const ScalingInput& input = context.input;
-    Seconds idle_limit = context.calm() ? constants::kCalmIdleReturn_s : input.settings.idle_return_s;
+    Seconds idle_limit =
+        context.no_recent_arrivals() ? constants::kCalmIdleReturn_s : input.settings.idle_return_s;
     for (const auto& zone : input.config.zones) {
         auto idle = idle_in_zone(capacity, zone);
-        int spare = std::min(static_cast<int>(idle.size()) - input.settings.min_idle_machines,
-                             capacity.machines_in_zone(zone) - input.settings.min_machines);
+        int surplus = std::min(static_cast<int>(idle.size()) - input.settings.min_idle_machines,
+                               capacity.machines_in_zone(zone) - input.settings.min_machines);
         for (const PlannedMachine* planned : idle) {
-            if (spare <= 0) break;
+            if (surplus <= 0) break;
             const Machine& machine = *planned->machine;
             Seconds idle_since =
                 std::max(machine.idle_since.value_or(input.leading_since), input.leading_since);
             if (input.now - idle_since < idle_limit) continue;
             context.plan.scale_in.push_back({machine.name, ScaleInReason::kIdle, false});
-            --spare;
+            --surplus;
         }
     }
 }
--- a/src/fleet/idle_machines.h
+++ b/src/fleet/idle_machines.h
@@ -5,7 +5,7 @@
 namespace hareshore {
 
 // Requests machines for zones that have fewer machines, or fewer idle ones, than the settings require.
-void request_reserve(const PlanningContext& context, FleetCapacity& capacity);
+void request_minimum_machines(const PlanningContext& context, FleetCapacity& capacity);
 
 // Adds machines to the plan for deletion that have been idle for long and that no waiting work needs.
 void scale_in_idle(PlanningContext& context, const FleetCapacity& capacity);
--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -15,7 +15,7 @@
 // The machines of a zone that should send heartbeats.
 struct ZoneCount {
     size_t silent = 0;
-    size_t known = 0;
+    size_t total = 0;
 };
 
 }  // namespace
@@ -30,11 +30,11 @@
             machine->heartbeat_received || (machine->listed && machine->phase == MachinePhase::kRunning);
         if (!up || machine->phase == MachinePhase::kFailed) continue;
         ZoneCount& count = zones[machine->zone];
-        ++count.known;
+        ++count.total;
         if (silent(*machine) || machine->unreachable_since) ++count.silent;
     }
     for (const auto& [zone, count] : zones)
-        if (count.silent >= kPartitionMinSilent && count.silent * 2 > count.known)
+        if (count.silent >= kPartitionMinSilent && count.silent * 2 > count.total)
             context_.plan.partitioned_zones.insert(zone);
 }
 
@@ -42,10 +42,10 @@
     for (const auto& [name, machine] : context_.cluster.machines) {
         if (machine->deleting) continue;
         bool failed = machine->phase == MachinePhase::kFailed;
-        auto silence = failed ? std::nullopt : silence_reason(*machine);
-        auto reason = silence ? silence : reason_to_delete(*machine);
+        auto silent_reason = failed ? std::nullopt : reason_to_delete_silent(*machine);
+        auto reason = silent_reason ? silent_reason : reason_to_delete(*machine);
         if (!reason) continue;
-        context_.plan.scale_in.push_back({machine->name, *reason, silence.has_value()});
+        context_.plan.scale_in.push_back({machine->name, *reason, silent_reason.has_value()});
         scaled_in_.insert(machine.get());
     }
 }
@@ -62,11 +62,11 @@
     return std::nullopt;
 }
 
-std::optional<ScaleInReason> MachineHealth::silence_reason(const Machine& machine) const {
+std::optional<ScaleInReason> MachineHealth::reason_to_delete_silent(const Machine& machine) const {
     bool in_partition = partitioned(machine);
     Seconds lease_s = context_.input.config.lease_s;
     Seconds timeout = in_partition ? constants::kPartitionTimeoutLeases * lease_s : unreachable_after();
-    Seconds silent_for = silence(machine);
+    Seconds silent_for = time_since_heartbeat(machine);
     if (machine.phase == MachinePhase::kRunning && machine.heartbeat_received) {
         if (!machine.heartbeat_held && silent_for > timeout) return ScaleInReason::kUnreachable;
     } else if (machine.phase == MachinePhase::kRunning) {
@@ -95,7 +95,7 @@
 
 // Restarts at the end of a partition: when half of a zone sends heartbeats again, the others are still
 // reconnecting and must not be deleted for silence that the partition caused.
-Seconds MachineHealth::silence(const Machine& machine) const {
+Seconds MachineHealth::time_since_heartbeat(const Machine& machine) const {
     const ScalingInput& input = context_.input;
     Seconds since = std::max(machine.last_heartbeat, input.leading_since);
     auto partition = input.partitioned_at.find(machine.zone);
@@ -105,8 +105,9 @@
 }
 
 bool MachineHealth::silent(const Machine& machine) const {
-    return !machine.heartbeat_held && silence(machine) > constants::kSilentAfterHeartbeatIntervals *
-                                                             context_.input.config.heartbeat_interval_s;
+    return !machine.heartbeat_held &&
+           time_since_heartbeat(machine) >
+               constants::kSilentAfterHeartbeatIntervals * context_.input.config.heartbeat_interval_s;
 }
 
 Seconds MachineHealth::unreachable_after() const {
--- a/src/fleet/machine_health.h
+++ b/src/fleet/machine_health.h
@@ -31,14 +31,14 @@
     [[nodiscard]] std::optional<ScaleInReason> reason_to_delete(const Machine& machine) const;
     // The reason to delete a machine whose heartbeats are missing. The machine is kept if a heartbeat
     // arrives in time.
-    [[nodiscard]] std::optional<ScaleInReason> silence_reason(const Machine& machine) const;
+    [[nodiscard]] std::optional<ScaleInReason> reason_to_delete_silent(const Machine& machine) const;
 
     [[nodiscard]] bool partitioned(const Machine& machine) const {
         return context_.plan.partitioned_zones.contains(machine.zone);
     }
     // The time since the machine's last heartbeat, counting only time in which this controller could have
     // received one.
-    [[nodiscard]] Seconds silence(const Machine& machine) const;
+    [[nodiscard]] Seconds time_since_heartbeat(const Machine& machine) const;
     // Whether a heartbeat of the machine is overdue.
     [[nodiscard]] bool silent(const Machine& machine) const;
     // The timeout after which a silent worker is unreachable rather than switching to another controller.
--- a/src/fleet/planning_context.h
+++ b/src/fleet/planning_context.h
@@ -13,7 +13,9 @@
     ScalingPlan plan;
 
     // No job has arrived for a while, so machines that are idle now are unlikely to be needed soon.
-    [[nodiscard]] bool calm() const { return input.now - jobs.last_arrival() > input.settings.calm_s; }
+    [[nodiscard]] bool no_recent_arrivals() const {
+        return input.now - jobs.last_arrival() > input.settings.calm_s;
+    }
 };
 
 }  // namespace hareshore
--- a/src/fleet/scaling_plan.cc
+++ b/src/fleet/scaling_plan.cc
@@ -52,7 +52,7 @@
     auto within_guarantee = jobs_within_guarantee(input.config, jobs);
     WorkPlacement(context, capacity)
         .place_all(queue_order(jobs, input.config, input.settings, input.now, within_guarantee));
-    request_reserve(context, capacity);
+    request_minimum_machines(context, capacity);
     scale_in_idle(context, capacity);
     consolidate(context, capacity);
     context.plan.scale_out = capacity.new_requests();
--- a/src/fleet/work_placement.cc
+++ b/src/fleet/work_placement.cc
@@ -29,7 +29,7 @@
 
 WorkPlacement::WorkPlacement(const PlanningContext& context, FleetCapacity& capacity)
     : context_(context), capacity_(capacity) {
-    for (size_t i = 0; i < capacity.machines().size(); ++i) open_.push_back(i);
+    for (size_t i = 0; i < capacity.machines().size(); ++i) machines_with_room_.push_back(i);
 }
 
 void WorkPlacement::place_all(const std::vector<QueuedJob>& queue) {
@@ -40,11 +40,11 @@
 void WorkPlacement::place(const Job& job) {
     if (context_.input.now < job.failures.retry_at) return;
     // Machines too full for even the smallest waiting request are skipped for all further jobs.
-    std::erase_if(open_, [&](size_t index) {
+    std::erase_if(machines_with_room_, [&](size_t index) {
         const PlannedMachine& planned = capacity_.machines()[index];
         return !planned.free.holds(smallest_request_) && !planned.expected_free.holds(smallest_request_);
     });
-    if (context_.input.steps) *context_.input.steps += open_.size();
+    if (context_.input.steps) *context_.input.steps += machines_with_room_.size();
     uint32_t tasks = startable_tasks(job);
     if (tasks == 0) return;
     if (job.spec.single_zone && job.spec.tasks > 1) {
@@ -68,13 +68,13 @@
     const JobSpec& spec = job.spec;
     // A job that must be spread uses no more of a zone than its constraint allows.
     ZoneRule rule(job);
-    for (size_t index : open_)
+    for (size_t index : machines_with_room_)
         if (PlannedMachine& planned = capacity_.machines()[index]; tasks > 0 && planned.allowed_for(spec))
             tasks -= place_by_rule(planned, spec, tasks, rule);
     // Tasks that need not start together can wait for resources that become free before a new machine has
     // booted. This does not apply to jobs with a deadline, since estimates are often wrong.
     if (!spec.gang() && !spec.service() && !spec.due_s)
-        for (size_t index : open_)
+        for (size_t index : machines_with_room_)
             if (PlannedMachine& planned = capacity_.machines()[index];
                 tasks > 0 && planned.machine && planned.allowed_for(spec))
                 tasks -= planned.place_in_expected(spec, tasks);
@@ -91,22 +91,22 @@
     const JobSpec& spec = job.spec;
     ZoneRule rule(job);
     std::string best_zone;
-    uint32_t fewest_lacking = UINT32_MAX;
+    uint32_t fewest_missing = UINT32_MAX;
     auto kinds = kinds_for(spec);
     for (const auto& zone : context_.input.config.zones) {
         if (rule.remaining(zone) == 0) continue;
         uint32_t room = room_in_zone(spec, zone, tasks);
-        uint32_t lacking = room >= tasks ? 0 : tasks - room;
+        uint32_t missing = room >= tasks ? 0 : tasks - room;
         bool requestable = std::any_of(kinds.begin(), kinds.end(),
                                        [&](const MachineKind& kind) { return kind.zone == zone; });
-        if (lacking > 0 && !requestable) continue;
-        if (lacking < fewest_lacking) {
+        if (missing > 0 && !requestable) continue;
+        if (missing < fewest_missing) {
             best_zone = zone;
-            fewest_lacking = lacking;
+            fewest_missing = missing;
         }
     }
     if (best_zone.empty()) return;
-    for (size_t index : open_)
+    for (size_t index : machines_with_room_)
         if (PlannedMachine& planned = capacity_.machines()[index];
             tasks > 0 && planned.kind.zone == best_zone && planned.allowed_for(spec))
             tasks -= planned.place(spec, tasks);
@@ -122,7 +122,7 @@
 
 uint32_t WorkPlacement::room_in_zone(const JobSpec& spec, const std::string& zone, uint32_t tasks) const {
     uint32_t room = 0;
-    for (size_t index : open_)
+    for (size_t index : machines_with_room_)
         if (const PlannedMachine& planned = capacity_.machines()[index];
             planned.kind.zone == zone && planned.allowed_for(spec))
             room += planned.free.count_fitting(spec, tasks);
@@ -152,7 +152,7 @@
 
 PlannedMachine* WorkPlacement::request(const MachineKind& kind) {
     if (!capacity_.request(kind)) return nullptr;
-    open_.push_back(capacity_.machines().size() - 1);
+    machines_with_room_.push_back(capacity_.machines().size() - 1);
     return &capacity_.machines().back();
 }
 
--- a/src/fleet/work_placement.h
+++ b/src/fleet/work_placement.h
@@ -35,8 +35,8 @@
 
     const PlanningContext& context_;
     FleetCapacity& capacity_;
-    std::vector<size_t> open_;    // indexes of machines with room for some waiting task
-    Resources smallest_request_;  // of all waiting jobs
+    std::vector<size_t> machines_with_room_;  // indexes of machines with room for some waiting task
+    Resources smallest_request_;              // of all waiting jobs
 };
 
 }  // namespace hareshore
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -105,14 +105,14 @@
 
 bool GangPlacer::may_have_room(const JobSpec& spec, const std::string& zone, uint32_t tasks) {
     SizeInZone size{spec.cpus, spec.gpus, spec.memory_gb, zone};
-    uint32_t& most = most_slots_.try_emplace(std::move(size), UINT32_MAX).first->second;
-    if (tasks > most) return false;
+    uint32_t& max_slots = max_slots_.try_emplace(std::move(size), UINT32_MAX).first->second;
+    if (tasks > max_slots) return false;
     pass_.count_steps(pass_.schedulable.size());
-    most = 0;
+    max_slots = 0;
     for (const Machine* machine : pass_.schedulable)
         if (zone.empty() || machine->zone == zone)
-            most += machine->free.count_fitting(spec, constants::kMaxTasksPerHeartbeat);
-    return tasks <= most;
+            max_slots += machine->free.count_fitting(spec, constants::kMaxTasksPerHeartbeat);
+    return tasks <= max_slots;
 }
 
 }  // namespace hareshore
--- a/src/scheduler/gang_placement.h
+++ b/src/scheduler/gang_placement.h
@@ -49,7 +49,7 @@
     const TeamQuota& quota_;
     // Upper bounds on the free slots. Free resources only shrink during a pass, so a bound that was too
     // small for one gang is also too small for the next one of the same size.
-    std::map<SizeInZone, uint32_t> most_slots_;
+    std::map<SizeInZone, uint32_t> max_slots_;
 };
 
 }  // namespace hareshore
--- a/src/scheduler/image_preemption.cc
+++ b/src/scheduler/image_preemption.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-bool needs_no_saving(const PreemptionStep& step) {
+bool all_victims_skip_saving(const PreemptionStep& step) {
     return std::all_of(step.victims.begin(), step.victims.end(),
                        [](const Victim& victim) { return victim.job->skips_saving(); });
 }
@@ -25,16 +25,16 @@
 
 // Returns the capacities of the machines that have the image cached, keeping only preemptions of work that
 // need not save first.
-std::vector<MachineCapacity> image_holder_capacities(const PassContext& pass, const JobSpec& spec,
-                                                     const std::vector<MachineCapacity>& capacities) {
-    std::vector<MachineCapacity> holders;
+std::vector<MachineCapacity> capacities_with_image(const PassContext& pass, const JobSpec& spec,
+                                                   const std::vector<MachineCapacity>& capacities) {
+    std::vector<MachineCapacity> with_image;
     for (const MachineCapacity& capacity : capacities) {
         if (!saves_long_fetch(pass, spec, *capacity.machine)) continue;
-        holders.push_back(capacity);
-        std::erase_if(holders.back().preemptions,
-                      [](const PreemptionStep& step) { return !needs_no_saving(step); });
+        with_image.push_back(capacity);
+        std::erase_if(with_image.back().preemptions,
+                      [](const PreemptionStep& step) { return !all_victims_skip_saving(step); });
     }
-    return holders;
+    return with_image;
 }
 
 }  // namespace
@@ -48,11 +48,11 @@
     job.image_preemption.tried_for_wait = job.wait.since;
     uint32_t tasks = job.pending.size();
     if (!quota.within_limit(job.spec, tasks)) return;
-    auto holders = image_holder_capacities(pass, job.spec, capacities.find(gang));
+    auto with_image = capacities_with_image(pass, job.spec, capacities.find(gang));
     SlotSelection best;
     for (const auto& zone : zones_to_try(job.spec, pass.input.config)) {
         if (!zone.empty() && ZoneRule(job).remaining(zone) == 0) continue;
-        SlotSelection selection = select_slots(pass, zone, job, tasks, holders);
+        SlotSelection selection = select_slots(pass, zone, job, tasks, with_image);
         if (selection.complete && (!best.complete || selection.better_than(best)))
             best = std::move(selection);
     }
--- a/src/scheduler/machine_capacity.cc
+++ b/src/scheduler/machine_capacity.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr uint32_t kMostSlots = constants::kMaxTasksPerHeartbeat;  // a heartbeat lists no more tasks
+constexpr uint32_t kMaxSlots = constants::kMaxTasksPerHeartbeat;  // a heartbeat lists no more tasks
 
 // The expected end of a task and the resources it frees.
 struct TaskEnd {
@@ -31,8 +31,8 @@
 
 // Classifies the machine's placements as victims and expected ends. Resources of tasks that are already
 // being stopped are added to `available`.
-MachineTasks examine_tasks(PassContext& pass, const QueuedJob& queued, Machine& machine,
-                           Resources& available) {
+MachineTasks classify_tasks(PassContext& pass, const QueuedJob& queued, Machine& machine,
+                            Resources& available) {
     const JobSpec& spec = queued.job->spec;
     MachineTasks found;
     for (const auto& [job, task, placement] : pass.jobs.on_machine(machine.name)) {
@@ -59,7 +59,7 @@
     std::vector<Seconds> expected;
     for (const TaskEnd& end : ends) {
         available += end.amount;
-        for (uint32_t fitting = available.count_fitting(spec, kMostSlots); slots < fitting; ++slots)
+        for (uint32_t fitting = available.count_fitting(spec, kMaxSlots); slots < fitting; ++slots)
             expected.push_back(end.at);
     }
     return expected;
@@ -76,7 +76,7 @@
         step.victims.push_back(victim);
         step.loss += preemption_loss(victim, now);
         // A large victim may free several slots; those after the first have no further cost.
-        for (uint32_t fitting = available.count_fitting(spec, kMostSlots); slots < fitting; ++slots)
+        for (uint32_t fitting = available.count_fitting(spec, kMaxSlots); slots < fitting; ++slots)
             steps.push_back(std::exchange(step, {}));
     }
     return steps;
@@ -89,8 +89,8 @@
     capacity.changes = machine.room_changes;
     Resources available = machine.free;
     available -= machine.reserved;
-    MachineTasks tasks = examine_tasks(pass, queued, machine, available);
-    capacity.free_slots = available.count_fitting(spec, kMostSlots);
+    MachineTasks tasks = classify_tasks(pass, queued, machine, available);
+    capacity.free_slots = available.count_fitting(spec, kMaxSlots);
     if (tasks.victims.size() > 1) sort_by_loss(pass, tasks.victims);
     capacity.expected_slots = expected_slots(spec, available, tasks.ends, capacity.free_slots);
     capacity.preemptions =
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -31,7 +31,7 @@
 
 // Whether a job can be preempted for another job of its team that waits for the team's limit. A gang is
 // stopped as a whole, which may free more than needed, so only gangs of one task qualify.
-bool yields_team_limit(const Job& job, const JobSpec& beneficiary) {
+bool preemptible_for_team_limit(const Job& job, const JobSpec& beneficiary) {
     return job.spec.priority < beneficiary.priority && !job.cancelled && !job.spec.service() &&
            (!job.spec.gang() || job.spec.tasks == 1);
 }
@@ -46,12 +46,12 @@
     TeamPreemption found;
     for (const auto& [id, job] : pass.jobs.all()) {
         if (job->spec.team != beneficiary.team) continue;
-        bool yields = yields_team_limit(*job, beneficiary);
+        bool preemptible = preemptible_for_team_limit(*job, beneficiary);
         for (const auto& [task, placement] : job->live) {
             if (placement.stopping) {
                 found.freed.cpus += job->spec.cpus;
                 found.freed.gpus += job->spec.gpus;
-            } else if (Machine* machine = yields ? pass.cluster.machine(placement.machine) : nullptr) {
+            } else if (Machine* machine = preemptible ? pass.cluster.machine(placement.machine) : nullptr) {
                 found.victims.push_back({job.get(), task, &placement, machine});
             }
         }
@@ -70,8 +70,9 @@
         running.live.size() == 1)
         return false;
     bool running_guaranteed = pass.within_guarantee.contains(&running);
-    bool guarded = running_guaranteed && !queued.within_guarantee && !queued.production_service;
-    if (running.spec.priority < queued.job->spec.priority && !guarded) return true;
+    bool protected_by_guarantee =
+        running_guaranteed && !queued.within_guarantee && !queued.production_service;
+    if (running.spec.priority < queued.job->spec.priority && !protected_by_guarantee) return true;
     return queued.within_guarantee && running.spec.team != queued.job->spec.team && !running_guaranteed;
 }
 
--- a/src/scheduler/replica_preemption.cc
+++ b/src/scheduler/replica_preemption.cc
@@ -13,20 +13,20 @@
 // Counts the replicas that still need a slot and checks in which zones they may start.
 class MissingReplicas {
   public:
-    MissingReplicas(const Job& job, uint32_t number) : rule_(job), number_(number) {}
+    MissingReplicas(const Job& job, uint32_t number) : rule_(job), missing_(number) {}
 
-    [[nodiscard]] bool none() const { return number_ == 0; }
+    [[nodiscard]] bool none() const { return missing_ == 0; }
     // Assigns a slot on the machine to one of the missing replicas; returns false if none can use it.
     bool take_slot(const Machine& machine) {
-        if (number_ == 0 || rule_.remaining(machine.zone) == 0) return false;
+        if (missing_ == 0 || rule_.remaining(machine.zone) == 0) return false;
         rule_.add(machine.zone);
-        --number_;
+        --missing_;
         return true;
     }
 
   private:
     ZoneRule rule_;
-    uint32_t number_;
+    uint32_t missing_;
 };
 
 }  // namespace
@@ -34,7 +34,7 @@
 void preempt_for_replicas(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
                           const QueuedJob& service) {
     const Job& job = *service.job;
-    uint32_t startable = quota.most_within_limit(job.spec, job.pending.size());
+    uint32_t startable = quota.max_tasks_within_limit(job.spec, job.pending.size());
     if (startable == 0 || pass.input.now - job.wait.since < pass.input.settings.preempt_after_s) return;
     const std::vector<MachineCapacity>& usable = capacities.find(service);
     MissingReplicas missing(job, startable);
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -22,7 +22,7 @@
     }
     // An array preempts others only within its team's guarantee, and for no more tasks than the team's
     // limit allows: preempting beyond the limit would stop work for tasks that cannot start.
-    return queued.within_guarantee ? quota.most_within_limit(job.spec, pending) : 0;
+    return queued.within_guarantee ? quota.max_tasks_within_limit(job.spec, pending) : 0;
 }
 
 SlotSelection select_best_slots(const PassContext& pass, const Job& job, uint32_t tasks,
@@ -59,8 +59,8 @@
     if (tasks == 0) return std::nullopt;
     SlotSelection best = select_best_slots(pass, job, tasks, capacities.find(queued));
     // A gang that would still lack room after preemption stops no tasks; it waits for running tasks to end.
-    bool worth_stopping = best.complete || !job.spec.gang();
-    if (worth_stopping && now - job.wait.since >= pass.input.settings.preempt_after_s)
+    bool worth_preempting = best.complete || !job.spec.gang();
+    if (worth_preempting && now - job.wait.since >= pass.input.settings.preempt_after_s)
         preempt(pass, job, best.victims);
     if (!job.spec.gang()) return std::nullopt;
     Seconds room_at = best.complete ? now : best.available_at;
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -23,7 +23,7 @@
            a.job->spec.priority == b.job->spec.priority;
 }
 
-bool placed_whole(const Job& job) {
+bool is_multi_task_gang(const Job& job) {
     return job.spec.gang() && job.spec.tasks > 1;
 }
 
@@ -57,7 +57,7 @@
             if (queued.job->spec.gang()) preempt_for_image(pass_, quota_, capacities_, queued);
         std::vector<QueuedJob> pulled;
         for (const auto& queued : jobs) {
-            if (!placed_whole(*queued.job)) {
+            if (!is_multi_task_gang(*queued.job)) {
                 pulled.push_back(queued);
                 continue;
             }
@@ -74,7 +74,7 @@
     void serve_pulled(const std::vector<QueuedJob>& jobs) {
         if (jobs.empty()) return;
         for (const auto& queued : jobs)
-            if (queued.job->spec.gang()) reserve_limit_for_single(queued);
+            if (queued.job->spec.gang()) reserve_limit_for_one_task_gang(queued);
         Resources smallest = smallest_request(jobs);
         for (Machine* machine : pass_.input.requesting_machines)
             if (machine->schedulable && machine->free.holds(smallest)) tasks_.pull(jobs, *machine);
@@ -82,7 +82,7 @@
     }
 
     // A gang of one task waits for its team's limit as larger gangs do.
-    void reserve_limit_for_single(const QueuedJob& queued) {
+    void reserve_limit_for_one_task_gang(const QueuedJob& queued) {
         Job& job = *queued.job;
         if (!may_start(job, pass_.input.now) || quota_.within_limit(job.spec, 1)) return;
         job.wait.reason = WaitReason::kTeamLimit;
--- a/src/scheduler/task_fit.h
+++ b/src/scheduler/task_fit.h
@@ -26,14 +26,14 @@
 
 // The free resources of a machine with reservations that the job may use. Includes the reserved resources,
 // as backfill, if the job's tasks are expected to end before the reservation begins.
-Resources resources_beside_reservations(const PassContext& pass, const Job& job, const Machine& machine);
+Resources resources_outside_reservations(const PassContext& pass, const Job& job, const Machine& machine);
 
 // The free resources of a machine that the job may use.
 [[nodiscard]] inline Resources available_resources(const PassContext& pass, const Job& job,
                                                    const Machine& machine) {
     const Resources& reserved = machine.reserved;
     if (reserved.cpus <= 0 && reserved.gpus <= 0 && reserved.memory_gb <= 0) return machine.free;
-    return resources_beside_reservations(pass, job, machine);
+    return resources_outside_reservations(pass, job, machine);
 }
 
 // Whether a task of the job can run on the machine now, ignoring zone constraints. The cheapest checks come
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -21,7 +21,7 @@
 
 // How many replicas would be lost with the machine: the job's replicas on it, plus one if more than half of
 // the replicas would be on spot machines, which are reclaimed in waves.
-size_t replica_crowding(const Job& job, const Machine& machine, size_t spot_replicas) {
+size_t replica_concentration(const Job& job, const Machine& machine, size_t spot_replicas) {
     auto here = std::count_if(job.live.begin(), job.live.end(),
                               [&](const auto& live) { return live.second.machine == machine.name; });
     bool too_many_spot = machine.spot && 2 * (spot_replicas + 1) > job.spec.tasks;
@@ -39,13 +39,13 @@
 }  // namespace
 
 void TaskMatcher::pull(const std::vector<QueuedJob>& jobs, Machine& machine) {
-    while (Job* job = pick(jobs, machine)) {
+    while (Job* job = select_job(jobs, machine)) {
         if (job->spec.gang()) job->gang_attempt.number = job->next_attempt;
         pass_.bind(*job, *job->pending.first(), machine, job->next_attempt++);
     }
 }
 
-Job* TaskMatcher::pick(const std::vector<QueuedJob>& jobs, Machine& machine) {
+Job* TaskMatcher::select_job(const std::vector<QueuedJob>& jobs, Machine& machine) {
     Job* best = nullptr;
     double best_cached_gb = -1;
     const QueuedJob* first = nullptr;  // the first in the queue that fits
@@ -90,25 +90,26 @@
 bool TaskMatcher::should_wait_for_image(const Job& job, const Machine& requesting) {
     Seconds waited = pass_.input.now - job.wait.since;
     if (waited >= pass_.input.settings.hold_s) return false;
-    if (!job.spec.service()) return count_image_holders(job, requesting, 1) > 0;
+    if (!job.spec.service()) return count_machines_with_image(job, requesting, 1) > 0;
     const MachineType* type = pass_.cluster.machine_type(requesting.machine_type);
     Seconds fetch_s = type && type->fetch_gb_per_s > 0 ? job.spec.image_gb / type->fetch_gb_per_s : 0;
     if (waited >= constants::kReplicaImageWaitShare * fetch_s) return false;
-    auto holders = static_cast<double>(count_image_holders(job, requesting, UINT32_MAX));
-    return holders * fetch_s > pass_.input.config.heartbeat_interval_s;
+    auto with_image = static_cast<double>(count_machines_with_image(job, requesting, UINT32_MAX));
+    return with_image * fetch_s > pass_.input.config.heartbeat_interval_s;
 }
 
-uint32_t TaskMatcher::count_image_holders(const Job& job, const Machine& requesting, uint32_t most) {
-    auto [it, inserted] = image_holders_.try_emplace(job.spec.image);
-    std::vector<Machine*>& holders = it->second;
+uint32_t TaskMatcher::count_machines_with_image(const Job& job, const Machine& requesting,
+                                                uint32_t max_count) {
+    auto [it, inserted] = machines_with_image_.try_emplace(job.spec.image);
+    std::vector<Machine*>& with_image = it->second;
     if (inserted) {
         pass_.count_steps(pass_.schedulable.size());
         for (Machine* machine : pass_.schedulable)
-            if (machine->cache.has(job.spec.image)) holders.push_back(machine);
+            if (machine->cache.has(job.spec.image)) with_image.push_back(machine);
     }
     uint32_t count = 0;
-    for (const Machine* machine : holders)
-        if (count < most && machine != &requesting && fits(pass_, job, *machine) &&
+    for (const Machine* machine : with_image)
+        if (count < max_count && machine != &requesting && fits(pass_, job, *machine) &&
             ZoneRule(job).remaining(machine->zone) > 0)
             ++count;
     return count;
@@ -119,14 +120,14 @@
 bool TaskMatcher::should_wait_for_spread(const Job& job, const Machine& requesting) {
     size_t spot_replicas = count_spot_replicas(pass_.cluster, job);
     Seconds waited = pass_.input.now - job.wait.since;
-    auto accepted = static_cast<size_t>(waited / constants::kReplicaSpreadWait_s);
-    size_t crowding = replica_crowding(job, requesting, spot_replicas);
-    if (crowding <= accepted) return false;
+    auto accepted_concentration = static_cast<size_t>(waited / constants::kReplicaSpreadWait_s);
+    size_t concentration = replica_concentration(job, requesting, spot_replicas);
+    if (concentration <= accepted_concentration) return false;
     ZoneRule rule(job);
     pass_.count_steps(pass_.schedulable.size());
     return std::any_of(pass_.schedulable.begin(), pass_.schedulable.end(), [&](const Machine* machine) {
         return machine != &requesting && fits(pass_, job, *machine) && rule.remaining(machine->zone) > 0 &&
-               replica_crowding(job, *machine, spot_replicas) < crowding;
+               replica_concentration(job, *machine, spot_replicas) < concentration;
     });
 }
 
--- a/src/scheduler/task_matching.h
+++ b/src/scheduler/task_matching.h
@@ -23,7 +23,7 @@
   private:
     // Returns the job that provides the machine's next task: among the jobs of similar age at the head of
     // the queue, the one with the largest image that the machine has cached. Null if there is none.
-    Job* pick(const std::vector<QueuedJob>& jobs, Machine& machine);
+    Job* select_job(const std::vector<QueuedJob>& jobs, Machine& machine);
     // Why the job gets no task on the machine although one could start; nothing if it may get one.
     std::optional<WaitReason> reason_to_wait(const Job& job, const Machine& machine);
 
@@ -32,14 +32,14 @@
     bool should_wait_for_image(const Job& job, const Machine& requesting);
     // The number of other machines that have the job's image cached and room for a task, counted up to
     // `max_count`.
-    uint32_t count_image_holders(const Job& job, const Machine& requesting, uint32_t most);
+    uint32_t count_machines_with_image(const Job& job, const Machine& requesting, uint32_t max_count);
     // Whether another machine with room would spread the replicas better than this one.
     bool should_wait_for_spread(const Job& job, const Machine& requesting);
 
     PassContext& pass_;
     const TeamQuota& quota_;
     std::map<std::string, std::vector<Machine*>>
-        image_holders_;  // schedulable machines by cached image, filled on demand
+        machines_with_image_;  // schedulable machines by cached image, filled on demand
 };
 
 }  // namespace hareshore
--- a/src/scheduler/team_quota.cc
+++ b/src/scheduler/team_quota.cc
@@ -17,7 +17,7 @@
 }
 
 // Uses binary search, since an array may have 100,000 tasks.
-uint32_t TeamQuota::most_within_limit(const JobSpec& spec, uint32_t tasks) const {
+uint32_t TeamQuota::max_tasks_within_limit(const JobSpec& spec, uint32_t tasks) const {
     if (within_limit(spec, tasks)) return tasks;
     uint32_t allowed = 0;
     uint32_t refused = tasks;
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -23,7 +23,7 @@
     }
 
     // The largest number of tasks, up to `tasks`, that within_limit() allows.
-    [[nodiscard]] uint32_t most_within_limit(const JobSpec& spec, uint32_t tasks) const;
+    [[nodiscard]] uint32_t max_tasks_within_limit(const JobSpec& spec, uint32_t tasks) const;
 
     // Reserves the part of the team's limit that a gang waits for. Otherwise the team's small jobs would
     // take each freed part of the limit, and the gang would not start while such jobs keep arriving. The
--- a/src/scheduler/zone_rule.cc
+++ b/src/scheduler/zone_rule.cc
@@ -17,8 +17,8 @@
         for (const auto& [other_zone, placed] : placed_)
             if (placed > 0 && other_zone != zone) return 0;
     if (spec.spread_across_zones) {
-        uint32_t most = (spec.tasks + 1) / 2;
-        return placed_here >= most ? 0 : most - placed_here;
+        uint32_t max_per_zone = (spec.tasks + 1) / 2;
+        return placed_here >= max_per_zone ? 0 : max_per_zone - placed_here;
     }
     return spec.tasks;
 }
