--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -1,4 +1,4 @@
-// Which machines are rented, drained and deleted.
+// Which machines a scaling plan requests, drains and deletes.
 #include <gtest/gtest.h>
 
 #include "base/constants.h"
@@ -13,95 +13,101 @@
 
 }  // namespace
 
-TEST_F(ScalingPlanRules, ReturnsSilentMachinesUnlessManyFallSilentAtOnce) {
+TEST_F(ScalingPlanRules, DeletesSilentMachinesExceptInPartitionedZone) {
     for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
-    Seconds then = now;
+    Seconds last_heartbeat_at = now;
     now += 15;
-    auto silent = [&](int n) {
+    auto deletions_with_silent = [&](int n) {
         for (int i = 0; i < 6; ++i)
-            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? then : now;
+            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? last_heartbeat_at : now;
         recount_resources();
-        ScalingInput in{config, settings, now, then, {}, {}, false};
-        return plan_scaling(cluster, jobs, in).scale_in.size();
+        ScalingInput input{config, settings, now, last_heartbeat_at, {}, {}, false};
+        return plan_scaling(cluster, jobs, input).scale_in.size();
     };
-    EXPECT_EQ(silent(1), 1U);
-    EXPECT_EQ(silent(5), 0U) << "more likely the controller is cut off";
-    // Not one by one either, when the others have only just fallen quiet.
+    EXPECT_EQ(deletions_with_silent(1), 1U);
+    EXPECT_EQ(deletions_with_silent(5), 0U) << "a partition of the controller is more likely";
+    // Machines are not deleted one by one either when the others have only just become silent.
     for (int i = 1; i < 6; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = now - 8;
-    cluster.machine("vm-0")->last_heartbeat = then;
-    ScalingInput in{config, settings, now, then, {}, {}, false};
-    EXPECT_TRUE(plan_scaling(cluster, jobs, in).scale_in.empty());
-    // Nor is anything rented where it would not be heard, and the silent ones are no room to count on. A new
-    // leader, who has heard none of them, sees the cut by what the cloud lists as up. With the zone's 260
-    // machines returned and rented anew again and again, the fleet was short of them when the cut was over.
+    cluster.machine("vm-0")->last_heartbeat = last_heartbeat_at;
+    ScalingInput input{config, settings, now, last_heartbeat_at, {}, {}, false};
+    EXPECT_TRUE(plan_scaling(cluster, jobs, input).scale_in.empty());
+    // No machines are requested in a partitioned zone, where they would be unreachable, and the silent ones
+    // provide no capacity. A new leader that has received no heartbeat from them detects the partition by
+    // the machines that the cloud lists as running. When the 260 machines of a zone were deleted and
+    // requested again and again, the fleet lacked them once the partition ended.
     config.zones = {"a", "b"};
     add_job(job_spec("job-1", 4));
-    for (bool heard : {true, false}) {
+    for (bool heartbeat_received : {true, false}) {
         for (int i = 0; i < 6; ++i) {
             Machine& machine = *cluster.machine("vm-" + std::to_string(i));
-            machine.last_heartbeat = then;
+            machine.last_heartbeat = last_heartbeat_at;
             machine.listed = true;
-            machine.heartbeat_received = heard;
+            machine.heartbeat_received = heartbeat_received;
         }
-        now = then + 2 * config.lease_s;
+        now = last_heartbeat_at + 2 * config.lease_s;
         recount_resources();
-        ScalingInput cut{config, settings, now, then, {}, {}, false};
-        ScalingPlan plan = plan_scaling(cluster, jobs, cut);
-        EXPECT_TRUE(plan.scale_in.empty()) << heard;
+        ScalingInput partitioned_input{config, settings, now, last_heartbeat_at, {}, {}, false};
+        ScalingPlan plan = plan_scaling(cluster, jobs, partitioned_input);
+        EXPECT_TRUE(plan.scale_in.empty()) << heartbeat_received;
         ASSERT_EQ(plan.scale_out.size(), 1U);
         EXPECT_EQ(plan.scale_out[0].kind.zone, "b");
         EXPECT_EQ(plan.scale_out[0].number, 2);
-        cut.now = then + constants::kPartitionTimeoutLeases * config.lease_s + 1;
-        EXPECT_EQ(plan_scaling(cluster, jobs, cut).scale_in.size(), 6U) << "some day they are given up";
-        // The cut ends, and most are heard again: the others have as long as any that falls silent.
-        cut.now = now + 1;
-        cut.partitioned_at["a"] = now;
+        partitioned_input.now = last_heartbeat_at + constants::kPartitionTimeoutLeases * config.lease_s + 1;
+        EXPECT_EQ(plan_scaling(cluster, jobs, partitioned_input).scale_in.size(), 6U)
+            << "they are deleted after the partition timeout";
+        // The partition ends and most machines send heartbeats again: the others get the same timeout as
+        // any machine that becomes silent.
+        partitioned_input.now = now + 1;
+        partitioned_input.partitioned_at["a"] = now;
         for (int i = 0; i < 4; ++i) {
             Machine& machine = *cluster.machine("vm-" + std::to_string(i));
             machine.heartbeat_received = true;
-            machine.last_heartbeat = cut.now;
+            machine.last_heartbeat = partitioned_input.now;
         }
-        EXPECT_TRUE(std::ranges::none_of(plan_scaling(cluster, jobs, cut).scale_in,
+        EXPECT_TRUE(std::ranges::none_of(plan_scaling(cluster, jobs, partitioned_input).scale_in,
                                          &ScaleInDecision::only_if_silent));
-        cut.now += 2 * config.lease_s;
-        for (int i = 0; i < 4; ++i) cluster.machine("vm-" + std::to_string(i))->last_heartbeat = cut.now;
-        EXPECT_EQ(std::ranges::count_if(plan_scaling(cluster, jobs, cut).scale_in,
+        partitioned_input.now += 2 * config.lease_s;
+        for (int i = 0; i < 4; ++i)
+            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = partitioned_input.now;
+        EXPECT_EQ(std::ranges::count_if(plan_scaling(cluster, jobs, partitioned_input).scale_in,
                                         &ScaleInDecision::only_if_silent),
                   2U);
     }
 }
 
-// Work is moved together only when no job has come for a while, and only if it can save and fits elsewhere.
+// Tasks are consolidated only if no job has arrived for a while, they can checkpoint and they fit
+// elsewhere.
 TEST_F(ScalingPlanRules, DrainsHalfUsedMachinesOnlyWhileNoJobsArrive) {
     config.teams[0].gpus_max = 0;
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     JobSpec spec = job_spec("job-1", 2);
     spec.estimate_s = 500;
     Job& job = add_job(spec);
     jobs.bind(job, 0, first, 1, now);
-    jobs.bind(job, 1, y, 2, now);
+    jobs.bind(job, 1, second, 2, now);
     mark_committed(job);
     jobs.apply_heartbeat(cluster, first, heartbeat(first, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
                          Absence::kProven, now);
-    jobs.apply_heartbeat(cluster, y, heartbeat(y, {task_status("job-1", 1, 2, TaskPhase::kRunning)}),
+    jobs.apply_heartbeat(cluster, second,
+                         heartbeat(second, {task_status("job-1", 1, 2, TaskPhase::kRunning)}),
                          Absence::kProven, now);
-    auto moved = [&] {
-        first.last_heartbeat = y.last_heartbeat = now;
+    auto count_drained = [&] {
+        first.last_heartbeat = second.last_heartbeat = now;
         recount_resources();
-        ScalingInput in{config, settings, now, 0, {}, {}, false};
-        return plan_scaling(cluster, jobs, in).drain.size();
+        ScalingInput input{config, settings, now, 0, {}, {}, false};
+        return plan_scaling(cluster, jobs, input).drain.size();
     };
     now += settings.calm_s - 1;
-    EXPECT_EQ(moved(), 0U);
+    EXPECT_EQ(count_drained(), 0U);
     now += 40;
-    EXPECT_EQ(moved(), 1U);
+    EXPECT_EQ(count_drained(), 1U);
     job.spec.checkpoint_s = 0;
-    EXPECT_EQ(moved(), 0U) << "what cannot save is not moved";
+    EXPECT_EQ(count_drained(), 0U) << "a task without checkpoints is not moved";
 }
 
-// A cancelled task that is still on its machine after any lease it was given can only be on one that hangs.
-// The machine must go, and soon enough for cancel_s, however quiet its zone is.
-TEST_F(ScalingPlanRules, AMachineWithCancelledTasksIsDueForDeletionAfterALease) {
+// A cancelled task that is still on its machine after every lease granted to it has expired can only run on
+// a hung machine. The machine must be deleted soon enough for cancel_s, even if its zone is silent.
+TEST_F(ScalingPlanRules, MachineWithCancelledTaskIsDueForDeletionAfterLeaseExpiry) {
     config.cancel_s = 49;
     auto due = [&](Seconds leading_since) {
         return machines_with_cancelled_tasks(cluster, jobs, config, now, leading_since);
@@ -111,23 +117,24 @@
     Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     add_job(job_spec("job-2", 1), {{0, {3, "vm-2", "a"}}});
     now += 30;
-    EXPECT_TRUE(due(0).empty()) << "silence alone is no reason";
+    EXPECT_TRUE(due(0).empty()) << "missing heartbeats alone are no reason";
     cluster.machine("vm-1")->last_heartbeat = now - 1;
     jobs.cancel(job, now);
     now += 10;
-    EXPECT_TRUE(due(0).empty()) << "it may hear the halt yet";
+    EXPECT_TRUE(due(0).empty()) << "it may still receive the stop command";
     now += config.lease_s - 8 + constants::kLeaseExpiryMargin_s;
-    EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has ended";
-    EXPECT_LT(now, job.cancellation_known_at + config.cancel_s - 15) << "the cloud may be slow";
-    EXPECT_TRUE(due(now - 5).empty()) << "whoever stood still listens first";
+    EXPECT_EQ(due(0), Names{"vm-1"}) << "its lease has expired";
+    EXPECT_LT(now, job.cancellation_known_at + config.cancel_s - 15) << "this leaves time for a slow cloud";
+    EXPECT_TRUE(due(now - 5).empty()) << "a leader whose process was stalled first waits for heartbeats";
     cluster.machine("vm-1")->last_heartbeat = now;
-    EXPECT_EQ(due(0), Names{"vm-1"}) << "it reports, and hears nothing";
-    // A leader that learns late counts from the machine's silence.
+    EXPECT_EQ(due(0), Names{"vm-1"}) << "it sends heartbeats but receives no commands";
+    // A leader that learns of the cancellation late counts from the machine's last heartbeat.
     jobs.cancel(*jobs.find("job-2"), now);
     EXPECT_EQ(due(0), (Names{"vm-1", "vm-2"}));
     cluster.machine("vm-1")->deleting = true;
     EXPECT_EQ(due(0), Names{"vm-2"});
-    // One that inherits a cancellation does not know since when: a machine that does not come is due soon.
+    // A leader that inherits a cancellation does not know when it was made: a machine that sends no
+    // heartbeat is due soon.
     JobRecord record;
     record.spec = job_spec("job-3", 1);
     record.cancelled = true;
@@ -142,8 +149,9 @@
     EXPECT_EQ(std::count(names.begin(), names.end(), "vm-9"), 1);
 }
 
-// A new leader gets a late copy of a report, from before its epoch, of a machine that was deleted long ago.
-TEST_F(ScalingPlanRules, ALateHeartbeatAtANewLeaderIsNoCapacity) {
+// A new leader receives a delayed copy of a heartbeat from before its term, of a machine that was deleted
+// long ago.
+TEST_F(ScalingPlanRules, DelayedHeartbeatProvidesNoCapacity) {
     settings.max_machines = 5;
     add_job(job_spec("job-1", 2));
     Machine& machine = add_machine("vm-1");
@@ -151,13 +159,13 @@
     machine.last_heartbeat = now;
     recount_resources();
     EXPECT_FALSE(machine.schedulable);
-    auto rented = [&] {
-        ScalingInput in{config, settings, now, now, {}, {}, false};
+    auto count_requested = [&] {
+        ScalingInput input{config, settings, now, now, {}, {}, false};
         int n = 0;
-        for (auto& r : plan_scaling(cluster, jobs, in).scale_out) n += r.number;
+        for (auto& request : plan_scaling(cluster, jobs, input).scale_out) n += request.number;
         return n;
     };
-    EXPECT_EQ(rented(), 1) << "it does not stand in for a machine";
+    EXPECT_EQ(count_requested(), 1) << "it provides no capacity";
     machine.listed = true;
-    EXPECT_EQ(rented(), 0) << "one that the cloud lists does";
+    EXPECT_EQ(count_requested(), 0) << "a machine that the cloud lists provides capacity";
 }
--- a/tests/scheduler/gang_reservation_test.cc
+++ b/tests/scheduler/gang_reservation_test.cc
@@ -1,4 +1,4 @@
-// Machines and limits that are reserved for a waiting gang.
+// Reservations of machines and team limits for waiting gangs.
 #include <gtest/gtest.h>
 
 #include "standins/scheduling_fixture.h"
@@ -12,95 +12,98 @@
 
 }  // namespace
 
-// A waiting gang keeps the machines that come free, except for work that is over before it can start.
-TEST_F(GangReservation, ReservesRoomForAWaitingGangAndBackfillsItWithShortWork) {
+// Machines that become free are reserved for a waiting gang, except for tasks that end before the gang can
+// start.
+TEST_F(GangReservation, BackfillsReservedRoomWithShortTasks) {
     config.teams[0].gpus_max = 0;
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
-    JobSpec longer = job_spec("job-1", 1);
-    longer.gpus = 2;
-    longer.estimate_s = 200;
-    Job& busy = add_job(longer);
-    jobs.bind(busy, 0, y, 1, now);
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
+    JobSpec long_spec = job_spec("job-1", 1);
+    long_spec.gpus = 2;
+    long_spec.estimate_s = 200;
+    Job& busy = add_job(long_spec);
+    jobs.bind(busy, 0, second, 1, now);
     mark_committed(busy);
-    jobs.apply_heartbeat(cluster, y, heartbeat(y, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
+    jobs.apply_heartbeat(cluster, second,
+                         heartbeat(second, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
                          Absence::kProven, now);
     JobSpec gang_spec = job_spec("job-2", 2, JobKind::kGang);
     gang_spec.gpus = 2;
     gang_spec.single_zone = true;
     add_job(gang_spec);
-    JobSpec slow = job_spec("job-3", 1), quick = job_spec("job-4", 1);
-    slow.estimate_s = 300;
-    quick.estimate_s = 20;
+    JobSpec long_job = job_spec("job-3", 1), short_job = job_spec("job-4", 1);
+    long_job.estimate_s = 300;
+    short_job.estimate_s = 20;
     now += 1;
-    add_job(slow);
-    EXPECT_TRUE(schedule_for({&first}).empty()) << "kept for the gang";
-    add_job(quick);
-    auto b = schedule_for({&first});
-    ASSERT_EQ(b.size(), 1U);
-    EXPECT_EQ(b[0].job->spec.id, "job-4");
+    add_job(long_job);
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "reserved for the gang";
+    add_job(short_job);
+    auto bindings = schedule_for({&first});
+    ASSERT_EQ(bindings.size(), 1U);
+    EXPECT_EQ(bindings[0].job->spec.id, "job-4");
 }
 
-// A gang that its team's limit keeps waiting: the team's own lower work yields, and small jobs of the team
-// that come later do not take what comes free of the limit for ever.
-TEST_F(GangReservation, ATeamsLimitIsReservedForItsWaitingGang) {
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+// For a gang that waits for its team's limit, the team's own lower-priority work is preempted, and small
+// jobs of the team that arrive later do not keep taking the freed part of the limit.
+TEST_F(GangReservation, ReservesTeamLimitForWaitingGang) {
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     add_machine("vm-3");
-    Job& low = add_job(job_spec("job-1", 2));
-    low.spec.priority = PriorityClass::kIdle;
-    Job& same = add_job(job_spec("job-2", 2));
-    ASSERT_EQ(schedule_for({&first, &y}).size(), 4U) << "the limit is used up";
-    mark_committed(low);
-    mark_committed(same);
+    Job& lower_priority = add_job(job_spec("job-1", 2));
+    lower_priority.spec.priority = PriorityClass::kIdle;
+    Job& same_priority = add_job(job_spec("job-2", 2));
+    ASSERT_EQ(schedule_for({&first, &second}).size(), 4U) << "the limit is used up";
+    mark_committed(lower_priority);
+    mark_committed(same_priority);
     now += 1;
     Job& gang = add_job(job_spec("job-3", 3, JobKind::kGang));
-    JobSpec idle = job_spec("job-5", 1);
-    idle.priority = PriorityClass::kIdle;
-    Job& lower = add_job(idle);
+    JobSpec idle_spec = job_spec("job-5", 1);
+    idle_spec.priority = PriorityClass::kIdle;
+    Job& idle_job = add_job(idle_spec);
     config.teams[0].gpus_max = 5;
-    EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty())
-        << "what is free is kept from lower work";
-    EXPECT_EQ(lower.wait.reason, WaitReason::kTeamLimit);
+    EXPECT_TRUE(schedule_for({&first, &second, cluster.machine("vm-3")}).empty())
+        << "the free part of the limit is reserved against lower-priority work";
+    EXPECT_EQ(idle_job.wait.reason, WaitReason::kTeamLimit);
     config.teams[0].gpus_max = 4;
     now += settings.begin_bound_s + 1;
     schedule_for({&first});
-    auto stopping = [&](Job& job) {
+    auto count_stopping_tasks = [&](Job& job) {
         return std::count_if(job.live.begin(), job.live.end(), [](auto& p) { return p.second.stopping; });
     };
-    EXPECT_EQ(stopping(low), 0) << "stopping them would not do, there is too little of it";
+    EXPECT_EQ(count_stopping_tasks(lower_priority), 0)
+        << "preempting them would not free enough of the limit";
     gang.spec.tasks = 2;
     gang.pending = Ranges::whole(2);
     schedule_for({&first});
-    EXPECT_EQ(stopping(low), 2);
-    EXPECT_EQ(stopping(same), 0);
-    // Not enough came free, and a small job comes.
+    EXPECT_EQ(count_stopping_tasks(lower_priority), 2);
+    EXPECT_EQ(count_stopping_tasks(same_priority), 0);
+    // Too little of the limit was freed, and a small job arrives.
     gang.spec.tasks = 3;
     gang.pending = Ranges::whole(3);
-    low.cancelled = true;
-    for (const auto& r : std::vector(jobs.on_machine("vm-1")))
-        if (r.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
+    lower_priority.cancelled = true;
+    for (const auto& placed : std::vector(jobs.on_machine("vm-1")))
+        if (placed.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
     add_job(job_spec("job-4", 1));
-    EXPECT_TRUE(schedule_for({&first, &y}).empty()) << "what is free of the limit is kept";
+    EXPECT_TRUE(schedule_for({&first, &second}).empty()) << "the free part of the limit is reserved";
     EXPECT_EQ(gang.wait.reason, WaitReason::kTeamLimit);
-    // Now the limit would do, but machines are missing: it stays kept, or what was stopped for the gang
-    // would be started again, and stopped again.
+    // The limit would now suffice, but machines are missing. The limit stays reserved; otherwise the work
+    // preempted for the gang would start again and be preempted again.
     config.teams[0].gpus_max = cluster.teams["team"].gpus + 2;
     gang.spec.tasks = 2;
     gang.spec.single_zone = true;
     gang.spec.zone = std::string("b");
     gang.pending = Ranges::whole(2);
-    EXPECT_TRUE(schedule_for({&first, &y, cluster.machine("vm-3")}).empty());
+    EXPECT_TRUE(schedule_for({&first, &second, cluster.machine("vm-3")}).empty());
     EXPECT_EQ(gang.wait.reason, WaitReason::kGangRoom);
 }
 
-// What is kept of the limit for a starved gang does not count against itself: it still keeps the machines
-// that come free.
-TEST_F(GangReservation, AStarvedGangReservesLimitAndMachines) {
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
-    JobSpec longer = job_spec("job-1", 1);
-    longer.gpus = 2;
-    longer.estimate_s = 300;
-    Job& busy = add_job(longer);
-    jobs.bind(busy, 0, y, 1, now);
+// The limit reserved for a starved gang does not count against the gang itself: it still gets reservations
+// on machines that become free.
+TEST_F(GangReservation, StarvedGangReservesLimitAndMachines) {
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
+    JobSpec long_spec = job_spec("job-1", 1);
+    long_spec.gpus = 2;
+    long_spec.estimate_s = 300;
+    Job& busy = add_job(long_spec);
+    jobs.bind(busy, 0, second, 1, now);
     mark_committed(busy);
     config.teams[0].gpus_max = 6;
     JobSpec gang_spec = job_spec("job-2", 2, JobKind::kGang);
@@ -110,14 +113,14 @@
     Team other;
     other.name = "other";
     config.teams.push_back(other);
-    JobSpec theirs = job_spec("job-3", 1);
-    theirs.team = "other";
-    theirs.estimate_s = 900;
+    JobSpec other_teams_job = job_spec("job-3", 1);
+    other_teams_job.team = "other";
+    other_teams_job.estimate_s = 900;
     now += settings.begin_bound_s + 1;
-    add_job(theirs);
-    EXPECT_TRUE(schedule_for({&first}).empty()) << "the machine is kept, from other teams as well";
+    add_job(other_teams_job);
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "the machine is reserved, also against other teams";
     jobs.machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
-    EXPECT_EQ(schedule_for({&first, &y}).size(), 2U);
+    EXPECT_EQ(schedule_for({&first, &second}).size(), 2U);
 }
--- a/tests/scheduler/preemption_test.cc
+++ b/tests/scheduler/preemption_test.cc
@@ -1,4 +1,4 @@
-// Which running work is preempted, and for what.
+// Which running tasks are preempted, and for which jobs.
 #include <gtest/gtest.h>
 
 #include "standins/scheduling_fixture.h"
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_F(Preemption, PreemptsOnlyWorkThatMustYield) {
+TEST_F(Preemption, PreemptsForGuaranteeButNotForEqualPriority) {
     config.teams[0].gpus_max = 0;
     Team guaranteed;
     guaranteed.name = "other";
@@ -28,25 +28,25 @@
                          heartbeat(first, {task_status("job-1", 0, 1, TaskPhase::kRunning),
                                            task_status("job-1", 1, 2, TaskPhase::kRunning)}),
                          Absence::kProven, now);
-    auto stopping = [&] {
+    auto count_stopping_tasks = [&] {
         return std::count_if(low.live.begin(), low.live.end(), [](auto& p) { return p.second.stopping; });
     };
-    JobSpec same = job_spec("job-2", 1, JobKind::kGang);
-    add_job(same);
+    JobSpec equal_priority = job_spec("job-2", 1, JobKind::kGang);
+    add_job(equal_priority);
     schedule_for({&first});
-    EXPECT_EQ(stopping(), 0) << "not for work of the same priority";
-    JobSpec owed = job_spec("job-3", 1);
-    owed.team = "other";
-    add_job(owed);
+    EXPECT_EQ(count_stopping_tasks(), 0) << "no preemption for equal priority";
+    JobSpec guaranteed_job = job_spec("job-3", 1);
+    guaranteed_job.team = "other";
+    add_job(guaranteed_job);
     schedule_for({&first});
-    EXPECT_EQ(stopping(), 1) << "for another team's guarantee, one task is enough";
-    EXPECT_GT(std::max(low.live.at(0).grace_s, low.live.at(1).grace_s), 2) << "with time to save";
+    EXPECT_EQ(count_stopping_tasks(), 1) << "one task is preempted for another team's guarantee";
+    EXPECT_GT(std::max(low.live.at(0).grace_s, low.live.at(1).grace_s), 2) << "the task gets time to save";
 }
 
-// A gang of high priority needs two whole machines of four that run work which yields. It takes those where
-// least is lost: not those whose tasks have only just started, which would not even count as started, nor the
-// one that is furthest from its last checkpoint.
-TEST_F(Preemption, StopsWorkWhereLeastIsLost) {
+// A high-priority gang needs two of four machines, all of which run preemptible work. It takes those where
+// the least is lost: neither the tasks that have just started, which would not count as started, nor those
+// that are furthest from their last checkpoint.
+TEST_F(Preemption, PreemptsTasksWithLeastLoss) {
     config.teams[0].gpus_max = 0;
     std::vector<Job*> low;
     for (int i = 0; i < 4; ++i) {
@@ -57,21 +57,21 @@
         for (auto& [n, p] : job.live) p.acknowledged = true;
     }
     now = 1000;
-    Seconds began[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints come every 10 s
+    Seconds running_since[] = {now - 5, now - 100, now - 109, now - 101};  // checkpoints are taken every 10 s
     for (size_t i = 0; i < 4; ++i)
-        for (auto& [n, p] : low[i]->live) p.running_since = began[i];
+        for (auto& [n, p] : low[i]->live) p.running_since = running_since[i];
     JobSpec spec = job_spec("job-9", 2, JobKind::kGang);
     spec.gpus = 2;
     spec.cpus = 8;
     spec.priority = PriorityClass::kHigh;
     add_job(spec);
     schedule_for({});
-    auto stopping = [&](size_t i) {
+    auto count_stopping_tasks = [&](size_t i) {
         return std::count_if(low[i]->live.begin(), low[i]->live.end(),
                              [](auto& p) { return p.second.stopping; });
     };
-    EXPECT_EQ(stopping(0), 0);
-    EXPECT_EQ(stopping(1), 2);
-    EXPECT_EQ(stopping(2), 0);
-    EXPECT_EQ(stopping(3), 2);
+    EXPECT_EQ(count_stopping_tasks(0), 0);
+    EXPECT_EQ(count_stopping_tasks(1), 2);
+    EXPECT_EQ(count_stopping_tasks(2), 0);
+    EXPECT_EQ(count_stopping_tasks(3), 2);
 }
--- a/tests/scheduler/queue_order_test.cc
+++ b/tests/scheduler/queue_order_test.cc
@@ -1,4 +1,4 @@
-// Which waiting job is served first.
+// The order in which waiting jobs are served.
 #include <gtest/gtest.h>
 
 #include "standins/scheduling_fixture.h"
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-// When more has come than can be done in time, serving the oldest first would make all of it late in turn.
-TEST_F(QueueOrder, ServesWhatCanStillMakeItsDeadlineBeforeWhatCannot) {
+// Under overload, serving the oldest job first would make every job miss its deadline in turn.
+TEST_F(QueueOrder, ServesJobsThatCanMeetTheirDeadlineFirst) {
     config.teams[0].gpus_max = 2;
     JobSpec old = job_spec("job-1", 4), young = job_spec("job-2", 2);
     old.due_s = young.due_s = 100;
@@ -22,17 +22,18 @@
     now += 80;
     add_job(young);
     Machine& machine = add_machine("vm-1");
-    auto b = schedule_for({&machine});
-    ASSERT_EQ(b.size(), 2U);
-    EXPECT_EQ(b[0].job->spec.id, "job-2");
-    EXPECT_EQ(b[1].job->spec.id, "job-2");
+    auto bindings = schedule_for({&machine});
+    ASSERT_EQ(bindings.size(), 2U);
+    EXPECT_EQ(bindings[0].job->spec.id, "job-2");
+    EXPECT_EQ(bindings[1].job->spec.id, "job-2");
 }
 
-// A large gang of low standing behind a stream of work that goes before it by priority, guarantee or
-// lateness: after the bound it goes first, and what comes free is kept for it until it can begin.
-TEST_F(QueueOrder, AStarvedJobGoesBeforeAllOthers) {
+// A large low-priority gang waits behind a stream of jobs that precede it by priority, guarantee or missed
+// objectives. Once it is starved it is served first, and machines that become free are reserved for it
+// until it can start.
+TEST_F(QueueOrder, StarvedJobIsServedFirst) {
     config.teams[0].gpus_max = 0;
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     JobSpec large = job_spec("job-1", 2, JobKind::kGang);
     large.gpus = 2;
     large.single_zone = true;
@@ -42,38 +43,38 @@
     late.due_s = 10;
     late.priority = PriorityClass::kIdle;
     Job& overdue = add_job(late);
-    int next = 10;
-    auto stream = [&] {
-        JobSpec spec = job_spec("job-" + std::to_string(next++), 4);
+    int next_id = 10;
+    auto add_high_priority_job = [&] {
+        JobSpec spec = job_spec("job-" + std::to_string(next_id++), 4);
         spec.priority = PriorityClass::kHigh;
         return &add_job(spec);
     };
-    stream();
-    ASSERT_EQ(schedule_for({&first, &y}).size(), 4U);
+    add_high_priority_job();
+    ASSERT_EQ(schedule_for({&first, &second}).size(), 4U);
     EXPECT_TRUE(old.live.empty());
     now += settings.begin_bound_s + 1;
-    stream();
-    // One machine comes free: it is kept, whatever else waits.
+    add_high_priority_job();
+    // One machine becomes free and is reserved for the gang, whatever else waits.
     jobs.machine_deleted("vm-1", now);
     EXPECT_TRUE(schedule_for({&first}).empty());
     jobs.erase("job-10");
     jobs.machine_deleted("vm-2", now);
-    auto b = schedule_for({&first, &y});
-    ASSERT_EQ(b.size(), 2U);
-    EXPECT_EQ(b[0].job, &old);
-    // The late array has its turn before what came after it, too, and only until it has begun.
+    auto bindings = schedule_for({&first, &second});
+    ASSERT_EQ(bindings.size(), 2U);
+    EXPECT_EQ(bindings[0].job, &old);
+    // The starved array is also served before later jobs, but only until its first task has started.
     jobs.machine_deleted("vm-1", now);
     jobs.machine_deleted("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
-    b = schedule_for({&first, &y});
-    ASSERT_EQ(b.size(), 4U);
-    EXPECT_EQ(b[0].job, &overdue);
-    EXPECT_NE(b[1].job, &overdue);
+    bindings = schedule_for({&first, &second});
+    ASSERT_EQ(bindings.size(), 4U);
+    EXPECT_EQ(bindings[0].job, &overdue);
+    EXPECT_NE(bindings[1].job, &overdue);
 }
 
-// In an overload an array that lost the aim for its start goes after one that can still make it.
-TEST_F(QueueOrder, ServesArraysThatCanMakeTheirStartObjectiveFirst) {
+// Under overload, an array that missed its start objective is served after one that can still meet it.
+TEST_F(QueueOrder, ServesArraysThatCanMeetTheirStartObjectiveFirst) {
     config.wait_within["c"] = {50, 100};
     config.teams[0].gpus_max = 2;
     JobSpec old = job_spec("job-1", 2), young = job_spec("job-2", 2);
@@ -82,16 +83,16 @@
     now += 60;
     add_job(young);
     Machine& machine = add_machine("vm-1");
-    auto b = schedule_for({&machine});
-    ASSERT_EQ(b.size(), 2U);
-    EXPECT_EQ(b[0].job->spec.id, "job-2");
-    EXPECT_EQ(b[1].job->spec.id, "job-2");
+    auto bindings = schedule_for({&machine});
+    ASSERT_EQ(bindings.size(), 2U);
+    EXPECT_EQ(bindings[0].job->spec.id, "job-2");
+    EXPECT_EQ(bindings[1].job->spec.id, "job-2");
 }
 
-// A task that was stopped after its start has made its start aim or not; only its end is still open. Put
-// behind the first starts of younger arrays for start aims that no longer matter, old arrays were not done in
-// time.
-TEST_F(QueueOrder, StartObjectivesDoNotHoldBackStartedJobs) {
+// Once a task has started, its start objective is met or missed for good; only the completion objective is
+// still open. When preempted arrays were queued behind the first starts of younger arrays because of missed
+// start objectives, old arrays were not completed in time.
+TEST_F(QueueOrder, MissedStartObjectiveDoesNotDelayStartedJob) {
     config.wait_within["c"] = {50, 100};
     config.finish_within["c"] = 400;
     JobSpec spec = job_spec("job-1", 2);
@@ -105,8 +106,8 @@
     cluster.machines.erase("vm-1");
     spec.id = "job-2";
     add_job(spec);
-    auto b = schedule_for({&add_machine("vm-2")});
-    ASSERT_EQ(b.size(), 2U);
-    EXPECT_EQ(b[0].job->spec.id, "job-1");
-    EXPECT_EQ(b[1].job->spec.id, "job-1");
+    auto bindings = schedule_for({&add_machine("vm-2")});
+    ASSERT_EQ(bindings.size(), 2U);
+    EXPECT_EQ(bindings[0].job->spec.id, "job-1");
+    EXPECT_EQ(bindings[1].job->spec.id, "job-1");
 }
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -1,4 +1,4 @@
-// Where replicas of services are placed, and what they preempt.
+// Placement of service replicas, and preemption for them.
 #include <gtest/gtest.h>
 
 #include "base/constants.h"
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_F(ServicePlacement, EndsNoOtherWorkAndYieldsToNone) {
+TEST_F(ServicePlacement, ReplicasAreNotPreempted) {
     Machine& machine = add_machine("vm-1");
     JobSpec low = service_spec("job-1", 4);
     low.priority = PriorityClass::kIdle;
@@ -30,9 +30,9 @@
     EXPECT_EQ(count_stopping(job), 0U);
 }
 
-// Nor is it expected to come free by itself, whatever its user gave as an estimate.
-TEST_F(ServicePlacement, IsNotExpectedToComeFree) {
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+// The estimate that a user gives for a service is ignored: replicas do not end by themselves.
+TEST_F(ServicePlacement, ReplicasAreNotExpectedToEnd) {
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     JobSpec spec = service_spec("job-1", 1);
     spec.cpus = 16;
     spec.gpus = 1;
@@ -42,116 +42,119 @@
     ASSERT_EQ(start_on({&first}), 1U);
     now += 25;
     report_tasks(first);
-    // An array that waits is not put off until a replica ends.
+    // A waiting array is not delayed until a replica ends.
     Job& busy = add_job(batch_spec("job-2", 1, PriorityClass::kStandard));
-    jobs.bind(busy, 0, y, 1, now);
-    Job& waits = add_job(batch_spec("job-3", 1, PriorityClass::kStandard));
+    jobs.bind(busy, 0, second, 1, now);
+    Job& waiting = add_job(batch_spec("job-3", 1, PriorityClass::kStandard));
     EXPECT_EQ(plan().scale_out.size(), 1U);
-    jobs.erase(waits.spec.id);
-    // And a gang that would need its machine is not in sight: what is kept for it meanwhile is lent.
+    jobs.erase(waiting.spec.id);
+    // A gang that would need the replica's machine has no expected start, so its reservation may be
+    // backfilled meanwhile.
     jobs.erase(busy.spec.id);
     JobSpec gang_spec = batch_spec("job-4", 2, PriorityClass::kStandard);
     gang_spec.kind = JobKind::kGang;
     add_job(gang_spec);
     add_job(batch_spec("job-5", 1, PriorityClass::kStandard));
-    auto b = schedule_for({&y});
-    ASSERT_EQ(b.size(), 1U);
-    EXPECT_EQ(b[0].job->spec.id, "job-5");
+    auto bindings = schedule_for({&second});
+    ASSERT_EQ(bindings.size(), 1U);
+    EXPECT_EQ(bindings[0].job->spec.id, "job-5");
 }
 
-TEST_F(ServicePlacement, OfProductionRankPreemptsLowerWorkAtOnce) {
+TEST_F(ServicePlacement, ProductionServicePreemptsLowerPriorityAtOnce) {
     Machine& first = add_machine("vm-1");
     Job& low = add_job(batch_spec("job-1", 1, PriorityClass::kHigh));
     ASSERT_EQ(start_on({&first}), 1U);
     add_job(service_spec("job-2", 1));
     EXPECT_TRUE(schedule_for({&first}).empty());
     EXPECT_EQ(count_stopping(low), 1U);
-    EXPECT_TRUE(schedule_for({&first}).empty()) << "not before the old task has exited";
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "the preempted task has not exited yet";
     carry_out_commands(first);
-    auto b = schedule_for({&first});
-    ASSERT_FALSE(b.empty());
-    EXPECT_EQ(b[0].job->spec.id, "job-2") << "it goes first";
+    auto bindings = schedule_for({&first});
+    ASSERT_FALSE(bindings.empty());
+    EXPECT_EQ(bindings[0].job->spec.id, "job-2") << "the service is served first";
 }
 
-// Also work within its team's guarantee, and a gang as a whole, if nothing else gives room.
-TEST_F(ServicePlacement, OfProductionRankPreemptsGangsAndGuaranteedWorkOfLowerRank) {
-    Team sure;
-    sure.name = "sure";
-    sure.gpus = 100;
-    config.teams.push_back(sure);
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+// If nothing else makes room, a service of production priority also preempts work within its team's
+// guarantee, and whole gangs.
+TEST_F(ServicePlacement, ProductionServicePreemptsGangsAndGuaranteedWork) {
+    Team guaranteed;
+    guaranteed.name = "guaranteed";
+    guaranteed.gpus = 100;
+    config.teams.push_back(guaranteed);
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     JobSpec gang_spec = batch_spec("job-1", 2, PriorityClass::kHigh);
     gang_spec.kind = JobKind::kGang;
-    gang_spec.team = "sure";
+    gang_spec.team = "guaranteed";
     Job& gang = add_job(gang_spec);
-    ASSERT_EQ(start_on({&first, &y}), 2U);
-    // Of equal rank it does not.
+    ASSERT_EQ(start_on({&first, &second}), 2U);
+    // A service of equal priority preempts nothing.
     Job& equal = add_job(service_spec("job-2", 1));
     equal.spec.priority = PriorityClass::kHigh;
-    schedule_for({&first, &y});
+    schedule_for({&first, &second});
     EXPECT_EQ(count_stopping(gang), 0U);
     equal.spec.priority = PriorityClass::kProduction;
-    schedule_for({&first, &y});
+    schedule_for({&first, &second});
     EXPECT_EQ(count_stopping(gang), 2U);
 }
 
-// Room is made where the zones allow a replica, not where there is most to take.
-TEST_F(ServicePlacement, PreemptsOnlyInZonesThatMayStillTakeAReplica) {
-    Machine &in_a = add_machine("vm-1"), &b = add_machine("vm-2", "b");
+// Work is preempted in a zone where the replica may start, not where preemption would free most room.
+TEST_F(ServicePlacement, PreemptsOnlyInZonesAllowedForReplica) {
+    Machine &in_a = add_machine("vm-1"), &in_b = add_machine("vm-2", "b");
     Job& low = add_job(batch_spec("job-2", 1, PriorityClass::kStandard));
-    ASSERT_EQ(start_on({&b}), 1U);
+    ASSERT_EQ(start_on({&in_b}), 1U);
     JobSpec spec = service_spec("job-1", 2);
     spec.spread_across_zones = true;
     Job& job = add_job(spec);
-    ASSERT_EQ(schedule_for({&in_a}).size(), 1U) << "half, rounded up, though there is room for both";
+    ASSERT_EQ(schedule_for({&in_a}).size(), 1U)
+        << "half of the replicas, rounded up, although there is room for both";
     EXPECT_EQ(count_stopping(low), 1U);
     EXPECT_EQ(job.pending.size(), 1U);
-    // Without the lower work it is a machine of that zone that is rented.
+    // Without the lower-priority work, a machine is requested in that zone.
     jobs.erase("job-2");
     cluster.machines.erase("vm-2");
-    ScalingPlan plan_made = plan();
-    ASSERT_EQ(plan_made.scale_out.size(), 1U);
-    EXPECT_EQ(plan_made.scale_out[0].kind.zone, "b");
+    ScalingPlan scaling_plan = plan();
+    ASSERT_EQ(scaling_plan.scale_out.size(), 1U);
+    EXPECT_EQ(scaling_plan.scale_out[0].kind.zone, "b");
 }
 
-TEST_F(ServicePlacement, SpreadsReplacementsAcrossZonesToo) {
-    std::vector<Machine*> a, b;
-    for (int i = 0; i < 4; ++i) a.push_back(&add_machine("vm-a" + std::to_string(i)));
-    for (int i = 0; i < 4; ++i) b.push_back(&add_machine("vm-b" + std::to_string(i), "b"));
+TEST_F(ServicePlacement, SpreadsReplacementsAcrossZones) {
+    std::vector<Machine*> in_a, in_b;
+    for (int i = 0; i < 4; ++i) in_a.push_back(&add_machine("vm-a" + std::to_string(i)));
+    for (int i = 0; i < 4; ++i) in_b.push_back(&add_machine("vm-b" + std::to_string(i), "b"));
     JobSpec spec = service_spec("job-1", 5);
     spec.spread_across_zones = true;
     Job& job = add_job(spec);
-    EXPECT_EQ(start_on(a), 3U);
-    EXPECT_EQ(start_on(a), 0U) << "half, rounded up, is there";
-    EXPECT_EQ(start_on(b), 2U);
-    std::string lost;
+    EXPECT_EQ(start_on(in_a), 3U);
+    EXPECT_EQ(start_on(in_a), 0U) << "half of the replicas, rounded up, are already there";
+    EXPECT_EQ(start_on(in_b), 2U);
+    std::string lost_machine;
     for (const auto& [task, p] : job.live)
-        if (p.zone == "b") lost = p.machine;
+        if (p.zone == "b") lost_machine = p.machine;
     now += 60;
-    jobs.machine_deleted(lost, now);
-    cluster.machines.erase(lost);
-    tasks_on.erase(lost);
-    EXPECT_EQ(start_on(a), 0U);
-    std::vector<Machine*> left;
-    for (auto& [name, h] : cluster.machines)
-        if (h->zone == "b") left.push_back(h.get());
-    EXPECT_EQ(start_on(left), 1U);
+    jobs.machine_deleted(lost_machine, now);
+    cluster.machines.erase(lost_machine);
+    tasks_on.erase(lost_machine);
+    EXPECT_EQ(start_on(in_a), 0U);
+    std::vector<Machine*> remaining;
+    for (auto& [name, machine] : cluster.machines)
+        if (machine->zone == "b") remaining.push_back(machine.get());
+    EXPECT_EQ(start_on(remaining), 1U);
     EXPECT_EQ(placements_by(job, &Placement::zone), (std::map<std::string, int>{{"a", 3}, {"b", 2}}));
 }
 
-// One loss takes one replica, and a wave of spot machines taken back at most half.
-TEST_F(ServicePlacement, SpreadsOverMachinesAndKinds) {
+// Losing one machine loses one replica, and a wave of spot reclaims loses at most half of the replicas.
+TEST_F(ServicePlacement, SpreadsReplicasOverMachinesAndSpotKinds) {
     std::vector<Machine*> all;
     for (int i = 0; i < 4; ++i)
         all.push_back(&add_machine("vm-" + std::to_string(i), MachineKind{"g2", "a", i < 2}));
     JobSpec spec = service_spec("job-1", 4);
     spec.spot = true;
     Job& job = add_job(spec);
-    EXPECT_EQ(start_on({all[0]}), 1U) << "the others of this machine wait for other machines";
+    EXPECT_EQ(start_on({all[0]}), 1U) << "the other replicas wait for other machines";
     EXPECT_EQ(job.wait.reason, WaitReason::kHeldForSpread);
     EXPECT_EQ(start_on(all), 3U);
     EXPECT_EQ(placements_by(job, &Placement::machine).size(), 4U);
-    // Not for long: a machine that asks is better than one that may ask.
+    // The wait is bounded: a machine that requests work now is better than one that may do so later.
     Job& other_job = add_job(service_spec("job-2", 3));
     EXPECT_EQ(start_on({all[2]}), 1U);
     now += constants::kReplicaSpreadWait_s;
@@ -159,7 +162,7 @@
     now += constants::kReplicaSpreadWait_s;
     EXPECT_EQ(start_on({all[2]}), 1U);
     EXPECT_EQ(other_job.live.size(), 3U);
-    // Three on spot machines would be too many of four.
+    // Three replicas on spot machines would be more than half of four.
     add_spot_machine("vm-9");
     spec.id = "job-3";
     Job& spot_job = add_job(spec);
@@ -168,29 +171,30 @@
     EXPECT_EQ(spot_job.live.size(), 4U);
 }
 
-TEST_F(ServicePlacement, WaitsForAnImageOnlyWhereThatIsSooner) {
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+TEST_F(ServicePlacement, WaitsForCachedImageOnlyIfSooner) {
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     JobSpec spec = service_spec("job-1", 1);
-    spec.image_gb = 1;  // fetched in a second; the holder's next report may be four away
+    spec.image_gb = 1;  // the fetch takes 1 s; the next heartbeat of the machine with the image may take 4 s
     first.cache.use(spec.image, 1);
     add_job(spec);
-    EXPECT_EQ(schedule_for({&y}).size(), 1U);
+    EXPECT_EQ(schedule_for({&second}).size(), 1U);
     spec.id = "job-2";
     spec.image_gb = 10;
     add_job(spec);
-    EXPECT_TRUE(schedule_for({&y}).empty());
+    EXPECT_TRUE(schedule_for({&second}).empty());
     EXPECT_EQ(schedule_for({&first}).size(), 1U);
-    // For half as long as the fetch takes.
+    // A replica waits at most half as long as the fetch takes.
     spec.id = "job-3";
     spec.image_gb = 5;
     add_job(spec);
-    EXPECT_TRUE(schedule_for({&y}).empty());
+    EXPECT_TRUE(schedule_for({&second}).empty());
     now += 2.5;
-    EXPECT_EQ(schedule_for({&y}).size(), 1U);
+    EXPECT_EQ(schedule_for({&second}).size(), 1U);
 }
 
-// Work that never ends is not lent what is kept for a gang, and is never late.
-TEST_F(ServicePlacement, IsNotBackfilledAsShortWork) {
+// A service never ends, so it must not backfill the room reserved for a gang; and it has no deadline or
+// start objective to miss.
+TEST_F(ServicePlacement, ServiceIsNotBackfilledAsShortWork) {
     config.wait_within["c"] = {2};
     JobSpec spec = service_spec("job-1", 1);
     spec.job_class = "c";
@@ -201,11 +205,11 @@
     now += 50;
     EXPECT_EQ(job.missed_objectives(config, now), 0);
     EXPECT_FALSE(job.likely_late(config, now));
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     Job& busy = add_job(batch_spec("job-2", 1, PriorityClass::kStandard));
-    jobs.bind(busy, 0, y, 1, now);
+    jobs.bind(busy, 0, second, 1, now);
     JobSpec gang_spec = batch_spec("job-3", 2, PriorityClass::kStandard);
     gang_spec.kind = JobKind::kGang;
     add_job(gang_spec);
-    EXPECT_TRUE(schedule_for({&first}).empty()) << "kept for the gang, which waits for the other machine";
+    EXPECT_TRUE(schedule_for({&first}).empty()) << "reserved for the gang, which waits for the other machine";
 }
--- a/tests/scheduler/starvation_test.cc
+++ b/tests/scheduler/starvation_test.cc
@@ -1,8 +1,9 @@
-// A gang that waits on a full fleet, seen by a new leader, without I/O.
+// A gang that waits on a full fleet, as a new leader sees it. No I/O.
 //
-// What is guarded against: a gang needs room on machines and a part of its team's limit at once. While
-// machines were lacking the limit was given to the team's lower work; when machines came free the limit was
-// lacking, and no room was kept meanwhile. On a full fleet the two took turns until the gang starved.
+// Guards against starvation of gangs: a gang needs machines and part of its team's limit at the same time.
+// While machines were missing, the limit was given to the team's lower-priority work; when machines became
+// free, the limit was missing and no room was reserved meanwhile. On a full fleet the two shortages
+// alternated until the gang starved.
 #include <gtest/gtest.h>
 
 #include "jobs/resource_accounting.h"
@@ -15,8 +16,9 @@
 
 constexpr Seconds kNow = 1000;
 constexpr double kWallNow = 50'000;
-constexpr Seconds kGangRoomIn_s = 100;  // when the last machine for the gang is expected to come free
-constexpr Seconds kGangAge_s = 60;      // far from starving
+constexpr Seconds kGangExpectedWait_s =
+    100;                            // until the last machine for the gang is expected to become free
+constexpr Seconds kGangAge_s = 60;  // far below begin_bound_s
 
 struct Starvation : testing::Test {
     Config config;
@@ -26,8 +28,8 @@
     uint64_t revision = 1;
     Machine* other_zone = nullptr;
 
-    // Zone "a" has an idle machine and one that is taken by another team; the gang needs both, and all of its
-    // team's limit. Zone "b" has an idle machine that the gang may not use.
+    // Zone "a" has an idle machine and one used by another team; the gang needs both, and all of its team's
+    // limit. Zone "b" has an idle machine that the gang may not use.
     Starvation() {
         config.zones = {"a", "b"};
         config.value_bytes = 8192;
@@ -40,10 +42,10 @@
         busy.gpus_max = 100;
         config.teams = {waiting, busy};
 
-        report("vm-1", "a", {});
+        receive_heartbeat("vm-1", "a", {});
         inherit(whole_machine("running", "busy", 1), 0, {{0, {1, "vm-2", "a"}}});
-        report("vm-2", "a", {{{"running", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false}});
-        other_zone = &report("vm-3", "b", {});
+        receive_heartbeat("vm-2", "a", {{{"running", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false}});
+        other_zone = &receive_heartbeat("vm-3", "b", {});
         inherit(whole_machine("gang", "waiting", 2), kGangAge_s);
     }
 
@@ -59,22 +61,22 @@
         spec.memory_gb = machine_type.memory_gb;
         spec.zone = "a";
         spec.single_zone = true;
-        spec.estimate_s = kGangRoomIn_s;
+        spec.estimate_s = kGangExpectedWait_s;
         return spec;
     }
 
-    JobSpec array(PriorityClass rank, Seconds estimate_s) {
+    JobSpec array(PriorityClass priority, Seconds estimate_s) {
         JobSpec spec;
         spec.id = "array";
         spec.team = "waiting";
-        spec.priority = rank;
+        spec.priority = priority;
         spec.tasks = 1;
         spec.cpus = spec.gpus = spec.memory_gb = 1;
         spec.estimate_s = estimate_s;
         return spec;
     }
 
-    // As a leader reads it at its take-over.
+    // Loads a job as a new leader does after a failover.
     Job& inherit(JobSpec spec, Seconds age_s, std::map<uint32_t, PlacementRecord> live = {}) {
         JobRecord record;
         record.accepted_wall = {kWallNow - age_s};
@@ -84,22 +86,23 @@
         return jobs.load(record, ++revision, kNow, {kWallNow});
     }
 
-    Machine& report(const std::string& name, const std::string& zone, std::vector<TaskStatus> tasks) {
+    Machine& receive_heartbeat(const std::string& name, const std::string& zone,
+                               std::vector<TaskStatus> tasks) {
         Machine& machine = cluster.ensure(name, kNow);
-        WorkerHeartbeat report;
-        report.machine = name;
-        report.zone = zone;
-        report.machine_type = cluster.machine_types.front().name;
-        report.incarnation = 1;
-        report.sequence = 1;
-        report.tasks = std::move(tasks);
+        WorkerHeartbeat heartbeat;
+        heartbeat.machine = name;
+        heartbeat.zone = zone;
+        heartbeat.machine_type = cluster.machine_types.front().name;
+        heartbeat.incarnation = 1;
+        heartbeat.sequence = 1;
+        heartbeat.tasks = std::move(tasks);
         machine.heartbeat_received = machine.has_current_token = true;
-        jobs.apply_heartbeat(cluster, machine, report, Absence::kProven, kNow);
+        jobs.apply_heartbeat(cluster, machine, heartbeat, Absence::kProven, kNow);
         return machine;
     }
 
-    // The machine in the other zone asks for work.
-    std::vector<Binding> round() {
+    // Runs a scheduling pass in which the machine in the other zone requests work.
+    std::vector<Binding> run_pass() {
         recount(cluster, jobs, kNow, 10);
         return schedule(cluster, jobs, {config, settings, kNow, {other_zone}, kNewestRecordFormat});
     }
@@ -107,31 +110,31 @@
 
 }  // namespace
 
-TEST_F(Starvation, AGangThatLacksMachinesKeepsItsTeamsLimitFromLowerWork) {
-    inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
-    EXPECT_TRUE(round().empty()) << "it would still hold the limit when the machines come free";
+TEST_F(Starvation, GangWithoutMachinesReservesLimitAgainstLowerPriority) {
+    inherit(array(PriorityClass::kIdle, 2 * kGangExpectedWait_s), 5);
+    EXPECT_TRUE(run_pass().empty()) << "the array would still use the limit when the machines become free";
     EXPECT_EQ(jobs.find("gang")->wait.reason, WaitReason::kGangRoom);
     EXPECT_EQ(jobs.find("array")->wait.reason, WaitReason::kTeamLimit);
 }
 
-TEST_F(Starvation, TheLimitIsLentToLowerWorkThatEndsBeforeTheGangHasRoom) {
-    inherit(array(PriorityClass::kIdle, kGangRoomIn_s / 2), 5);
-    EXPECT_EQ(round().size(), 1U);
+TEST_F(Starvation, ReservedLimitIsBackfilledUntilGangHasRoom) {
+    inherit(array(PriorityClass::kIdle, kGangExpectedWait_s / 2), 5);
+    EXPECT_EQ(run_pass().size(), 1U);
 }
 
-TEST_F(Starvation, TheLimitIsLentWhileNoRoomIsInSight) {
+TEST_F(Starvation, LimitIsNotReservedWithoutExpectedRoom) {
     cluster.machine("vm-2")->cordoned = true;
-    inherit(array(PriorityClass::kIdle, 2 * kGangRoomIn_s), 5);
-    EXPECT_EQ(round().size(), 1U);
+    inherit(array(PriorityClass::kIdle, 2 * kGangExpectedWait_s), 5);
+    EXPECT_EQ(run_pass().size(), 1U);
 }
 
-TEST_F(Starvation, AGangThatDoesNotStarveKeepsNoLimitFromWorkOfItsOwnRank) {
-    inherit(array(PriorityClass::kStandard, 2 * kGangRoomIn_s), 5);
-    EXPECT_EQ(round().size(), 1U);
+TEST_F(Starvation, UnstarvedGangReservesNoLimitAgainstEqualPriority) {
+    inherit(array(PriorityClass::kStandard, 2 * kGangExpectedWait_s), 5);
+    EXPECT_EQ(run_pass().size(), 1U);
 }
 
-TEST_F(Starvation, AStarvedGangLendsNothingOfItsLimit) {
+TEST_F(Starvation, StarvedGangAllowsNoBackfillOfItsLimit) {
     jobs.find("gang")->accepted -= settings.begin_bound_s;
     inherit(array(PriorityClass::kIdle, 0), 5);
-    EXPECT_TRUE(round().empty()) << "not even to work that claims to take no time";
+    EXPECT_TRUE(run_pass().empty()) << "not even for a task with an estimate of zero";
 }
