--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -10,18 +10,19 @@
 
 namespace {
 
-constexpr size_t kPartitionMinSilent = 3;  // fewer silent machines do not show that a zone is cut off
+constexpr size_t kPartitionMinSilent = 3;  // fewer silent machines are no evidence of a partition
 
-// The machines of a zone that should report.
+// The machines of a zone that should send heartbeats.
 struct ZoneCount {
     size_t silent = 0;
-    size_t known = 0;
+    size_t total = 0;
 };
 
 }  // namespace
 
-// Machines that the cloud lists as running count, too, so that a new leader sees a partition that is older
-// than it. Counted before any machine is judged, lest the first to fall silent are deleted one by one.
+// Also counts machines that the cloud lists as running, so that a new leader detects a partition older than
+// its term. All machines are counted before any is evaluated; otherwise those that became silent first
+// would be deleted one by one.
 void MachineHealth::find_partitioned_zones() {
     std::map<std::string, ZoneCount> zones;
     for (const auto& [name, machine] : context_.cluster.machines) {
@@ -29,11 +30,11 @@
             machine->heartbeat_received || (machine->listed && machine->phase == MachinePhase::kRunning);
         if (!up || machine->phase == MachinePhase::kFailed) continue;
         ZoneCount& count = zones[machine->zone];
-        ++count.known;
+        ++count.total;
         if (silent(*machine) || machine->unreachable_since) ++count.silent;
     }
     for (const auto& [zone, count] : zones)
-        if (count.silent >= kPartitionMinSilent && count.silent * 2 > count.known)
+        if (count.silent >= kPartitionMinSilent && count.silent * 2 > count.total)
             context_.plan.partitioned_zones.insert(zone);
 }
 
@@ -41,17 +42,18 @@
     for (const auto& [name, machine] : context_.cluster.machines) {
         if (machine->deleting) continue;
         bool failed = machine->phase == MachinePhase::kFailed;
-        auto silence = failed ? std::nullopt : silence_reason(*machine);
-        auto reason = silence ? silence : reason_to_delete(*machine);
+        auto silent_reason = failed ? std::nullopt : reason_to_delete_silent(*machine);
+        auto reason = silent_reason ? silent_reason : reason_to_delete(*machine);
         if (!reason) continue;
-        context_.plan.scale_in.push_back({machine->name, *reason, silence.has_value()});
+        context_.plan.scale_in.push_back({machine->name, *reason, silent_reason.has_value()});
         scaled_in_.insert(machine.get());
     }
 }
 
 std::optional<ScaleInReason> MachineHealth::reason_to_delete(const Machine& machine) const {
     if (machine.phase == MachinePhase::kFailed) return ScaleInReason::kFailed;
-    // What runs on a machine that gets no answers ends with its lease; then nothing is lost by deleting it.
+    // The tasks of a machine that receives no responses end at lease expiry; after that, deleting the
+    // machine loses nothing.
     Seconds answers_lost_after = (partitioned(machine) ? 2 : 1) * context_.input.config.lease_s;
     if (machine.unreachable_since && context_.input.now - *machine.unreachable_since > answers_lost_after)
         return ScaleInReason::kAnswersLost;
@@ -60,11 +62,11 @@
     return std::nullopt;
 }
 
-std::optional<ScaleInReason> MachineHealth::silence_reason(const Machine& machine) const {
+std::optional<ScaleInReason> MachineHealth::reason_to_delete_silent(const Machine& machine) const {
     bool in_partition = partitioned(machine);
     Seconds lease_s = context_.input.config.lease_s;
     Seconds timeout = in_partition ? constants::kPartitionTimeoutLeases * lease_s : unreachable_after();
-    Seconds silent_for = silence(machine);
+    Seconds silent_for = time_since_heartbeat(machine);
     if (machine.phase == MachinePhase::kRunning && machine.heartbeat_received) {
         if (!machine.heartbeat_held && silent_for > timeout) return ScaleInReason::kUnreachable;
     } else if (machine.phase == MachinePhase::kRunning) {
@@ -79,8 +81,9 @@
     return std::nullopt;
 }
 
-// A report from before this leader's term may be a late copy, even of a machine long deleted: until the
-// machine takes up the fencing token or the cloud lists it, it provides no capacity.
+// A heartbeat from before this leader's term may be a delayed copy, even from a machine that was deleted
+// long ago. Until the machine adopts the current fencing token or the cloud lists it, it provides no
+// capacity.
 bool MachineHealth::provides_capacity(const Machine& machine) const {
     bool leaving = machine.deleting || machine.cordoned || machine.draining || machine.spot_reclaim_at ||
                    scaled_in_.contains(&machine);
@@ -90,9 +93,9 @@
     return !partitioned(machine) || !silent(machine);
 }
 
-// Counted anew from the end of a partition: when half of a zone is heard again, the rest is still on its way,
-// and was deleted at once for a silence that was the partition's.
-Seconds MachineHealth::silence(const Machine& machine) const {
+// Restarts at the end of a partition: when half of a zone sends heartbeats again, the others are still
+// reconnecting and must not be deleted for silence that the partition caused.
+Seconds MachineHealth::time_since_heartbeat(const Machine& machine) const {
     const ScalingInput& input = context_.input;
     Seconds since = std::max(machine.last_heartbeat, input.leading_since);
     auto partition = input.partitioned_at.find(machine.zone);
@@ -102,8 +105,9 @@
 }
 
 bool MachineHealth::silent(const Machine& machine) const {
-    return !machine.heartbeat_held && silence(machine) > constants::kSilentAfterHeartbeatIntervals *
-                                                             context_.input.config.heartbeat_interval_s;
+    return !machine.heartbeat_held &&
+           time_since_heartbeat(machine) >
+               constants::kSilentAfterHeartbeatIntervals * context_.input.config.heartbeat_interval_s;
 }
 
 Seconds MachineHealth::unreachable_after() const {
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -16,14 +16,14 @@
 
 namespace {
 
-// Jobs of a class are served together, all of them before the next class.
+// Whether two jobs are in the same class. All jobs of a class are served before the next class.
 bool same_class(const QueuedJob& a, const QueuedJob& b) {
     if (a.starved || b.starved) return a.starved == b.starved;
     return a.production_service == b.production_service && a.within_guarantee == b.within_guarantee &&
            a.job->spec.priority == b.job->spec.priority;
 }
 
-bool placed_whole(const Job& job) {
+bool is_multi_task_gang(const Job& job) {
     return job.spec.gang() && job.spec.tasks > 1;
 }
 
@@ -49,14 +49,15 @@
     }
 
   private:
-    // In queue order: tasks that are placed one by one are pulled by the requesting machines; a gang of
-    // several tasks is placed whole, or reserves the room that it waits for from all jobs that come after it.
+    // Serves the jobs in queue order. Tasks that are placed one by one are pulled by the requesting
+    // machines. A gang of several tasks is placed as a whole, or reserves the room it waits for against all
+    // jobs after it.
     void serve_class(std::span<const QueuedJob> jobs) {
         for (const auto& queued : jobs)
             if (queued.job->spec.gang()) preempt_for_image(pass_, quota_, capacities_, queued);
         std::vector<QueuedJob> pulled;
         for (const auto& queued : jobs) {
-            if (!placed_whole(*queued.job)) {
+            if (!is_multi_task_gang(*queued.job)) {
                 pulled.push_back(queued);
                 continue;
             }
@@ -65,7 +66,7 @@
             quota_.reserve(queued, make_room(pass_, quota_, capacities_, queued));
         }
         serve_pulled(pulled);
-        for (const auto& queued : jobs)  // no requesting machine had room to be offered
+        for (const auto& queued : jobs)  // no requesting machine had room for any task
             if (queued.job->wait.reason == WaitReason::kNew && queued.job->waiting())
                 queued.job->wait.reason = WaitReason::kNoRoom;
     }
@@ -73,7 +74,7 @@
     void serve_pulled(const std::vector<QueuedJob>& jobs) {
         if (jobs.empty()) return;
         for (const auto& queued : jobs)
-            if (queued.job->spec.gang()) reserve_limit_for_single(queued);
+            if (queued.job->spec.gang()) reserve_limit_for_one_task_gang(queued);
         Resources smallest = smallest_request(jobs);
         for (Machine* machine : pass_.input.requesting_machines)
             if (machine->schedulable && machine->free.holds(smallest)) tasks_.pull(jobs, *machine);
@@ -81,7 +82,7 @@
     }
 
     // A gang of one task waits for its team's limit as larger gangs do.
-    void reserve_limit_for_single(const QueuedJob& queued) {
+    void reserve_limit_for_one_task_gang(const QueuedJob& queued) {
         Job& job = *queued.job;
         if (!may_start(job, pass_.input.now) || quota_.within_limit(job.spec, 1)) return;
         job.wait.reason = WaitReason::kTeamLimit;
--- a/src/scheduler/zone_rule.cc
+++ b/src/scheduler/zone_rule.cc
@@ -4,7 +4,7 @@
 
 ZoneRule::ZoneRule(const Job& job) : job_(job) {
     if (!job.spec.single_zone && !job.spec.spread_across_zones)
-        return;  // an array may have thousands of placements
+        return;  // no zone constraint to count for; an array may have thousands of placements
     for (const auto& [task, placement] : job.live) ++placed_[placement.zone];
 }
 
@@ -17,8 +17,8 @@
         for (const auto& [other_zone, placed] : placed_)
             if (placed > 0 && other_zone != zone) return 0;
     if (spec.spread_across_zones) {
-        uint32_t most = (spec.tasks + 1) / 2;
-        return placed_here >= most ? 0 : most - placed_here;
+        uint32_t max_per_zone = (spec.tasks + 1) / 2;
+        return placed_here >= max_per_zone ? 0 : max_per_zone - placed_here;
     }
     return spec.tasks;
 }
