--- a/src/leader/cancellation_guard.h
+++ b/src/leader/cancellation_guard.h
@@ -1,4 +1,4 @@
-// The cancellations that this leader must know of before it may renew a worker's leases.
+// Decides whether a leader may renew workers' leases, given how recent its knowledge of cancellations is.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,12 +11,13 @@
 
 namespace hareshore {
 
-// Leases are renewed by the answers to heartbeats. What an answer keeps running ends at the latest lease_s
-// after the heartbeat was sent, and no task may run longer than cancel_s after its user's cancellation was
-// confirmed. So an answer is allowed while no cancellation older than the difference can be unknown here.
+// The response to a heartbeat renews the leases of the worker's tasks, which then run for up to lease_s after
+// the heartbeat was sent. No task may run longer than cancel_s after its cancellation was confirmed to the
+// user. Renewal is therefore allowed only while every cancellation older than cancel_s - lease_s is known to
+// this leader.
 class CancellationGuard {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the guard.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -26,26 +27,26 @@
     };
     explicit CancellationGuard(const Parts& parts) : parts_(parts) {}
 
-    // The cancellation is being confirmed to its user, by this controller or by a peer. The job's tasks are
-    // stopped, also while the store cannot confirm it.
+    // Records that this controller or a peer is confirming the cancellation to its user, and stops the job's
+    // tasks without waiting for the store.
     void observe(const std::string& job_id);
-    // Whether that happened later than the records that were read so far can show.
+    // Whether the job's cancellation was observed and may be missing from the records read so far.
     [[nodiscard]] bool observed(const std::string& job_id) const { return observed_at_.contains(job_id); }
 
-    // All records were read, by requests sent at `requested_at` or later.
+    // All records were read; the first request was sent at `requested_at`.
     void records_read(Seconds requested_at) { records_known_until_ = requested_at; }
-    // All changes of the records were read that were committed before `requested_at`.
+    // All record changes committed before `requested_at` were read.
     void changes_read(Seconds requested_at);
 
-    // Whether a heartbeat may be answered now, which renews the leases of its worker's tasks.
-    [[nodiscard]] bool may_renew();
+    // Whether a response to a heartbeat may be sent now; it renews the leases of the worker's tasks.
+    [[nodiscard]] bool may_renew_leases();
 
   private:
     const Parts parts_;
-    std::map<std::string, Seconds> observed_at_;  // by job
-    // No cancellation committed before this is unknown; nothing before the first reading.
+    std::map<std::string, Seconds> observed_at_;  // by job id
+    // All cancellations committed before this time are known; empty until the records have been read.
     std::optional<Seconds> records_known_until_;
-    // No cancellation confirmed to a user before this is unknown.
+    // All cancellations confirmed to users before this time are known.
     std::optional<Seconds> cancellations_known_until_;
 };
 
--- a/src/leader/cloud_inventory.cc
+++ b/src/leader/cloud_inventory.cc
@@ -7,7 +7,7 @@
 
 namespace hareshore {
 
-Task<void> CloudInventory::follow_machine_types() {
+Task<void> CloudInventory::poll_machine_types() {
     while (true) {
         auto machine_types = co_await parts_.cloud.machine_types();
         if (!machine_types) {
@@ -20,7 +20,7 @@
     }
 }
 
-// For controllers that start while the cloud is unavailable.
+// Stores the machine types for controllers that start while the cloud is unavailable.
 Task<void> CloudInventory::store_machine_types() {
     std::string data = encode_machine_types(parts_.cluster.machine_types);
     if (json_size(data) > parts_.config.value_limit(kNewestRecordFormat)) {
@@ -36,7 +36,7 @@
     machine_types_stored_ = result.status == StoreStatus::kOk || result.status == StoreStatus::kInvalid;
 }
 
-Task<void> CloudInventory::follow_machines() {
+Task<void> CloudInventory::poll_machines() {
     while (true) {
         Seconds requested_at = parts_.loop.now();
         auto list = co_await parts_.cloud.list_machines();
@@ -59,7 +59,7 @@
             machine.spot = listed.spot;
         }
     }
-    // Lists may be older than the one before: a machine goes forward only.
+    // A list may be older than the previous one, so a machine's phase only advances.
     if (listed.phase > machine.phase) machine.phase = listed.phase;
 }
 
--- a/src/leader/cloud_inventory.h
+++ b/src/leader/cloud_inventory.h
@@ -1,4 +1,4 @@
-// What the cloud lists: machines, and the machine types with their prices.
+// Polls the cloud's lists of machines and of machine types with their prices.
 #pragma once
 #include "cloud/cloud_client.h"
 #include "cluster/cluster.h"
@@ -7,10 +7,10 @@
 
 namespace hareshore {
 
-// Reads both lists again and again into the cluster.
+// Updates the cluster from both lists.
 class CloudInventory {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the inventory.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -22,16 +22,16 @@
     };
     explicit CloudInventory(const Parts& parts) : parts_(parts) {}
 
-    // Each runs until it is cancelled.
-    Task<void> follow_machines();
-    Task<void> follow_machine_types();
+    // Both run until cancelled.
+    Task<void> poll_machines();
+    Task<void> poll_machine_types();
 
   private:
     void add_listed(const ListedMachine& listed, Seconds requested_at);
     Task<void> store_machine_types();
 
     const Parts parts_;
-    bool machine_types_stored_ = false;  // or given up, since the store would refuse them
+    bool machine_types_stored_ = false;  // also set if the store does not accept them
 };
 
 }  // namespace hareshore
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -29,7 +29,7 @@
         std::vector<Command> stops = stops_for(*machine);
         if (stops.empty()) break;
         const uint64_t incarnation = machine->incarnation;
-        // The worker numbers the command like a heartbeat, whether or not its answer arrives.
+        // The worker assigns the command a heartbeat's sequence number, whether or not its response arrives.
         machine->answered_directly = false;
         auto heartbeat = co_await send_commands(parts_.loop, *address, parts_.fencing_token, incarnation,
                                                 std::move(stops));
@@ -52,9 +52,9 @@
     std::vector<Command> stops = parts_.jobs.commands(machine, LaunchCommands::kOmit);
     std::erase_if(stops, [](const Command& command) { return command.kind != CommandKind::kStop; });
     if (machine.incarnation != 0) return stops;
-    // A machine that has not reported to this leader may still answer to an earlier one. Its incarnation is
-    // read from its refusal; a command that it accepts also carries this leader's fencing token to it, and
-    // through it to the earlier leader.
+    // A machine that has not sent this leader a heartbeat may still be controlled by an earlier leader. It
+    // refuses the first command, and the refusal contains its incarnation. A command that it accepts also
+    // gives it this leader's fencing token, which its heartbeats then pass on to the earlier leader.
     for (const auto& placed : parts_.jobs.on_machine(machine.name))
         if (placed.job->cancelled)
             stops.push_back(
--- a/src/leader/command_sender.h
+++ b/src/leader/command_sender.h
@@ -1,5 +1,5 @@
-// Direct commands to workers. Launches go out only with the answers to heartbeats; stops are sent at once,
-// since a gang's other tasks must end within gang_peer_s.
+// Sends stop commands directly to workers. Launches are sent only in responses to heartbeats, but stops are
+// urgent, since a gang's other tasks must end within gang_peer_s.
 #pragma once
 #include <string>
 #include <vector>
@@ -14,7 +14,7 @@
 
 class CommandSender {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the sender.
     struct Parts {
         Loop& loop;
         uint64_t fencing_token;
@@ -26,8 +26,8 @@
     };
     explicit CommandSender(const Parts& parts) : parts_(parts) {}
 
-    // Sends the stops that the job table has marked as urgent. To each machine one command is on its way at a
-    // time; a stop that comes meanwhile is sent after it.
+    // Sends the new stops of the job table. Each machine has at most one request in flight; stops added
+    // meanwhile are sent after it.
     void send_urgent_stops();
 
   private:
--- a/src/leader/deleted_machines.h
+++ b/src/leader/deleted_machines.h
@@ -1,4 +1,5 @@
-// Machines whose deletion was confirmed, against late heartbeats and old machine lists.
+// Machines whose deletion was confirmed, so that late heartbeats and outdated machine lists do not add them
+// again.
 #pragma once
 #include <deque>
 #include <set>
@@ -6,7 +7,7 @@
 
 namespace hareshore {
 
-// Remembers the last kDeletedMachinesKept names. A name is never used again by the cloud.
+// Remembers the last kDeletedMachinesKept names. The cloud never reuses a name.
 class DeletedMachines {
   public:
     void add(const std::string& name);
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool read_or_missing(const GetResult& result) {
+bool ok_or_not_found(const GetResult& result) {
     return result.status == StoreStatus::kOk || result.status == StoreStatus::kNotFound;
 }
 
@@ -16,9 +16,9 @@
     return result.status == StoreStatus::kOk ? result.entry.mod_revision : kAbsentRevision;
 }
 
-// How long a lease surely lasts on this controller's clock that was granted or renewed by a request sent
-// then.
-Seconds lease_lasts_until(Seconds requested_at) {
+// The time on this controller's clock until which a lease granted or renewed by a request sent at
+// `requested_at` is certain to be valid.
+Seconds lease_valid_until(Seconds requested_at) {
     return requested_at + constants::kLeaderLeaseTtl_s * (1 - constants::kClockDriftRate);
 }
 
@@ -47,9 +47,9 @@
     set_leader(label);
 }
 
-void Election::resign(Seconds stand_down) {
-    stand_down_until_ = loop_.now() + stand_down;
-    revoke_own_lease_ = true;
+void Election::resign(Seconds campaign_pause) {
+    campaign_paused_until_ = loop_.now() + campaign_pause;
+    own_lease_revocation_due_ = true;
     step_down(LossReason::kResigned);
 }
 
@@ -57,25 +57,25 @@
     if (campaigning_stopped_) return;
     campaigning_stopped_ = true;
     if (!leading_) return;
-    revoke_own_lease_ = true;
+    own_lease_revocation_due_ = true;
     step_down(LossReason::kNewerRecordFormat);
 }
 
 Task<void> Election::run() {
     while (true) {
         if (leading_) {
-            co_await renew_lease();
+            co_await renew_lease_while_leading();
         } else {
             co_await follow();
         }
     }
 }
 
-// One round without leadership: until the leadership key changes, or until a campaign has ended.
+// Runs one round as a follower, which ends when the leadership key has changed or a campaign is over.
 Task<void> Election::follow() {
-    if (revoke_own_lease_) co_await revoke_own_lease();
-    // A list, since only that returns the revision from which to watch: the key's own mod revision may be so
-    // old that the store has compacted the changes since.
+    if (own_lease_revocation_due_) co_await revoke_own_lease();
+    // Uses a list request because only its response has the store's current revision, from which to watch.
+    // The changes since the key's own mod revision may already be compacted.
     ListResult listed =
         co_await store_.list(kLeaderKey, "", constants::kRecordPageSize, constants::kStoreCallTimeout_s);
     if (listed.status != StoreStatus::kOk) {
@@ -83,19 +83,19 @@
         co_return;
     }
     retry_pause_ = 0;
-    const Entry* held = nullptr;
+    const Entry* leader_entry = nullptr;
     for (const auto& entry : listed.entries)
-        if (entry.key == kLeaderKey) held = &entry;
-    if (!held) {
+        if (entry.key == kLeaderKey) leader_entry = &entry;
+    if (!leader_entry) {
         if (!leader_.empty()) set_leader("");
         co_await campaign_if_allowed();
         co_return;
     }
-    LeaderRecord record = unpack_leader_record(held->data);
+    LeaderRecord record = unpack_leader_record(leader_entry->data);
     uint64_t fencing_token = record.fencing_token.value_or(0);
     known_fencing_token_ = std::max(known_fencing_token_, fencing_token);
     if (record.label == label_) {
-        co_await revoke_earlier_process(held->mod_revision);
+        co_await revoke_lease_of_earlier_process(leader_entry->mod_revision);
         co_return;
     }
     if (leader_ != record.label) {
@@ -107,15 +107,16 @@
     if (watched.status != WatchStatus::kOk) co_await back_off();
 }
 
-// This controller launches nothing any more: the key goes at once, so that others need not wait for the
-// lease.
+// This controller no longer launches tasks, so the lease is revoked at once and the peers need not wait for
+// it to expire.
 Task<void> Election::revoke_own_lease() {
-    revoke_own_lease_ = false;
+    own_lease_revocation_due_ = false;
     co_await store_.revoke_lease(lease_, constants::kStoreCallTimeout_s);
 }
 
-// The key was left by this controller's last process, which is gone: no need to wait for its lease.
-Task<void> Election::revoke_earlier_process(Revision mod_revision) {
+// The key belongs to an earlier process of this controller, which has ended, so its lease need not expire
+// first.
+Task<void> Election::revoke_lease_of_earlier_process(Revision mod_revision) {
     log::info("leadership_revoked", {{"reason", "held_by_earlier_process"}});
     GetResult own = co_await store_.get(kLeaderKey, constants::kStoreCallTimeout_s);
     if (own.status == StoreStatus::kOk && own.entry.mod_revision == mod_revision)
@@ -123,7 +124,7 @@
 }
 
 Task<void> Election::campaign_if_allowed() {
-    if (campaigning_stopped_ || (stand_down_until_ && loop_.now() < *stand_down_until_)) {
+    if (campaigning_stopped_ || (campaign_paused_until_ && loop_.now() < *campaign_paused_until_)) {
         co_await loop_.sleep(constants::kLeaderLeaseRenewal_s);
         co_return;
     }
@@ -132,8 +133,8 @@
 }
 
 Task<void> Election::campaign() {
-    std::optional<CampaignBasis> basis = co_await read_campaign_basis();
-    if (!basis) co_return;
+    std::optional<CampaignSnapshot> snapshot = co_await read_campaign_snapshot();
+    if (!snapshot) co_return;
     Seconds requested_at = loop_.now();
     LeaseResult granted =
         co_await store_.grant_lease(constants::kLeaderLeaseTtl_s, constants::kStoreCallTimeout_s);
@@ -141,8 +142,8 @@
         co_await back_off();
         co_return;
     }
-    uint64_t fencing_token = std::max(basis->last_fencing_token, known_fencing_token_) + 1;
-    TransactionResult claimed = co_await claim_leadership(*basis, fencing_token, granted.lease);
+    uint64_t fencing_token = std::max(snapshot->last_fencing_token, known_fencing_token_) + 1;
+    TransactionResult claimed = co_await claim_leadership(*snapshot, fencing_token, granted.lease);
     if (claimed.status != StoreStatus::kOk) {
         co_await store_.revoke_lease(granted.lease, constants::kStoreCallTimeout_s);
         co_return;
@@ -152,20 +153,20 @@
     mod_revision_ = claimed.revision;
     known_fencing_token_ = fencing_token;
     leading_ = true;
-    lease_confirmed_until_ = lease_lasts_until(requested_at);
+    lease_confirmed_until_ = lease_valid_until(requested_at);
     log::info("leadership_won", {{"fencing_token", fencing_token_}, {"took_s", loop_.now() - requested_at}});
     set_leader(label_);
 }
 
-// Nothing if this controller cannot campaign now; it has waited then.
-Task<std::optional<Election::CampaignBasis>> Election::read_campaign_basis() {
+// Returns nothing, after a pause, if this controller cannot campaign now.
+Task<std::optional<Election::CampaignSnapshot>> Election::read_campaign_snapshot() {
     GetResult term = co_await store_.get(kTermKey, constants::kStoreCallTimeout_s);
-    if (!read_or_missing(term)) {
+    if (!ok_or_not_found(term)) {
         co_await back_off();
         co_return std::nullopt;
     }
     GetResult record_format = co_await store_.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
-    if (!read_or_missing(record_format)) {
+    if (!ok_or_not_found(record_format)) {
         co_await back_off();
         co_return std::nullopt;
     }
@@ -174,9 +175,9 @@
         stop_campaigning();
         co_return std::nullopt;
     }
-    CampaignBasis basis;
-    basis.term_revision = revision_or_absent(term);
-    basis.record_format_revision = revision_or_absent(record_format);
+    CampaignSnapshot snapshot;
+    snapshot.term_revision = revision_or_absent(term);
+    snapshot.record_format_revision = revision_or_absent(record_format);
     if (term.status == StoreStatus::kOk) {
         std::optional<uint64_t> last = unpack_leader_record(term.entry.data).fencing_token;
         if (!last) {
@@ -184,23 +185,23 @@
             co_await loop_.sleep(constants::kRetryBackoffMax_s);
             co_return std::nullopt;
         }
-        basis.last_fencing_token = *last;
+        snapshot.last_fencing_token = *last;
     }
-    co_return basis;
+    co_return snapshot;
 }
 
-Task<TransactionResult> Election::claim_leadership(CampaignBasis basis, uint64_t fencing_token,
+Task<TransactionResult> Election::claim_leadership(CampaignSnapshot snapshot, uint64_t fencing_token,
                                                    LeaseId lease) {
     Transaction transaction;
     transaction.expect_absent(kLeaderKey)
-        .expect_revision(kTermKey, basis.term_revision)
-        .expect_revision(kRecordFormatKey, basis.record_format_revision);
+        .expect_revision(kTermKey, snapshot.term_revision)
+        .expect_revision(kRecordFormatKey, snapshot.record_format_revision);
     std::string record = pack_leader_record(label_, fencing_token);
     transaction.put(kLeaderKey, record, lease).put(kTermKey, record);
     TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     if (result.status == StoreStatus::kUnknown) {
-        // It may have been executed: only the key shows that, and a late copy cannot win once the term has
-        // moved on.
+        // The transaction may have been executed, which only the key shows. A copy that arrives late fails
+        // its conditions once the term key has changed.
         GetResult current = co_await store_.get(kLeaderKey, constants::kStoreCallTimeout_s);
         if (current.status == StoreStatus::kOk && current.entry.lease == lease) {
             result.status = StoreStatus::kOk;
@@ -210,14 +211,14 @@
     co_return result;
 }
 
-Task<void> Election::renew_lease() {
+Task<void> Election::renew_lease_while_leading() {
     Seconds pause = constants::kLeaderLeaseRenewal_s;
     while (leading_) {
         co_await loop_.wait(changed_, loop_.now() + pause);
         if (!leading_) co_return;
         Seconds requested_at = loop_.now();
         StoreStatus status = co_await store_.renew_lease(lease_, constants::kStoreCallTimeout_s);
-        if (status == StoreStatus::kOk) lease_confirmed_until_ = lease_lasts_until(requested_at);
+        if (status == StoreStatus::kOk) lease_confirmed_until_ = lease_valid_until(requested_at);
         if (status == StoreStatus::kNotFound) step_down(LossReason::kLeaseExpired);
         pause =
             status == StoreStatus::kOk ? constants::kLeaderLeaseRenewal_s : constants::kRetryBackoff_s * 2;
--- a/src/leader/election_wire.cc
+++ b/src/leader/election_wire.cc
@@ -1,4 +1,4 @@
-// Maps the stored names: `node` is a controller's label, `epoch` a fencing token.
+// Stored field names: `node` is a controller's label, `epoch` a fencing token.
 #include "leader/election_wire.h"
 
 #include "http/msgpack.h"
--- a/src/leader/election_wire.h
+++ b/src/leader/election_wire.h
@@ -1,5 +1,5 @@
-// The two keys of the election in the key-value store, and the format of their values. Both hold the same
-// value: the controller that leads and its fencing token.
+// The two keys of the election in the key-value store, and the format of their values. Both have the same
+// value: the leader's label and its fencing token.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -7,15 +7,15 @@
 
 namespace hareshore {
 
-// Exists while a controller leads: it is bound to that controller's lease.
+// Attached to the leader's lease, so that it exists only while a controller leads.
 inline const std::string kLeaderKey = "leader";
-// The last term that was won. Never deleted, so that no fencing token is used twice.
+// The most recent term. Never deleted, so that no fencing token is used twice.
 inline const std::string kTermKey = "term";
 
-// A value read from either key. What could not be read is missing.
+// The value of either key.
 struct LeaderRecord {
-    std::string label;                      // of the controller; empty if it could not be read
-    std::optional<uint64_t> fencing_token;  // at least 1
+    std::string label;                      // of the leader; empty if it could not be read
+    std::optional<uint64_t> fencing_token;  // at least 1; missing if it could not be read
 };
 
 std::string pack_leader_record(const std::string& label, uint64_t fencing_token);
--- a/src/leader/finished_jobs.h
+++ b/src/leader/finished_jobs.h
@@ -1,4 +1,4 @@
-// Jobs whose final record was written, against changes of their live record that are delivered later.
+// Recently finished jobs, so that changes of their live records that are delivered late can be ignored.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -10,9 +10,9 @@
 // Remembers the last kFinalStateCacheSize jobs.
 class FinishedJobs {
   public:
-    // `revision`: at which the final record was written.
+    // `revision`: of the store when the final record was written.
     void add(const std::string& job_id, uint64_t revision);
-    // Whether the change of the job's live record is from before its end.
+    // Whether the job has ended after the change of its live record at `mod_revision`.
     [[nodiscard]] bool ended_after(const std::string& job_id, uint64_t mod_revision) const;
 
   private:
--- a/src/leader/fleet_report.h
+++ b/src/leader/fleet_report.h
@@ -1,4 +1,4 @@
-// The leader's periodic log lines: what waits, the state of the fleet, and how its GPU time is used.
+// Logs waiting jobs, the state of the fleet and the use of its GPU time at regular intervals.
 #pragma once
 #include <optional>
 
@@ -8,7 +8,7 @@
 
 class FleetReport {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the report.
     struct Parts {
         Loop& loop;
         const JobTable& jobs;
@@ -17,20 +17,20 @@
     };
     explicit FleetReport(const Parts& parts) : parts_(parts) {}
 
-    // Adds `elapsed` seconds of each machine's GPUs to what they are used for now. The machines must have
-    // been recounted.
+    // Adds `elapsed` seconds of each machine's GPUs to the totals by their current use. The machines must
+    // have been recounted.
     void account_gpu_time(Seconds elapsed);
-    // Logs each job that has waited for long, with the reason, and the fleet; each at most every
-    // kWaitLogInterval_s.
+    // Logs each job that has waited for at least kWaitLogInterval_s, with the reason, and the fleet; each at
+    // most every kWaitLogInterval_s.
     void log_all();
 
   private:
     // GPU seconds since this leader's term began.
     struct GpuTime {
         double booting = 0;
-        double idle = 0;      // on machines that hold no task
-        double unused = 0;    // free on machines that hold tasks
-        double starting = 0;  // of tasks that do not run yet, or no more
+        double idle = 0;      // on machines without tasks
+        double unused = 0;    // free on machines with tasks
+        double starting = 0;  // of tasks that are starting or stopping
         double running = 0;
 
         [[nodiscard]] double total() const { return booting + idle + unused + starting + running; }
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -20,25 +20,25 @@
 
 Task<void> FleetScaler::run() {
     while (true) {
-        const Seconds slept_at = parts_.loop.now();
+        const Seconds sleep_started_at = parts_.loop.now();
         co_await parts_.loop.sleep(constants::kScalingInterval_s);
-        note_stall(parts_.loop.now() - slept_at - constants::kScalingInterval_s);
-        parts_.pass_requests.request();  // time has passed: what was held may be bound
+        record_stall(parts_.loop.now() - sleep_started_at - constants::kScalingInterval_s);
+        parts_.pass_requests.request();  // a delayed task may have become due
         delete_machines_holding_cancelled();
         repeat_stops_of_cancelled();
         if (may_scale()) scale();
     }
 }
 
-// While this process stood still it received nothing: the machines were not silent.
-void FleetScaler::note_stall(Seconds stalled_s) {
+// A stalled process receives no heartbeats, so their absence during a stall does not count as silence.
+void FleetScaler::record_stall(Seconds stalled_s) {
     if (stalled_s <= constants::kProcessStall_s) return;
     log::info("process_stalled", {{"stalled_s", stalled_s}});
     stalled_until_ = parts_.loop.now();
 }
 
-// Since when the silence of a machine shows that it does not report.
-Seconds FleetScaler::listening_since() const {
+// Since when heartbeats could be received, so that a machine's silence from then on means that it sent none.
+Seconds FleetScaler::receiving_since() const {
     return stalled_until_.value_or(parts_.lifecycle.loaded_at());
 }
 
@@ -50,23 +50,24 @@
     parts_.jobs.repeat_stops_of_cancelled(now - interval);
 }
 
-// In an outage of the store for all this cannot wait for a confirmed lease. Where every peer has seen no
-// later term there is no other leader whose work could be undone; and no rule breaks if there were, since a
-// machine that is deleted runs nothing.
+// This must also work without a confirmed lease, while the store is unavailable to all controllers. If no
+// peer has seen a later term, there is no other leader whose work could be undone. Even if there were one,
+// the deletion would be safe, since a deleted machine runs no task.
 void FleetScaler::delete_machines_holding_cancelled() {
     if (!parts_.leadership.lease_confirmed() && !parts_.leadership.no_other_leader()) return;
     std::vector<ScaleInDecision> decisions;
     for (auto& name : machines_holding_cancelled(parts_.cluster, parts_.jobs, parts_.config,
-                                                 parts_.loop.now(), listening_since()))
+                                                 parts_.loop.now(), receiving_since()))
         decisions.push_back({std::move(name), ScaleInReason::kHoldsCancelledTask, true});
     parts_.deletion.start(decisions);
 }
 
-// A leader that was partitioned or stood still may have been followed by another: what it rents and deletes
-// by its old view would undo the other's work. Partitioned for 120 s, one deleted the whole fleet.
+// A leader that was partitioned or stalled may have been replaced. Renting and deleting machines by its
+// outdated view would undo its successor's work: a leader that was partitioned for 120 s deleted the whole
+// fleet.
 bool FleetScaler::may_scale() const {
     if (!parts_.leadership.lease_confirmed() || parts_.cluster.machine_types.empty()) return false;
-    // The machine list lags: what an earlier leader rented shows up only after that.
+    // The cloud's machine list lags, so machines rented by an earlier leader appear in it only later.
     const bool first_term = parts_.fencing_token <= 1;
     return first_term || parts_.lifecycle.loaded_for() >= constants::kNewLeaderScalingDelay_s;
 }
@@ -78,7 +79,7 @@
     ScalingInput input{parts_.config,
                        parts_.settings,
                        now,
-                       listening_since(),
+                       receiving_since(),
                        parts_.rental.refused_until(),
                        parts_.rental.on_order(),
                        only_spot_jobs(parts_.jobs),
--- a/src/leader/fleet_scaler.h
+++ b/src/leader/fleet_scaler.h
@@ -1,4 +1,4 @@
-// Decides every kScalingInterval_s which machines to rent, to drain and to delete.
+// Decides every kScalingInterval_s which machines to rent, drain and delete.
 #pragma once
 #include <map>
 #include <optional>
@@ -12,7 +12,7 @@
 
 class FleetScaler {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the scaler.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -34,19 +34,19 @@
     Task<void> run();
 
   private:
-    void note_stall(Seconds stalled_s);
+    void record_stall(Seconds stalled_s);
     void repeat_stops_of_cancelled();
     void delete_machines_holding_cancelled();
     [[nodiscard]] bool may_scale() const;
     void scale();
     void log_partitions(const ScalingPlan& plan);
     void drain_machines(const ScalingPlan& plan);
-    [[nodiscard]] Seconds listening_since() const;
+    [[nodiscard]] Seconds receiving_since() const;
 
     const Parts parts_;
     std::optional<Seconds> stalled_until_;           // the end of this process's last stall
     std::optional<Seconds> stops_repeated_at_;       // of cancelled jobs
-    std::map<std::string, Seconds> partitioned_at_;  // by zone: when it was last taken to be partitioned
+    std::map<std::string, Seconds> partitioned_at_;  // by zone: when it was last considered partitioned
 };
 
 }  // namespace hareshore
--- a/src/leader/heartbeat_handler.h
+++ b/src/leader/heartbeat_handler.h
@@ -1,4 +1,4 @@
-// Takes in the workers' heartbeats and answers them with commands.
+// Handles the workers' heartbeats and responds to them with commands.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 
 class HeartbeatHandler {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the handler.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -28,18 +28,18 @@
     };
     explicit HeartbeatHandler(const Parts& parts) : parts_(parts) {}
 
-    // Answers 200 with commands, which renews the leases of the worker's tasks, or 503. The answer may be
-    // held for up to `hold` seconds for work that comes. The caller keeps the leader alive until it has
-    // returned.
-    Task<Response> handle(WorkerHeartbeat heartbeat, Seconds hold, HeartbeatRoute route);
+    // Responds with 200 and commands, which renews the leases of the worker's tasks, or with 503. While there
+    // are no commands, the response may be delayed by up to `max_delay` seconds (long polling). The caller
+    // must keep the leader alive until this has returned.
+    Task<Response> handle(WorkerHeartbeat heartbeat, Seconds max_delay, HeartbeatRoute route);
 
   private:
-    bool accept(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route);
+    bool apply(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route);
     void update_reachability(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route);
-    Task<void> join_pass(const std::string& name, Seconds answer_by);
-    [[nodiscard]] std::optional<Seconds> hold_for_work_until(const Machine& machine, Seconds received_at,
-                                                             Seconds hold) const;
-    Response answer(Machine& machine, HeartbeatRoute route);
+    Task<void> wait_for_next_pass(const std::string& name, Seconds response_deadline);
+    [[nodiscard]] std::optional<Seconds> work_wait_deadline(const Machine& machine, Seconds received_at,
+                                                            Seconds max_delay) const;
+    Response respond(Machine& machine, HeartbeatRoute route);
 
     const Parts parts_;
 };
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -120,23 +120,24 @@
 
 Task<void> Leader::load_records() {
     Loop& loop = environment_.loop;
-    const Seconds began = loop.now();
+    const Seconds started_at = loop.now();
     while (!co_await learn_record_format(environment_.store, environment_.record_format))
         co_await loop.sleep(constants::kRetryBackoff_s * 2);
     while (!co_await record_watch_.read_all()) co_await loop.sleep(constants::kRetryBackoff_s * 2);
     lifecycle_.set_loaded();
-    log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", lifecycle_.loaded_at() - began}});
+    log::info("records_loaded", {{"jobs", jobs_.size()}, {"took_s", lifecycle_.loaded_at() - started_at}});
     lifecycle_.notify_loaded();
     start_loops();
 }
 
 void Leader::start_loops() {
     lifecycle_.spawn(scheduling_.run(), "scheduling passes", Priority::kNormal);
-    lifecycle_.spawn(record_watch_.follow(), "watch", Priority::kUrgent);  // the right to renew rests on it
+    // Urgent, since workers' leases may be renewed only while the watch is up to date.
+    lifecycle_.spawn(record_watch_.follow(), "watch", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.run(), "commit", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.raise_record_format(), "record format", Priority::kNormal);
-    lifecycle_.spawn(inventory_.follow_machine_types(), "prices", Priority::kNormal);
-    lifecycle_.spawn(inventory_.follow_machines(), "machine list", Priority::kNormal);
+    lifecycle_.spawn(inventory_.poll_machine_types(), "prices", Priority::kNormal);
+    lifecycle_.spawn(inventory_.poll_machines(), "machine list", Priority::kNormal);
     lifecycle_.spawn(fleet_scaler_.run(), "fleet", Priority::kNormal);
 }
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,5 +1,5 @@
-// One term of leadership: the view of jobs and machines, and the parts that act on it. The parts are wired
-// here and nowhere else; the header of each shows in its Parts what it may touch.
+// One term of leadership: the state of jobs and machines, and the components that act on it. The components
+// are connected only here; the Parts struct of each lists what it may use.
 #pragma once
 #include <memory>
 #include <string>
@@ -16,39 +16,40 @@
 
 namespace hareshore {
 
-// Made for each term that this controller wins, by std::make_shared, and stopped when the term is over.
+// Created with std::make_shared for each term that this controller wins, and stopped when the term is over.
 //
-// Ownership: the controller holds one reference. Each coroutine that the leader starts holds another until it
-// has ended (TermLifecycle), and whoever awaits handle_heartbeat() must hold one meanwhile. So a stopped
-// leader is destroyed in a later turn of the loop, when the last of them has unwound.
+// Ownership: the controller has one reference. Each coroutine that the leader starts has another until it
+// ends (TermLifecycle), and a caller that awaits handle_heartbeat() must keep one meanwhile. A stopped leader
+// is thus destroyed in a later turn of the loop, when the last of these coroutines has unwound.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
-    // `machine_types`: as last known; the leader reads them anew.
+    // `machine_types`: as last known, until the leader has read them from the cloud.
     Leader(const LeaderEnvironment& environment, LeaderTerm term, std::unique_ptr<Leadership> leadership,
            std::vector<MachineType> machine_types);
 
-    // Begins to load the records. To be called once.
+    // Starts loading the records. Must be called once.
     void start();
-    // Ends the term: cancels all coroutines and releases the held heartbeats. Nothing is started after it.
+    // Ends the term: cancels all coroutines and ends the waits of pending heartbeats. No coroutine is started
+    // afterwards.
     void stop();
     [[nodiscard]] bool stopped() const { return lifecycle_.stopped(); }
     [[nodiscard]] uint64_t fencing_token() const { return term_.fencing_token; }
 
-    // Takes in a worker's heartbeat and answers 200 with commands, or 503. The answer may be held for up to
-    // `hold` seconds for work that comes.
-    Task<Response> handle_heartbeat(WorkerHeartbeat&& heartbeat, Seconds hold, HeartbeatRoute route) {
-        return heartbeats_.handle(std::move(heartbeat), hold, route);
+    // Responds to a worker's heartbeat with 200 and commands, or with 503. While there are no commands, the
+    // response may be delayed by up to `max_delay` seconds.
+    Task<Response> handle_heartbeat(WorkerHeartbeat&& heartbeat, Seconds max_delay, HeartbeatRoute route) {
+        return heartbeats_.handle(std::move(heartbeat), max_delay, route);
     }
 
-    // A user's cancellation of this job is being confirmed, by this controller or by a peer. Its tasks are
-    // stopped, also while the store cannot confirm it.
+    // Handles that this controller or a peer is confirming the job's cancellation to its user: stops the
+    // job's tasks without waiting for the store.
     void observe_cancellation(const std::string& job_id) { cancellations_.observe(job_id); }
 
-    // How many machines have reported to this leader.
+    // The number of machines from which this leader has received a heartbeat.
     [[nodiscard]] size_t machines_seen() const;
-    // Scheduling passes so far.
+    // The number of scheduling passes so far.
     [[nodiscard]] uint64_t passes_done() const { return scheduling_.passes_done(); }
-    // Seconds since the records had been loaded; 0 before.
+    // Seconds since the records were loaded; 0 before that.
     [[nodiscard]] Seconds loaded_for() const { return lifecycle_.loaded_for(); }
 
     // The operators' pages, as plain text.
@@ -65,7 +66,7 @@
     const LeaderTerm term_;
     const std::unique_ptr<Leadership> leadership_;
 
-    // What the parts share.
+    // State that the components share.
     JobTable jobs_;
     Cluster cluster_;
     TermLifecycle lifecycle_;
@@ -73,7 +74,7 @@
     WorkerConnections connections_;
     DeletedMachines deleted_machines_;
 
-    // Each part uses only what is declared above it.
+    // Each component refers only to members declared above it.
     CancellationGuard cancellations_;
     RecordWatch record_watch_;
     RecordWriter record_writer_;
--- a/src/leader/leadership.h
+++ b/src/leader/leadership.h
@@ -1,5 +1,5 @@
-// What a leader is given by the controller that runs it: its term, the parts that it uses, and the checks of
-// its leadership that only the controller can make.
+// What the controller provides to its leader: the term, the components that the leader uses, and the checks
+// of its leadership that need the election and the peers.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -16,12 +16,12 @@
 // One term of leadership, as won in an election.
 struct LeaderTerm {
     uint64_t fencing_token = 0;  // never reused; workers refuse commands with an older one
-    uint64_t mod_revision = 0;   // of the leadership key: every write is conditioned on it
+    uint64_t mod_revision = 0;   // of the leadership key; every write is conditioned on it
     std::string key;             // the leadership key
 };
 
-// The checks of one term that need the election and the peers. Owned by the leader; what it refers to must
-// outlive the leader.
+// The checks of one term that need the election and the peers. Owned by the leader; everything that it refers
+// to must outlive the leader.
 class Leadership {
   public:
     Leadership() = default;
@@ -29,20 +29,20 @@
     Leadership& operator=(const Leadership&) = delete;
     virtual ~Leadership() = default;
 
-    // Until when all cancellations that were confirmed to users are known to this controller, given that all
-    // those confirmed before `since` are. At least `since`.
+    // The time before which every cancellation confirmed to a user is known to this controller, given that
+    // all those confirmed before `since` are known. At least `since`.
     [[nodiscard]] virtual Seconds cancellations_known_until(Seconds since) const = 0;
-    // Whether the lease on the leadership is certain to be held now.
+    // Whether this leader's lease is certain to be valid now.
     [[nodiscard]] virtual bool lease_confirmed() const = 0;
-    // Whether no other leader can exist, though the store may not confirm this one's lease.
+    // Whether no other leader can exist, even if the store does not confirm this leader's lease.
     [[nodiscard]] virtual bool no_other_leader() const = 0;
-    // Whether every peer reads the newest record format.
+    // Whether every peer can read the newest record format.
     [[nodiscard]] virtual bool all_peers_upgraded() const = 0;
-    // Ends the term: there is proof that it is over. The leader is stopped by the controller soon after.
+    // Ends the term, which is known to be over. The controller then stops the leader.
     virtual void step_down(LossReason reason) = 0;
 };
 
-// The parts of the controller that a leader uses. All outlive it.
+// The components of the controller that a leader uses. All must outlive the leader.
 struct LeaderEnvironment {
     Loop& loop;
     const Config& config;
--- a/src/leader/machine_deletion.cc
+++ b/src/leader/machine_deletion.cc
@@ -10,11 +10,11 @@
 
 void MachineDeletion::start(const std::vector<ScaleInDecision>& decisions) {
     std::vector<std::string> names;
-    std::set<std::string> silent;
-    auto start_portion = [&] {
+    std::set<std::string> only_if_silent;
+    auto start_batch = [&] {
         if (names.empty()) return;
-        parts_.lifecycle.spawn(delete_machines(std::exchange(names, {}), std::exchange(silent, {})), "return",
-                               Priority::kNormal);
+        parts_.lifecycle.spawn(delete_machines(std::exchange(names, {}), std::exchange(only_if_silent, {})),
+                               "return", Priority::kNormal);
     };
     for (const auto& decision : decisions) {
         Machine* machine = parts_.cluster.machine(decision.machine);
@@ -23,53 +23,55 @@
         log::info("machine_returned",
                   {{"machine", decision.machine}, {"reason", scale_in_reason_text(decision.reason)}});
         names.push_back(decision.machine);
-        if (decision.only_if_silent) silent.insert(decision.machine);
-        if (names.size() == constants::kMachinesPerDeletionRequest) start_portion();
+        if (decision.only_if_silent) only_if_silent.insert(decision.machine);
+        if (names.size() == constants::kMachinesPerDeletionRequest) start_batch();
     }
-    start_portion();
+    start_batch();
 }
 
-Task<void> MachineDeletion::delete_machines(std::vector<std::string> names, std::set<std::string> silent) {
+Task<void> MachineDeletion::delete_machines(std::vector<std::string> names,
+                                            std::set<std::string> only_if_silent) {
     Seconds pause = constants::kRetryBackoff_s;
     const Seconds decided_at = parts_.loop.now();
-    bool maybe_executed = false;  // a request may have been executed, or may yet be
+    bool may_have_executed = false;  // a request without a response may have been executed, or may still be
     while (true) {
-        // A machine that was silent and reports before the cloud could be asked is kept.
-        if (!maybe_executed)
+        // Keeps each silent machine that has sent a heartbeat before the cloud received any request.
+        if (!may_have_executed)
             std::erase_if(names, [&](const std::string& name) {
-                if (!silent.contains(name) || !reported_again(name, decided_at)) return false;
+                if (!only_if_silent.contains(name) || !should_keep(name, decided_at)) return false;
                 log::info("machine_kept", {{"machine", name}, {"reason", "reported_again"}});
                 parts_.cluster.machine(name)->deleting = false;
                 return true;
             });
         if (names.empty()) co_return;
-        const std::vector<std::string> allowed = allowed_now(names);
-        if (allowed.empty()) {
+        const std::vector<std::string> deletable = deletable_now(names);
+        if (deletable.empty()) {
             co_await parts_.loop.sleep(constants::kRetryBackoff_s);
             continue;
         }
-        const DeleteOutcome result = co_await parts_.cloud.delete_machines(allowed);
+        const DeleteOutcome result = co_await parts_.cloud.delete_machines(deletable);
         if (result == DeleteOutcome::kDeleted) {
-            confirm_deleted(allowed);
+            apply_deletion(deletable);
             std::erase_if(names,
                           [&](const std::string& name) { return parts_.deleted_machines.contains(name); });
             continue;
         }
-        maybe_executed = maybe_executed || result == DeleteOutcome::kUnknown;
+        may_have_executed = may_have_executed || result == DeleteOutcome::kUnknown;
         co_await parts_.loop.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
 }
 
-// A machine with a task of a cancelled job is deleted all the same.
-bool MachineDeletion::reported_again(const std::string& name, Seconds decided_at) const {
+// Whether a machine that was silent at `decided_at` has since sent a heartbeat and may be kept. One that
+// holds a task of a cancelled job is deleted nevertheless.
+bool MachineDeletion::should_keep(const std::string& name, Seconds decided_at) const {
     const Machine* machine = parts_.cluster.machine(name);
     return machine && machine->last_heartbeat > decided_at && !holds_cancelled_task(name);
 }
 
-// In an outage of the store for all, the deletion of a machine that holds cancelled work cannot wait for a
-// confirmed lease.
-std::vector<std::string> MachineDeletion::allowed_now(const std::vector<std::string>& names) const {
+// Deletions require a confirmed lease, except for machines with a task of a cancelled job: while the store is
+// unavailable to all controllers, these cannot wait for it.
+std::vector<std::string> MachineDeletion::deletable_now(const std::vector<std::string>& names) const {
     if (parts_.leadership.lease_confirmed()) return names;
     std::vector<std::string> allowed;
     if (!parts_.leadership.no_other_leader()) return allowed;
@@ -78,7 +80,7 @@
     return allowed;
 }
 
-void MachineDeletion::confirm_deleted(const std::vector<std::string>& names) {
+void MachineDeletion::apply_deletion(const std::vector<std::string>& names) {
     for (const auto& name : names) {
         parts_.jobs.machine_deleted(name, parts_.loop.now());
         parts_.cluster.machines.erase(name);
--- a/src/leader/machine_deletion.h
+++ b/src/leader/machine_deletion.h
@@ -16,7 +16,7 @@
 
 class MachineDeletion {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive this object.
     struct Parts {
         Loop& loop;
         CloudClient& cloud;
@@ -30,15 +30,15 @@
     };
     explicit MachineDeletion(const Parts& parts) : parts_(parts) {}
 
-    // Deletes the machines that the plan scales in, in portions that the cloud accepts. Each portion is
-    // repeated until all its machines are deleted, or kept because they have reported again.
+    // Deletes the machines that the plan scales in, in batches within the cloud's limit. The request for a
+    // batch is retried until each of its machines is deleted, or kept because it has sent a heartbeat.
     void start(const std::vector<ScaleInDecision>& decisions);
 
   private:
-    Task<void> delete_machines(std::vector<std::string> names, std::set<std::string> silent);
-    [[nodiscard]] bool reported_again(const std::string& name, Seconds decided_at) const;
-    [[nodiscard]] std::vector<std::string> allowed_now(const std::vector<std::string>& names) const;
-    void confirm_deleted(const std::vector<std::string>& names);
+    Task<void> delete_machines(std::vector<std::string> names, std::set<std::string> only_if_silent);
+    [[nodiscard]] bool should_keep(const std::string& name, Seconds decided_at) const;
+    [[nodiscard]] std::vector<std::string> deletable_now(const std::vector<std::string>& names) const;
+    void apply_deletion(const std::vector<std::string>& names);
     [[nodiscard]] bool holds_cancelled_task(const std::string& name) const;
 
     const Parts parts_;
--- a/src/leader/machine_drain.h
+++ b/src/leader/machine_drain.h
@@ -1,12 +1,12 @@
-// Moving work off a machine that is about to be taken or returned.
+// Drains a machine that is about to be reclaimed or returned.
 #pragma once
 #include "jobs/job_table.h"
 
 namespace hareshore {
 
-// Stops the tasks that can save a checkpoint and, if the spot instance is about to be reclaimed, service
-// replicas, which start elsewhere at once. From a machine that is only to be returned replicas move one by
-// one (JobTable::move_replicas).
+// Stops the tasks that can save a checkpoint. If the machine is a spot instance about to be reclaimed, also
+// stops service replicas, which are started elsewhere at once. On a machine that is being returned, replicas
+// are moved one by one instead (JobTable::move_replicas).
 void drain_machine(JobTable& jobs, const Machine& machine);
 
 }  // namespace hareshore
--- a/src/leader/machine_rental.h
+++ b/src/leader/machine_rental.h
@@ -13,7 +13,7 @@
 
 class MachineRental {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive this object.
     struct Parts {
         Loop& loop;
         CloudClient& cloud;
@@ -25,24 +25,24 @@
     };
     explicit MachineRental(const Parts& parts) : parts_(parts) {}
 
-    // Requests the machines, in portions that the cloud accepts. Each portion is repeated until its answer is
-    // known.
+    // Requests the machines, in batches within the cloud's limit. Each batch is retried until the cloud has
+    // responded.
     void start(ScaleOutRequest request);
-    // Portions without an answer so far.
+    // Batches without a response so far.
     [[nodiscard]] const std::vector<ScaleOutRequest>& on_order() const { return on_order_; }
-    // By kind of machine of which the cloud had none left: not to be requested again before this.
+    // By machine kind: the time before which it must not be requested again, since the cloud had no capacity.
     [[nodiscard]] const std::map<MachineKind, Seconds>& refused_until() const { return refused_until_; }
 
   private:
-    Task<void> rent(ScaleOutRequest portion);
+    Task<void> rent(ScaleOutRequest batch);
     Task<void> wait_for_confirmed_lease();
-    void add_rented(const ScaleOutRequest& portion, const std::vector<std::string>& names);
-    void remove_from_order(const ScaleOutRequest& portion);
+    void add_rented(const ScaleOutRequest& batch, const std::vector<std::string>& names);
+    void remove_from_order(const ScaleOutRequest& batch);
 
     const Parts parts_;
     std::vector<ScaleOutRequest> on_order_;
     std::map<MachineKind, Seconds> refused_until_;
-    uint64_t requests_ = 0;  // in this term, for their idempotency keys
+    uint64_t requests_ = 0;  // sent in this term; makes the idempotency keys unique
 };
 
 }  // namespace hareshore
--- a/src/leader/operator_pages.h
+++ b/src/leader/operator_pages.h
@@ -6,9 +6,9 @@
 
 namespace hareshore {
 
-// One line for each unfinished job, in no order.
+// One line for each unfinished job, in no particular order.
 std::string jobs_page(const JobTable& jobs, Seconds now);
-// One line for each machine, by name.
+// One line for each machine, sorted by name.
 std::string machines_page(const Cluster& cluster, Seconds now);
 
 }  // namespace hareshore
--- a/src/leader/pass_requests.h
+++ b/src/leader/pass_requests.h
@@ -1,4 +1,4 @@
-// Requests for a scheduling pass. Any part of the leader may make one; the scheduling loop serves them.
+// Requests for a scheduling pass. Any component of the leader may make one; the scheduling loop serves them.
 #pragma once
 #include "loop/loop.h"
 
@@ -8,15 +8,15 @@
   public:
     explicit PassRequests(Loop& loop) : requested_(loop) {}
 
-    // Something has changed that a scheduling pass could act on.
+    // To be called after a change that a scheduling pass could act on.
     void request() {
         pending_ = true;
         requested_.notify();
     }
-    // A pass begins, which serves all requests made so far.
+    // To be called when a pass begins, which serves all requests made so far.
     void clear() { pending_ = false; }
     [[nodiscard]] bool pending() const { return pending_; }
-    // Notified at each request.
+    // Notified on each request.
     Condition& requested() { return requested_; }
 
   private:
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -16,7 +16,7 @@
                                                      constants::kStoreCallTimeout_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
         if (revision == kAbsentRevision)
-            revision = page.revision;  // changes since the first page are followed
+            revision = page.revision;  // changes after the first page are read by the watch
         for (auto& entry : page.entries) {
             from = entry.key;
             apply({entry.key, false, entry.mod_revision, std::move(entry.data)});
@@ -43,7 +43,7 @@
             continue;
         }
         if (result.status == WatchStatus::kCompacted && co_await read_all()) {
-            // Never at once again: a store that goes on answering so must not be overloaded.
+            // The pause prevents overloading a store that keeps reporting compacted revisions.
             parts_.pass_requests.request();
             co_await parts_.loop.sleep(constants::kRetryBackoff_s);
             continue;
@@ -54,7 +54,7 @@
 }
 
 void RecordWatch::apply(const KeyChange& change) {
-    if (change.deleted) return;  // only this leader deletes records, and has taken that into account
+    if (change.deleted) return;  // only this leader deletes records, and it has removed the job already
     auto record = JobRecord::unpack(change.data);
     if (!record || live_key(record->spec.id) != change.key) {
         quarantine(change);
@@ -63,7 +63,7 @@
     if (finished_.ended_after(record->spec.id, change.mod_revision)) return;
     Seconds now = parts_.loop.now();
     Job& job = parts_.jobs.load(*record, change.mod_revision, now, parts_.loop.wall());
-    // The record was read before the job was cancelled, and the cancellation has been confirmed since.
+    // The record was read before the job was cancelled; the cancellation has since been confirmed.
     if (!job.cancelled && parts_.cancellations.observed(job.spec.id)) parts_.jobs.cancel(job, now);
     for (const auto& [task, placement] : job.live) {
         Machine& machine = parts_.cluster.ensure(placement.machine, now);
@@ -86,11 +86,11 @@
         apply({live_key(job_id), false, live.entry.mod_revision, std::move(live.entry.data)});
     if (live.status != StoreStatus::kNotFound) co_return;
     GetResult final = co_await parts_.store.get(final_key(job_id), constants::kStoreCallTimeout_s);
-    if (final.status == StoreStatus::kOk) finish(job_id, final.entry.mod_revision);
+    if (final.status == StoreStatus::kOk) remove_finished_job(job_id, final.entry.mod_revision);
     if (final.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", job_id}});
 }
 
-void RecordWatch::finish(const std::string& job_id, uint64_t revision) {
+void RecordWatch::remove_finished_job(const std::string& job_id, uint64_t revision) {
     parts_.jobs.erase(job_id);
     finished_.add(job_id, revision);
 }
--- a/src/leader/record_watch.h
+++ b/src/leader/record_watch.h
@@ -1,5 +1,4 @@
-// Reads the records of unfinished jobs into the job table: all of them when a term begins, then their
-// changes.
+// Loads the records of unfinished jobs into the job table when a term begins, then watches their changes.
 #pragma once
 #include "jobs/job_table.h"
 #include "leader/cancellation_guard.h"
@@ -9,10 +8,10 @@
 
 namespace hareshore {
 
-// A record that cannot be read is quarantined: nothing is decided about its job.
+// A job whose record cannot be read is quarantined: no decision is made about it.
 class RecordWatch {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the watch.
     struct Parts {
         Loop& loop;
         StoreClient& store;
@@ -23,22 +22,22 @@
     };
     explicit RecordWatch(const Parts& parts) : parts_(parts) {}
 
-    // Reads all records; false if the store did not return one of the pages.
+    // Reads all records; false if the store failed to return one of the pages.
     Task<bool> read_all();
-    // Follows the changes after read_all(), until it is cancelled.
+    // Applies the changes after read_all(), until it is cancelled.
     Task<void> follow();
-    // Reads one job's record anew: it has another mod revision than this leader expected, since its user has
-    // cancelled the job or the answer to a transaction was lost.
+    // Rereads one job's record after a conflict: its mod revision is not the expected one, because a user has
+    // cancelled the job or the response to a transaction was lost.
     Task<void> reread(std::string job_id);
-    // The job's final record was written at `revision`: it leaves the table.
-    void finish(const std::string& job_id, uint64_t revision);
+    // Removes a job from the table, after its final record was written at `revision`.
+    void remove_finished_job(const std::string& job_id, uint64_t revision);
 
   private:
     void apply(const KeyChange& change);
     void quarantine(const KeyChange& change);
 
     const Parts parts_;
-    Revision revision_ = kAbsentRevision;  // all changes up to it have been read
+    Revision revision_ = kAbsentRevision;  // all changes up to it have been applied
     FinishedJobs finished_;
 };
 
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr size_t kWritesPerFinish =
-    2;  // the writes of a job's end: the final record put, the live one deleted
+// When a job ends, its final record is put and its live record is deleted.
+constexpr size_t kWritesPerCompletion = 2;
 
 double write_rate(const Config& config) {
     return config.write_rps * constants::kLeaderWriteShare;
@@ -30,25 +30,26 @@
 RecordWriter::RecordWriter(const Parts& parts)
     : parts_(parts),
       record_format_(parts.record_format.in_force()),
-      writes_(write_rate(parts.config), std::max<double>(kWritesPerFinish, write_rate(parts.config))),
+      write_tokens_(write_rate(parts.config),
+                    std::max<double>(kWritesPerCompletion, write_rate(parts.config))),
       changed_(parts.loop) {}
 
 Task<void> RecordWriter::run() {
     record_format_ = parts_.record_format.in_force();
     while (true) {
-        follow_record_format();
+        apply_record_format_change();
         if (!parts_.jobs.has_unwritten()) {
             co_await parts_.loop.wait(changed_, kNoTimeLimit);
             continue;
         }
-        Seconds rate_pause = writes_.wait_time(kWritesPerFinish, parts_.loop.now());
+        Seconds rate_pause = write_tokens_.wait_time(kWritesPerCompletion, parts_.loop.now());
         if (rate_pause > 0) {
             co_await parts_.loop.sleep(rate_pause);
             continue;
         }
         Batch batch = build_batch(choose_jobs());
         if (batch.job_ids.empty()) continue;
-        writes_.take(static_cast<double>(batch.transaction.writes.size()), parts_.loop.now());
+        write_tokens_.take(static_cast<double>(batch.transaction.writes.size()), parts_.loop.now());
         TransactionResult result =
             co_await parts_.store.commit(std::move(batch.transaction), constants::kStoreCallTimeout_s);
         if (result.status == StoreStatus::kOk) {
@@ -59,7 +60,7 @@
             defer_refused(batch.job_ids.front());
             continue;
         }
-        if (result.status == StoreStatus::kInvalid) singles_left_ = batch.job_ids.size();
+        if (result.status == StoreStatus::kInvalid) single_writes_left_ = batch.job_ids.size();
         queue_write(batch);
         if (result.status != StoreStatus::kConflict) {
             co_await back_off(result.status);
@@ -74,20 +75,20 @@
     }
 }
 
-// What could not be written in the last format may fit in the new one.
-void RecordWriter::follow_record_format() {
+// A record that could not be written in the previous format may fit in the new one.
+void RecordWriter::apply_record_format_change() {
     if (record_format_ == parts_.record_format.in_force()) return;
     record_format_ = parts_.record_format.in_force();
     parts_.jobs.queue_all_unwritten();
 }
 
 std::vector<Job*> RecordWriter::choose_jobs() {
-    size_t writes =
-        std::min(parts_.config.txn_ops, static_cast<size_t>(writes_.available(parts_.loop.now())));
-    std::vector<Job*> jobs = parts_.jobs.take_unwritten(std::max(kWritesPerFinish, writes),
+    size_t max_writes =
+        std::min(parts_.config.txn_ops, static_cast<size_t>(write_tokens_.available(parts_.loop.now())));
+    std::vector<Job*> jobs = parts_.jobs.take_unwritten(std::max(kWritesPerCompletion, max_writes),
                                                         constants::kTransactionBytes, record_format_);
-    if (singles_left_ > 0 && !jobs.empty()) {
-        --singles_left_;
+    if (single_writes_left_ > 0 && !jobs.empty()) {
+        --single_writes_left_;
         for (size_t i = 1; i < jobs.size(); ++i) parts_.jobs.queue_write(*jobs[i]);
         jobs.resize(1);
     }
@@ -114,12 +115,13 @@
     return batch;
 }
 
-// False if the record is not to be written now.
+// Returns false if the record cannot be written now.
 bool RecordWriter::add_live_record(Job& job, Transaction& transaction) {
     if (job.persistence.write_deferred(record_format_)) return false;
     std::string data = job.to_record().pack(record_format_);
-    // What the store would refuse is not sent. Until the job's next change the record shows tasks as live
-    // which are not, never the other way round: starts are bounded by its room.
+    // A record that the store would refuse for its size is not sent. Until the job's next change the stored
+    // record may list tasks as live that have ended, but it never lacks a live task, since task starts are
+    // limited by the record's free space.
     if (json_size(data) > parts_.config.value_limit(record_format_)) {
         defer(job, job.persistence.version, DeferReason::kTooLarge);
         return false;
@@ -138,7 +140,7 @@
         job->persistence.mod_revision = revision;
         job->persistence.committed_version = job->persistence.in_flight_version;
         for (const auto& [task, placement] : job->live) machines.insert(placement.machine);
-        if (batch.final_ids.contains(id)) parts_.record_watch.finish(id, revision);
+        if (batch.final_ids.contains(id)) parts_.record_watch.remove_finished_job(id, revision);
     }
     for (const auto& machine : machines) parts_.connections.wake(machine);
 }
@@ -148,7 +150,7 @@
     if (!job) return;
     defer(*job, job->persistence.in_flight_version, DeferReason::kRefused);
     if (!job->persistence.write_deferred(record_format_))
-        parts_.jobs.queue_write(*job);  // it has changed since
+        parts_.jobs.queue_write(*job);  // the job has changed since the refused write
 }
 
 void RecordWriter::queue_write(const Batch& batch) {
@@ -163,7 +165,7 @@
 
 Task<void> RecordWriter::back_off(StoreStatus status) {
     if (status == StoreStatus::kNotExecuted || status == StoreStatus::kRateLimited)
-        writes_.mark_exhausted(parts_.loop.now());
+        write_tokens_.mark_exhausted(parts_.loop.now());
     retry_pause_ = std::clamp(retry_pause_ * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
     co_await parts_.loop.sleep(retry_pause_);
 }
@@ -184,9 +186,9 @@
             transaction.expect_revision(parts_.term.key, parts_.term.mod_revision)
                 .expect_absent(kRecordFormatKey)
                 .put(kRecordFormatKey, pack_record_format(kNewestRecordFormat));
-            writes_.take(1, parts_.loop.now());
+            write_tokens_.take(1, parts_.loop.now());
             co_await parts_.store.commit(std::move(transaction), constants::kStoreCallTimeout_s);
-            // Whatever became of it, the key shows.
+            // The key shows whether the transaction took effect, whatever its result.
             co_await learn_record_format(parts_.store, parts_.record_format);
         }
         if (parts_.record_format.below_newest())
--- a/src/leader/record_writer.h
+++ b/src/leader/record_writer.h
@@ -1,4 +1,4 @@
-// Writes the changes of jobs to their records in the key-value store.
+// Writes changed jobs to their records in the key-value store.
 #pragma once
 #include <set>
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace hareshore {
 
-// One compare-and-swap transaction at a time, each conditioned on the leadership key and on the records' mod
-// revisions, so that a late copy of it can change nothing.
+// Commits one compare-and-swap transaction at a time. Each is conditioned on the leadership key and on the
+// records' mod revisions, so a copy that arrives late changes nothing.
 class RecordWriter {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the writer.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -31,12 +31,12 @@
     };
     explicit RecordWriter(const Parts& parts);
 
-    // Writes what has changed, until it is cancelled or the term is over.
+    // Writes changed records until it is cancelled or the term is over.
     Task<void> run();
-    // Raises the record format in force to the newest once every controller reads it, so that whoever leads
-    // next does. The key is put once and stays.
+    // Upgrades the records to the newest format once every controller, and thus any later leader, can read
+    // it. The record format key is written once and never changed back.
     Task<void> raise_record_format();
-    // Jobs may have changed.
+    // Wakes run() if there are unwritten changes.
     void notify_changed() {
         if (parts_.jobs.has_unwritten()) changed_.notify();
     }
@@ -45,11 +45,11 @@
     struct Batch {
         Transaction transaction;
         std::vector<std::string> job_ids;
-        std::set<std::string> final_ids;  // of these, the jobs that have ended
+        std::set<std::string> final_ids;  // the jobs in job_ids that have ended
     };
     enum class DeferReason : uint8_t { kTooLarge, kRefused };
 
-    void follow_record_format();
+    void apply_record_format_change();
     std::vector<Job*> choose_jobs();
     Batch build_batch(const std::vector<Job*>& jobs);
     bool add_live_record(Job& job, Transaction& transaction);
@@ -61,10 +61,11 @@
     void defer(Job& job, uint64_t version, DeferReason reason) const;
 
     const Parts parts_;
-    uint64_t record_format_;  // in which records are written
-    TokenBucket writes_;      // this leader's share of the store's write rate
+    uint64_t record_format_;    // that records are written in
+    TokenBucket write_tokens_;  // this leader's share of the store's write rate
     Seconds retry_pause_ = 0;
-    size_t singles_left_ = 0;  // so many records are written one by one, to find the one that is refused
+    // How many more records are written in transactions of their own, to find the one that the store refuses.
+    size_t single_writes_left_ = 0;
     Condition changed_;
 };
 
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -11,12 +11,12 @@
 
 namespace {
 
-void lower_to(std::optional<Resources>& smallest, const JobSpec& spec) {
+void update_minimum(std::optional<Resources>& smallest, const JobSpec& spec) {
     Resources amount = Resources::of(spec);
     smallest = smallest ? smallest->componentwise_min(amount) : amount;
 }
 
-bool held_for_better_machine(const Job& job) {
+bool delayed_for_better_machine(const Job& job) {
     return job.wait.reason == WaitReason::kHeldForImage || job.wait.reason == WaitReason::kHeldForSpread;
 }
 
@@ -25,20 +25,21 @@
 Task<void> SchedulingLoop::run() {
     Loop& loop = parts_.loop;
     while (true) {
-        // What is held for a better machine may go to another soon, without any heartbeat.
-        Seconds until = task_held_ ? loop.now() + constants::kDelayedTaskSchedulingInterval_s : kNoTimeLimit;
+        // A task that is delayed for a better machine may become due for another one without any request.
+        Seconds deadline =
+            task_delayed_ ? loop.now() + constants::kDelayedTaskSchedulingInterval_s : kNoTimeLimit;
         while (!parts_.pass_requests.pending())
-            if (co_await loop.wait(parts_.pass_requests.requested(), until) == WakeReason::kTimeout) break;
+            if (co_await loop.wait(parts_.pass_requests.requested(), deadline) == WakeReason::kTimeout) break;
         if (next_pass_at_ && loop.now() < *next_pass_at_) co_await loop.sleep(*next_pass_at_ - loop.now());
         parts_.pass_requests.clear();
-        Seconds began = loop.now();
+        Seconds started_at = loop.now();
         run_pass();
-        // With a fleet or a queue that is large for this machine's share of a core, passes come less often:
-        // workers lose their tasks if they are not answered, and nothing if they wait for work.
-        Seconds took = loop.now() - began;
-        next_pass_at_ = began + std::max(constants::kSchedulingInterval_s,
-                                         took * (1 + constants::kSchedulingPauseFactor));
-        longest_pass_ = std::max(longest_pass_, took);
+        // Long passes, with a fleet or a queue that is large for the available CPU share, run less often:
+        // workers lose their tasks if their heartbeats get no response, but lose nothing by waiting for work.
+        Seconds duration = loop.now() - started_at;
+        next_pass_at_ = started_at + std::max(constants::kSchedulingInterval_s,
+                                              duration * (1 + constants::kSchedulingPauseFactor));
+        longest_pass_ = std::max(longest_pass_, duration);
         ++passes_done_;
         pass_done_.notify();
     }
@@ -64,26 +65,26 @@
 void SchedulingLoop::update_demand() {
     smallest_replica_.reset();
     smallest_waiting_.reset();
-    task_held_ = false;
+    task_delayed_ = false;
     for (const auto& [id, job] : parts_.jobs.all()) {
-        if (job->spec.service() && !job->cancelled) lower_to(smallest_replica_, job->spec);
+        if (job->spec.service() && !job->cancelled) update_minimum(smallest_replica_, job->spec);
         if (!job->waiting()) continue;
-        lower_to(smallest_waiting_, job->spec);
-        task_held_ = task_held_ || held_for_better_machine(*job);
+        update_minimum(smallest_waiting_, job->spec);
+        task_delayed_ = task_delayed_ || delayed_for_better_machine(*job);
     }
 }
 
 bool SchedulingLoop::could_take_work(Machine& machine) {
-    recount_machine(parts_.cluster, machine, parts_.jobs, parts_.loop.now(), silent_after());
+    recount_machine(parts_.cluster, machine, parts_.jobs, parts_.loop.now(), max_heartbeat_age());
     return machine.schedulable && smallest_waiting_ && machine.free.holds(*smallest_waiting_);
 }
 
 void SchedulingLoop::recount_cluster() {
-    recount(parts_.cluster, parts_.jobs, parts_.loop.now(), silent_after());
+    recount(parts_.cluster, parts_.jobs, parts_.loop.now(), max_heartbeat_age());
 }
 
-// An older heartbeat shows no free room.
-Seconds SchedulingLoop::silent_after() const {
+// The age beyond which a machine's last heartbeat does not prove free resources.
+Seconds SchedulingLoop::max_heartbeat_age() const {
     return constants::kFreshHeartbeatIntervals * parts_.config.heartbeat_interval_s;
 }
 
--- a/src/leader/scheduling_loop.h
+++ b/src/leader/scheduling_loop.h
@@ -1,4 +1,4 @@
-// The loop of scheduling passes: when one runs, and what is sent off after it.
+// Decides when scheduling passes run, and sends the resulting commands and records.
 #pragma once
 #include <optional>
 
@@ -8,12 +8,12 @@
 
 namespace hareshore {
 
-// A pass looks at all machines and the queue's head. Done for each heartbeat by itself it would cost the
-// number of machines squared, and after a failover or in a burst take the leader's whole processor share: the
-// requests within an interval are served by one pass.
+// One pass serves all requests made within an interval. A pass examines all machines and the head of the
+// queue, so one pass per heartbeat would cost the square of the number of machines, and use up the leader's
+// CPU share after a failover or in a burst.
 class SchedulingLoop {
   public:
-    // The parts of the leader that this one uses; all outlive it.
+    // All must outlive the loop.
     struct Parts {
         Loop& loop;
         const Config& config;
@@ -34,14 +34,14 @@
     // Notified after each pass.
     Condition& pass_done() { return pass_done_; }
 
-    // Whether a pass could bind something to a machine whose heartbeat has brought no news: most heartbeats
-    // come from machines that are full, or while nothing waits. Recounts the machine.
+    // Whether a pass could bind a waiting task to the machine. Saves a pass for most heartbeats, which come
+    // from machines that are full, or while no task waits. Recounts the machine.
     bool could_take_work(Machine& machine);
-    // Whether a replica of some service could be bound to the machine as it was last counted.
+    // Whether a replica of some service would fit into the machine's free resources as last counted.
     [[nodiscard]] bool could_take_replica(const Machine& machine) const {
         return smallest_replica_ && machine.free.holds(*smallest_replica_);
     }
-    // Recounts what all machines have free, without regard to reservations.
+    // Recounts the free resources of all machines, ignoring reservations.
     void recount_cluster();
     // The duration of the longest pass since the last call.
     Seconds take_longest_pass();
@@ -49,14 +49,15 @@
   private:
     void run_pass();
     void update_demand();
-    [[nodiscard]] Seconds silent_after() const;
+    [[nodiscard]] Seconds max_heartbeat_age() const;
 
     const Parts parts_;
-    std::optional<Resources> smallest_replica_;  // no replica of a service asks less; none without services
-    std::optional<Resources> smallest_waiting_;  // no waiting task asks less; none if none waits
-    bool task_held_ = false;  // in the last pass a waiting task was held for a better machine
+    // The least of each resource that any replica, or any waiting task, requests; empty if there is none.
+    std::optional<Resources> smallest_replica_;
+    std::optional<Resources> smallest_waiting_;
+    bool task_delayed_ = false;  // the last pass delayed a waiting task for a better machine
     uint64_t passes_done_ = 0;
-    std::optional<Seconds> next_pass_at_;  // not before
+    std::optional<Seconds> next_pass_at_;  // the earliest time of the next pass
     Seconds longest_pass_ = 0;
     Condition pass_done_;
 };
--- a/src/leader/term_lifecycle.cc
+++ b/src/leader/term_lifecycle.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-// The frame holds `leader` until the coroutine has ended.
+// The coroutine frame keeps its reference to `leader` until `coroutine` has ended.
 Task<void> keep_alive(std::shared_ptr<void> leader, Task<void> coroutine) {
     (void)leader;
     co_await coroutine;
--- a/src/leader/term_lifecycle.h
+++ b/src/leader/term_lifecycle.h
@@ -1,4 +1,4 @@
-// How far a leader's term has come, and the coroutines that run in it.
+// The state of a leader's term, and the coroutines that run during it.
 #pragma once
 #include <memory>
 #include <optional>
@@ -7,28 +7,29 @@
 
 namespace hareshore {
 
-// Owned by the leader. A term begins, has loaded the records at some moment, and is stopped once.
+// Owned by the leader. A term begins, then has its records loaded, and is stopped once, possibly before that.
 class TermLifecycle {
   public:
     explicit TermLifecycle(Loop& loop) : loop_(loop), loaded_condition_(loop), coroutines_(loop) {}
 
-    // To be called once, before the first spawn(). `leader` owns this object and all that the coroutines use.
+    // To be called once, before the first spawn(). `leader` owns this object and everything that the
+    // coroutines use.
     void begin(std::weak_ptr<void> leader) { leader_ = std::move(leader); }
-    // Starts a coroutine that keeps the leader alive until it has ended. After stop() nothing is started.
+    // Starts a coroutine that keeps the leader alive until it ends. Has no effect after stop().
     void spawn(Task<void> coroutine, const char* name, Priority priority);
-    // The records have been read: heartbeats are answered from now on.
+    // Marks the records as loaded; heartbeats get responses from now on.
     void set_loaded() { loaded_at_ = loop_.now(); }
     void notify_loaded() { loaded_condition_.notify(); }
-    // Cancels all coroutines; they unwind in the loop's next turns.
+    // Cancels all coroutines, which unwind in the next turns of the loop.
     void stop();
 
     [[nodiscard]] bool stopped() const { return stopped_; }
     [[nodiscard]] bool loaded() const { return loaded_at_.has_value(); }
-    // When the records had been read; only if loaded().
+    // When the records were loaded. Requires loaded().
     [[nodiscard]] Seconds loaded_at() const { return loaded_at_.value(); }
-    // Seconds since then; 0 before.
+    // Seconds since the records were loaded; 0 before that.
     [[nodiscard]] Seconds loaded_for() const { return loaded_at_ ? loop_.now() - *loaded_at_ : 0; }
-    // Notified when the records have been read, and when the term is stopped.
+    // Notified when the records are loaded and when the term is stopped.
     Condition& loaded_condition() { return loaded_condition_; }
 
   private:
--- a/src/leader/worker_connections.h
+++ b/src/leader/worker_connections.h
@@ -1,4 +1,4 @@
-// What belongs to a worker's connection rather than to its machine.
+// The state of the communication with each worker, apart from the state of its machine.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,21 +12,21 @@
 struct WorkerConnection {
     explicit WorkerConnection(Loop& loop) : wake(loop) {}
 
-    Condition wake;                  // lets a held heartbeat look again at what there is to answer
-    uint64_t heartbeats = 0;         // how many were accepted; a worker drops the answer to an older one
-    bool command_in_flight = false;  // a direct command is on its way
-    bool resend = false;             // another direct command is wanted after it
+    Condition wake;                  // makes a pending heartbeat check again whether to respond
+    uint64_t heartbeats = 0;         // accepted so far; a worker ignores the response to all but the newest
+    bool command_in_flight = false;  // a direct command awaits its response
+    bool resend = false;             // another direct command must be sent after it
 };
 
-// The connections of all machines, by name. A connection is destroyed with its machine: a reference is valid
-// until the next co_await.
+// The connections of all machines, by name. A connection is destroyed with its machine, so a reference is
+// valid only until the next co_await.
 class WorkerConnections {
   public:
     explicit WorkerConnections(Loop& loop) : loop_(loop) {}
 
-    // Created if there is none.
+    // Creates the connection if there is none.
     WorkerConnection& of(const std::string& machine);
-    // Wakes what waits on it.
+    // Destroys the connection, which wakes its waiters.
     void erase(const std::string& machine) { connections_.erase(machine); }
     void wake(const std::string& machine);
     void wake_all();
