--- a/tests/leader/election_test.cc
+++ b/tests/leader/election_test.cc
@@ -1,4 +1,4 @@
-// Elections: what a candidate's transaction depends on, and that no fencing token is used twice.
+// Leader election: the conditions of the election transaction, and fencing tokens that are never reused.
 #include <gtest/gtest.h>
 
 #include "standins/deployment.h"
@@ -7,9 +7,9 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-// Between a candidate's look at the format of the records and its election a controller of a later version
-// puts a newer format. The candidate must not win: what the records mean it does not know.
-TEST(Election, ACandidateWhoseRecordFormatHasChangedMeanwhileDoesNotWin) {
+// A controller of a later version upgrades the record format after a candidate has read it and before the
+// candidate's election transaction. The candidate must not win, since it cannot read the new format.
+TEST(Election, CandidateDoesNotWinAfterConcurrentRecordFormatUpgrade) {
     for (bool record_format_before : {false, true}) {
         Deployment deployment;
         auto put_record_format = [&](uint64_t mod_revision, uint64_t record_format) {
@@ -21,8 +21,8 @@
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
         deployment.store.let_through = [&](const std::string& txn) {
-            auto m = MsgpackDocument::parse(txn);
-            if (m->root()["writes"].at(0)["put"].text_or("") == kLeaderKey && ++elections == 1)
+            auto document = MsgpackDocument::parse(txn);
+            if (document->root()["writes"].at(0)["put"].text_or("") == kLeaderKey && ++elections == 1)
                 put_record_format(
                     record_format_before ? deployment.store.rows.at(kRecordFormatKey).mod_revision : 0,
                     kNewestRecordFormat + 1);
@@ -31,46 +31,49 @@
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return elections > 0; }));
         deployment.run(10);
-        EXPECT_EQ(elections, 1) << "it does not stand again";
+        EXPECT_EQ(elections, 1) << "the candidate must not campaign again";
         EXPECT_EQ(deployment.leader(), -1);
         EXPECT_EQ(deployment.store.rows.count(kLeaderKey), 0U);
-        EXPECT_EQ(deployment.store.rows.count(kTermKey), 0U) << "nor was its epoch begun";
+        EXPECT_EQ(deployment.store.rows.count(kTermKey), 0U) << "no term may have begun";
     }
 }
 
-// A node that restarts finds its own last leadership in the store and ends it, rather than believing that
-// it still leads or waiting for the lease. The epoch is never used again.
-TEST(Election, ARestartDuringItsOwnTermTakesANewFencingToken) {
+// A restarted leader finds its own leadership key in the store. It must revoke the old lease at once, neither
+// resuming the old term nor waiting for the lease to expire, and must get a new fencing token.
+TEST(Election, RestartedLeaderGetsNewFencingToken) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     uint64_t fencing_token = deployment.node(0).election().fencing_token();
     deployment.kill(0);
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 3))
-        << "well before the lease ends";
+        << "the restarted leader must not wait for its old lease to expire";
     EXPECT_GT(deployment.node(0).election().fencing_token(), fencing_token);
 }
 
-// A process is killed while its election is on its way, is back at once, and the old transaction arrives
-// in the midst of the new election, before or after it. One leads, in an epoch that nobody had.
-TEST(Election, AProcessRestartedDuringItsElectionLeadsOnlyWithANewFencingToken) {
-    for (bool late_first : {true, false}) {
+// A candidate is killed while its election transaction is in flight and restarts at once. The old transaction
+// reaches the store before or after the new one. The candidate must lead with a fencing token that was never
+// used.
+TEST(Election, RestartedCandidateGetsNewFencingToken) {
+    for (bool old_transaction_first : {true, false}) {
         Deployment deployment;
         deployment.store.let_through = [&](const std::string& body) {
             return body.find("term") == std::string::npos || !deployment.store.held_transactions.empty();
         };
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
-        std::string old = deployment.store.held_transactions.at(0);
+        std::string old_transaction = deployment.store.held_transactions.at(0);
         deployment.kill(0);
-        if (late_first) {
-            EXPECT_EQ(deployment.store.apply(old).status, 200);
+        if (old_transaction_first) {
+            EXPECT_EQ(deployment.store.apply(old_transaction).status, 200);
         }
         deployment.start(0);
         ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 5));
         uint64_t fencing_token = deployment.node(0).election().fencing_token();
-        EXPECT_EQ(fencing_token, late_first ? 2U : 1U) << "the old transaction took effect, or never will";
-        EXPECT_NE(deployment.store.apply(old).status, 200) << "its conditions or its lease are gone";
+        EXPECT_EQ(fencing_token, old_transaction_first ? 2U : 1U)
+            << "the token follows the old transaction's only if that was executed";
+        EXPECT_NE(deployment.store.apply(old_transaction).status, 200)
+            << "the old transaction must fail once the new election is over";
         deployment.run(5);
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
         EXPECT_EQ(deployment.leader(), 0);
--- a/tests/leader/heartbeats_test.cc
+++ b/tests/leader/heartbeats_test.cc
@@ -1,4 +1,4 @@
-// Heartbeats of many workers, and of workers that cannot reach the leader.
+// Heartbeats from many workers, and from workers that cannot reach the leader.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -8,7 +8,8 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-// A worker that was pointed to the leader and comes back could not reach it: its report is passed on.
+// A worker that was redirected to the leader and returns to another controller cannot reach the leader, so
+// the controller relays its heartbeat.
 TEST(WorkerHeartbeats, RelaysHeartbeatsOfWorkersThatCannotReachTheLeader) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
@@ -21,11 +22,11 @@
     EXPECT_EQ(worker.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
 }
 
-// After a take-over all workers report at once. What comes together is decided together: the work grows with
-// the reports, not with reports times machines.
+// After a failover all workers send heartbeats at once. Heartbeats that arrive together must share scheduling
+// passes, so that the work grows with the number of heartbeats, not with heartbeats times machines.
 TEST(WorkerHeartbeats, SimultaneousHeartbeatsShareSchedulingPasses) {
     Deployment deployment;
-    // Each worker takes two descriptors of this process.
+    // Each worker uses two file descriptors of this process.
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
     files.rlim_cur = files.rlim_max;
@@ -42,19 +43,20 @@
     std::vector<FakeWorker> workers(1000);
     int answered = 0;
     TaskGroup scope(deployment.loop);
-    auto go = [](Loop& l, Address at, FakeWorker& worker, int& n) -> Task<void> {
-        n += co_await worker.send_report(l, at) == 200;
+    auto send_heartbeat = [](Loop& loop, Address leader, FakeWorker& worker, int& ok_count) -> Task<void> {
+        ok_count += co_await worker.send_report(loop, leader) == 200;
     };
     for (size_t i = 0; i < workers.size(); ++i) {
         workers[i].name = "vm-" + std::to_string(10000 + i);
-        scope.spawn(go(deployment.loop, deployment.configs[0].listen, workers[i], answered), "hello");
+        scope.spawn(send_heartbeat(deployment.loop, deployment.configs[0].listen, workers[i], answered),
+                    "hello");
     }
-    uint64_t before = deployment.node(0).leader()->passes_done();
-    Seconds began = deployment.loop.now();
+    uint64_t passes_before = deployment.node(0).leader()->passes_done();
+    Seconds started_at = deployment.loop.now();
     ASSERT_TRUE(deployment.until([&] { return answered == 1000; }, 10));
-    uint64_t run_passes = deployment.node(0).leader()->passes_done() - before;
-    EXPECT_LE(static_cast<double>(run_passes),
-              2 + (deployment.loop.now() - began) / constants::kSchedulingInterval_s);
-    EXPECT_LT(run_passes, 50U) << "far fewer than reports";
+    uint64_t passes = deployment.node(0).leader()->passes_done() - passes_before;
+    EXPECT_LE(static_cast<double>(passes),
+              2 + (deployment.loop.now() - started_at) / constants::kSchedulingInterval_s);
+    EXPECT_LT(passes, 50U) << "there must be far fewer passes than heartbeats";
     EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1000U);
 }
--- a/tests/leader/large_fleet_test.cc
+++ b/tests/leader/large_fleet_test.cc
@@ -1,9 +1,10 @@
-// A fleet of 4,000 machines on the fake clock: registration, steady reports, a take-over at which all
-// machines report at once. Checked by counts, since time on a shared machine says nothing: what a report
-// costs must not grow with the fleet, nor a pass with the reports that it serves.
+// A fleet of 4,000 machines on the fake clock: registration, steady heartbeats, and a failover after which
+// all machines send heartbeats at once. The cost of a heartbeat must not grow with the fleet, nor the cost of
+// a pass with the number of heartbeats that it serves. The tests check counts, since durations on a shared
+// machine are not reproducible.
 //
-// What is guarded against: a fixed limit below the largest fleet, and work for each report that looks at all
-// machines.
+// They guard against a fixed limit below the size of the largest fleet, and against work per heartbeat that
+// scans all machines.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -17,8 +18,8 @@
 
 constexpr size_t kMachines = 4000;
 constexpr size_t kJobs = 250;
-constexpr uint32_t kTasksPerJob = 32;  // together as many as the fleet has GPUs
-constexpr Seconds kTakeOver_s = 10;    // of the fake clock: election, records, two rounds of reports
+constexpr uint32_t kTasksPerJob = 32;       // all jobs together use all GPUs of the fleet
+constexpr Seconds kFailoverTimeout_s = 10;  // on the fake clock, for two rounds of heartbeats
 
 struct LargeFleet : testing::Test {
     Deployment deployment{2};
@@ -50,28 +51,28 @@
         return node < 0 ? nullptr : deployment.node(node).leader();
     }
 
-    static Task<void> report_once(std::shared_ptr<Leader> to, FakeWorker& worker, size_t& answered) {
-        auto report = decode_heartbeat(worker.report());
-        Response answer = co_await to->handle_heartbeat(std::move(*report), constants::kIdleHeartbeatHold_s,
-                                                        HeartbeatRoute::kDirect);
-        if (answer.status != 200) co_return;
-        worker.carry_out(answer.body);
+    static Task<void> send_heartbeat(std::shared_ptr<Leader> target, FakeWorker& worker, size_t& answered) {
+        auto heartbeat = decode_heartbeat(worker.report());
+        Response response = co_await target->handle_heartbeat(
+            std::move(*heartbeat), constants::kIdleHeartbeatHold_s, HeartbeatRoute::kDirect);
+        if (response.status != 200) co_return;
+        worker.carry_out(response.body);
         ++answered;
     }
 
-    // All machines report at once; how many were answered 200.
-    size_t all_report() {
+    // Sends a heartbeat from every machine at once. Returns how many responses had status 200.
+    size_t send_all_heartbeats() {
         size_t answered = 0;
         TaskGroup scope(deployment.loop);
-        for (FakeWorker& worker : workers) scope.spawn(report_once(leader(), worker, answered), "report");
+        for (FakeWorker& worker : workers) scope.spawn(send_heartbeat(leader(), worker, answered), "report");
         deployment.until([&] { return scope.size() == 0; }, 5);
         return answered;
     }
 
     size_t tasks_on_machines() const {
-        size_t n = 0;
-        for (const FakeWorker& worker : workers) n += worker.tasks.size();
-        return n;
+        size_t count = 0;
+        for (const FakeWorker& worker : workers) count += worker.tasks.size();
+        return count;
     }
 
     void submit_jobs() {
@@ -87,34 +88,35 @@
 
 }  // namespace
 
-TEST_F(LargeFleet, IsFilledKeptAndTakenOver) {
+TEST_F(LargeFleet, SchedulesAllTasksAndSurvivesFailover) {
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return leader() && leader()->loaded_for() > 0; }));
     deployment.start(1);
-    EXPECT_EQ(all_report(), kMachines);
+    EXPECT_EQ(send_all_heartbeats(), kMachines);
     EXPECT_EQ(leader()->machines_seen(), kMachines);
     ASSERT_TRUE(deployment.until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
     submit_jobs();
-    for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round) all_report();
+    for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round)
+        send_all_heartbeats();
     ASSERT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
-    all_report();  // all is known to run
+    send_all_heartbeats();  // reports all tasks as running
 
-    // Full machines without news ask for nothing: only the passes of the clock are left.
-    Seconds began = deployment.loop.now();
-    uint64_t passes = leader()->passes_done();
-    EXPECT_EQ(all_report(), kMachines);
-    EXPECT_LE(leader()->passes_done() - passes,
-              2 + (deployment.loop.now() - began) / constants::kScalingInterval_s);
+    // Unchanged heartbeats of full machines request no passes; only the periodic passes remain.
+    Seconds started_at = deployment.loop.now();
+    uint64_t passes_before = leader()->passes_done();
+    EXPECT_EQ(send_all_heartbeats(), kMachines);
+    EXPECT_LE(leader()->passes_done() - passes_before,
+              2 + (deployment.loop.now() - started_at) / constants::kScalingInterval_s);
 
-    // All reports that come to a new leader at once share a few passes, and nothing is started again.
+    // After a failover the simultaneous heartbeats share a few passes, and no task is started again.
     deployment.kill(0);
     ASSERT_TRUE(
         deployment.until([&] { return deployment.leader() == 1 && leader() && leader()->loaded_for() > 0; }));
-    began = deployment.loop.now();
-    EXPECT_EQ(all_report(), kMachines);
-    EXPECT_EQ(all_report(), kMachines) << "with this epoch known";
+    started_at = deployment.loop.now();
+    EXPECT_EQ(send_all_heartbeats(), kMachines);
+    EXPECT_EQ(send_all_heartbeats(), kMachines) << "with the new leader's fencing token";
     EXPECT_LE(leader()->passes_done(), 20U);
-    EXPECT_LT(deployment.loop.now() - began, kTakeOver_s);
+    EXPECT_LT(deployment.loop.now() - started_at, kFailoverTimeout_s);
     EXPECT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
     for (const FakeWorker& worker : workers)
         for (const TaskStatus& task : worker.tasks) ASSERT_EQ(task.phase, TaskPhase::kRunning);
@@ -123,8 +125,8 @@
 
 namespace {
 
-Task<void> send_and_leave(Loop& loop, Address to, std::string body, bool& sent) {
-    auto stream = co_await connect_to(loop, to, loop.now() + 1);
+Task<void> send_and_disconnect(Loop& loop, Address server, std::string body, bool& sent) {
+    auto stream = co_await connect_to(loop, server, loop.now() + 1);
     std::string head = "POST /hello HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
     if (stream) co_await stream->write(head + body, loop.now() + 1);
     sent = stream != nullptr;
@@ -132,9 +134,9 @@
 
 }  // namespace
 
-// A controller that falls behind by more than a worker waits finds only reports that were given up. Taking
-// them in costs as much as those that are answered, so that it would stay behind for ever.
-TEST(Overload, AReportThatItsWorkerHasGivenUpIsNotTakenIn) {
+// A controller whose backlog exceeds the workers' request timeout receives only heartbeats that their workers
+// have abandoned. Handling those costs as much as handling others, so the controller would never catch up.
+TEST(Overload, AbandonedHeartbeatIsIgnored) {
     Deployment deployment;
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0 && deployment.node(0).leader(); }));
@@ -142,8 +144,9 @@
     FakeWorker worker;
     TaskGroup scope(deployment.loop);
     bool sent = false;
-    // The server's routine for the connection is started after both ends have done their part.
-    scope.spawn(send_and_leave(deployment.loop, deployment.configs[0].listen, worker.report(), sent),
+    // The server starts its coroutine for the connection only after the client has sent the request and
+    // disconnected.
+    scope.spawn(send_and_disconnect(deployment.loop, deployment.configs[0].listen, worker.report(), sent),
                 "worker");
     ASSERT_TRUE(deployment.until([&] { return sent; }));
     deployment.run(2);
--- a/tests/leader/record_reading_test.cc
+++ b/tests/leader/record_reading_test.cc
@@ -1,4 +1,4 @@
-// Reading all records from the store.
+// Reading the records from the store.
 #include <gtest/gtest.h>
 
 #include "standins/records.h"
@@ -7,36 +7,37 @@
 using namespace hareshore;
 using namespace hareshore::test;
 
-// The service has forgotten the changes that a watch asks for: the leader reads all records again, page by
-// page, and misses neither a new job nor a cancellation.
-TEST(RecordReading, ReadsAllRecordsAgainWhenAWatchComesTooLate) {
+// The store has compacted the changes that a watch requests. The leader must read all records again, page by
+// page, and miss neither a new job nor a cancellation.
+TEST(RecordReading, RereadsAllRecordsAfterCompaction) {
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
-    int first = deployment.leader();
+    int leader = deployment.leader();
     deployment.run(1);
     deployment.store.list_page_size = 2;
     deployment.store.compacted_revision = 1000;
     for (int i = 1; i <= 5; ++i)
-        ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs", job_body("job-" + std::to_string(i))).status,
-                  201);
-    ASSERT_EQ(deployment.call(1 - first, "POST", "/v2/runs/job-5/withdraw").status, 200);
+        ASSERT_EQ(
+            deployment.call(1 - leader, "POST", "/v2/runs", job_body("job-" + std::to_string(i))).status,
+            201);
+    ASSERT_EQ(deployment.call(1 - leader, "POST", "/v2/runs/job-5/withdraw").status, 200);
     deployment.run(5);
-    const auto& jobs = deployment.node(first).leader()->jobs();
-    EXPECT_EQ(jobs.size(), 4U) << "the withdrawn one is over and moved";
+    const auto& jobs = deployment.node(leader).leader()->jobs();
+    EXPECT_EQ(jobs.size(), 4U) << "the cancelled job must have its final record only";
     for (int i = 1; i <= 4; ++i) EXPECT_TRUE(jobs.find("job-" + std::to_string(i)));
     EXPECT_TRUE(deployment.store.rows.contains("f/job-5"));
 }
 
-// A watch's answer has no size limit. One that is larger than is taken must lead to reading the records in
-// pages, not to asking for the same answer for ever.
-TEST(RecordReading, ReadsInPagesWhatIsTooLargeForOneAnswer) {
+// A watch response has no size limit. If it exceeds the limit of the leader's client, the leader must read
+// the records page by page instead of repeating the same watch forever.
+TEST(RecordReading, ReadsPagesAfterOversizedWatchResponse) {
     Deployment deployment;
     deployment.configs[0].ram_bytes = 8 * 1024 * 1024;
     deployment.store.list_page_size = 50;
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
-    deployment.store.down = true;  // open watches wait
+    deployment.store.down = true;  // so that the open watch gets all changes in one response
     for (int i = 0; i < 300; ++i) {
         JobRecord record;
         record.spec.id = "job-" + std::to_string(i);
