--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -16,16 +16,16 @@
       lifecycle_(environment.loop),
       pass_requests_(environment.loop),
       connections_(environment.loop),
-      cancellations_({.loop = environment.loop,
-                      .config = environment.config,
-                      .leadership = *leadership_,
-                      .jobs = jobs_,
-                      .pass_requests = pass_requests_}),
+      cancellation_guard_({.loop = environment.loop,
+                           .config = environment.config,
+                           .leadership = *leadership_,
+                           .jobs = jobs_,
+                           .pass_requests = pass_requests_}),
       record_watch_({.loop = environment.loop,
                      .store = environment.store,
                      .jobs = jobs_,
                      .cluster = cluster_,
-                     .cancellations = cancellations_,
+                     .cancellations = cancellation_guard_,
                      .pass_requests = pass_requests_}),
       record_writer_({.loop = environment.loop,
                       .config = environment.config,
@@ -44,53 +44,53 @@
                        .cluster = cluster_,
                        .connections = connections_,
                        .pass_requests = pass_requests_}),
-      scheduling_({.loop = environment.loop,
-                   .config = environment.config,
-                   .settings = environment.settings,
-                   .record_format = environment.record_format,
-                   .lifecycle = lifecycle_,
-                   .jobs = jobs_,
-                   .cluster = cluster_,
-                   .pass_requests = pass_requests_,
-                   .command_sender = command_sender_,
-                   .record_writer = record_writer_}),
-      heartbeats_({.loop = environment.loop,
-                   .config = environment.config,
-                   .fencing_token = term_.fencing_token,
-                   .leadership = *leadership_,
-                   .lifecycle = lifecycle_,
-                   .jobs = jobs_,
-                   .cluster = cluster_,
-                   .connections = connections_,
-                   .deleted_machines = deleted_machines_,
-                   .pass_requests = pass_requests_,
-                   .scheduling = scheduling_,
-                   .cancellations = cancellations_}),
-      inventory_({.loop = environment.loop,
-                  .config = environment.config,
-                  .cloud = environment.cloud,
-                  .store = environment.store,
-                  .term = term_,
-                  .cluster = cluster_,
-                  .deleted_machines = deleted_machines_}),
-      rental_({.loop = environment.loop,
-               .cloud = environment.cloud,
-               .fencing_token = term_.fencing_token,
-               .leadership = *leadership_,
-               .lifecycle = lifecycle_,
-               .cluster = cluster_,
-               .deleted_machines = deleted_machines_}),
-      deletion_({.loop = environment.loop,
-                 .cloud = environment.cloud,
-                 .leadership = *leadership_,
-                 .lifecycle = lifecycle_,
-                 .jobs = jobs_,
-                 .cluster = cluster_,
-                 .connections = connections_,
-                 .deleted_machines = deleted_machines_,
-                 .pass_requests = pass_requests_}),
+      scheduling_loop_({.loop = environment.loop,
+                        .config = environment.config,
+                        .settings = environment.settings,
+                        .record_format = environment.record_format,
+                        .lifecycle = lifecycle_,
+                        .jobs = jobs_,
+                        .cluster = cluster_,
+                        .pass_requests = pass_requests_,
+                        .command_sender = command_sender_,
+                        .record_writer = record_writer_}),
+      heartbeat_handler_({.loop = environment.loop,
+                          .config = environment.config,
+                          .fencing_token = term_.fencing_token,
+                          .leadership = *leadership_,
+                          .lifecycle = lifecycle_,
+                          .jobs = jobs_,
+                          .cluster = cluster_,
+                          .connections = connections_,
+                          .deleted_machines = deleted_machines_,
+                          .pass_requests = pass_requests_,
+                          .scheduling = scheduling_loop_,
+                          .cancellations = cancellation_guard_}),
+      cloud_inventory_({.loop = environment.loop,
+                        .config = environment.config,
+                        .cloud = environment.cloud,
+                        .store = environment.store,
+                        .term = term_,
+                        .cluster = cluster_,
+                        .deleted_machines = deleted_machines_}),
+      machine_rental_({.loop = environment.loop,
+                       .cloud = environment.cloud,
+                       .fencing_token = term_.fencing_token,
+                       .leadership = *leadership_,
+                       .lifecycle = lifecycle_,
+                       .cluster = cluster_,
+                       .deleted_machines = deleted_machines_}),
+      machine_deletion_({.loop = environment.loop,
+                         .cloud = environment.cloud,
+                         .leadership = *leadership_,
+                         .lifecycle = lifecycle_,
+                         .jobs = jobs_,
+                         .cluster = cluster_,
+                         .connections = connections_,
+                         .deleted_machines = deleted_machines_,
+                         .pass_requests = pass_requests_}),
       fleet_report_(
-          {.loop = environment.loop, .jobs = jobs_, .cluster = cluster_, .scheduling = scheduling_}),
+          {.loop = environment.loop, .jobs = jobs_, .cluster = cluster_, .scheduling = scheduling_loop_}),
       fleet_scaler_({.loop = environment.loop,
                      .config = environment.config,
                      .settings = environment.settings,
@@ -100,9 +100,9 @@
                      .jobs = jobs_,
                      .cluster = cluster_,
                      .pass_requests = pass_requests_,
-                     .scheduling = scheduling_,
-                     .rental = rental_,
-                     .deletion = deletion_,
+                     .scheduling = scheduling_loop_,
+                     .rental = machine_rental_,
+                     .deletion = machine_deletion_,
                      .report = fleet_report_}) {
     cluster_.machine_types = std::move(machine_types);
 }
@@ -114,7 +114,7 @@
 
 void Leader::stop() {
     lifecycle_.stop();
-    scheduling_.pass_done().notify();
+    scheduling_loop_.pass_done().notify();
     connections_.wake_all();
 }
 
@@ -131,13 +131,13 @@
 }
 
 void Leader::start_loops() {
-    lifecycle_.spawn(scheduling_.run(), "scheduling passes", Priority::kNormal);
+    lifecycle_.spawn(scheduling_loop_.run(), "scheduling passes", Priority::kNormal);
     // Urgent, since workers' leases may be renewed only while the watch is up to date.
     lifecycle_.spawn(record_watch_.follow(), "watch", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.run(), "commit", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.raise_record_format(), "record format", Priority::kNormal);
-    lifecycle_.spawn(inventory_.poll_machine_types(), "prices", Priority::kNormal);
-    lifecycle_.spawn(inventory_.poll_machines(), "machine list", Priority::kNormal);
+    lifecycle_.spawn(cloud_inventory_.poll_machine_types(), "prices", Priority::kNormal);
+    lifecycle_.spawn(cloud_inventory_.poll_machines(), "machine list", Priority::kNormal);
     lifecycle_.spawn(fleet_scaler_.run(), "fleet", Priority::kNormal);
 }
 
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -38,17 +38,17 @@
     // Responds to a worker's heartbeat with 200 and commands, or with 503. While there are no commands, the
     // response may be delayed by up to `max_delay` seconds.
     Task<Response> handle_heartbeat(WorkerHeartbeat&& heartbeat, Seconds max_delay, HeartbeatRoute route) {
-        return heartbeats_.handle(std::move(heartbeat), max_delay, route);
+        return heartbeat_handler_.handle(std::move(heartbeat), max_delay, route);
     }
 
     // Handles that this controller or a peer is confirming the job's cancellation to its user: stops the
     // job's tasks without waiting for the store.
-    void observe_cancellation(const std::string& job_id) { cancellations_.observe(job_id); }
+    void observe_cancellation(const std::string& job_id) { cancellation_guard_.observe(job_id); }
 
     // The number of machines from which this leader has received a heartbeat.
     [[nodiscard]] size_t machines_seen() const;
     // The number of scheduling passes so far.
-    [[nodiscard]] uint64_t passes_done() const { return scheduling_.passes_done(); }
+    [[nodiscard]] uint64_t passes_done() const { return scheduling_loop_.passes_done(); }
     // Seconds since the records were loaded; 0 before that.
     [[nodiscard]] Seconds loaded_for() const { return lifecycle_.loaded_for(); }
 
@@ -75,15 +75,15 @@
     DeletedMachines deleted_machines_;
 
     // Each component refers only to members declared above it.
-    CancellationGuard cancellations_;
+    CancellationGuard cancellation_guard_;
     RecordWatch record_watch_;
     RecordWriter record_writer_;
     CommandSender command_sender_;
-    SchedulingLoop scheduling_;
-    HeartbeatHandler heartbeats_;
-    CloudInventory inventory_;
-    MachineRental rental_;
-    MachineDeletion deletion_;
+    SchedulingLoop scheduling_loop_;
+    HeartbeatHandler heartbeat_handler_;
+    CloudInventory cloud_inventory_;
+    MachineRental machine_rental_;
+    MachineDeletion machine_deletion_;
     FleetReport fleet_report_;
     FleetScaler fleet_scaler_;
 };
