--- a/src/cluster/machine.cc
+++ b/src/cluster/machine.cc
@@ -9,22 +9,22 @@
     };
     if (heartbeat.incarnation > incarnation) {
         // Its lease ended although it was answered well within it.
-        if (answered_at && now - *answered_at < lease_s / 2) suspect();
-    } else if (route == HeartbeatRoute::kDirect && answered_directly) {
+        if (last_response_at && now - *last_response_at < lease_s / 2) suspect();
+    } else if (route == HeartbeatRoute::kDirect && next_sequence_predictable) {
         // One that receives answers stays and numbers its heartbeats one by one; any other has asked others.
-        if (heartbeat.sequence == answered_sequence + 1) {
+        if (heartbeat.sequence == last_response_sequence + 1) {
             unreachable_since.reset();
         } else {
             suspect();
         }
     }
-    answered_directly = false;
+    next_sequence_predictable = false;
 }
 
-void Machine::answered(bool next_sequence_known, Seconds now) {
-    answered_at = now;
-    answered_sequence = sequence;
-    answered_directly = next_sequence_known;
+void Machine::record_response(bool next_sequence_known, Seconds now) {
+    last_response_at = now;
+    last_response_sequence = sequence;
+    next_sequence_predictable = next_sequence_known;
 }
 
 }  // namespace hareshore
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -63,16 +63,17 @@
     // --- Whether answers and commands reach it. One whose heartbeats arrive while those are lost looks alive
     // and idle, and would be bound to over and over.
     std::optional<Seconds> unreachable_since;  // since when nothing shows that it receives answers
-    std::optional<Seconds> answered_at;        // its newest heartbeat that was answered 200
-    uint64_t answered_sequence = 0;  // the newest number seen of it by then; commands number heartbeats, too
-    bool answered_directly = false;  // on its own connection, and no command was sent to it since
+    std::optional<Seconds> last_response_at;   // its newest heartbeat that was answered 200
+    uint64_t last_response_sequence =
+        0;  // the newest number seen of it by then; commands number heartbeats, too
+    bool next_sequence_predictable = false;  // on its own connection, and no command was sent to it since
     // Concludes from a heartbeat, newer than all before and not taken in yet, whether the answers to those
     // arrived.
     void update_reachability(const WorkerHeartbeat& heartbeat, HeartbeatRoute route, Seconds lease_s,
                              Seconds now);
     // Its newest heartbeat is answered 200. `next_sequence_known`: directly and without commands, so that the
     // next heartbeat of a worker that receives the answer has the next number.
-    void answered(bool next_sequence_known, Seconds now);
+    void record_response(bool next_sequence_known, Seconds now);
 
     // --- From the cloud.
     MachinePhase phase = MachinePhase::kBooting;
@@ -83,9 +84,9 @@
     std::set<std::string> failed_jobs;  // jobs with a failed task since the last success
     bool cordoned = false;              // nothing is bound; it is drained and returned
     std::string cordon_reason;
-    bool draining = false;        // its work is being moved elsewhere, then it is returned
-    bool deleting = false;        // a deletion is on its way: nothing may be bound
-    bool heartbeat_held = false;  // a heartbeat of it awaits its answer, which can go out at once
+    bool draining = false;                   // its work is being moved elsewhere, then it is returned
+    bool deleting = false;                   // a deletion is on its way: nothing may be bound
+    bool heartbeat_awaits_response = false;  // a heartbeat of it awaits its answer, which can go out at once
 
     // --- Recounted from placements and heartbeats; see jobs/resource_accounting.h.
     MachineUsage usage;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -147,7 +147,7 @@
 Task<void> Controller::follow_record_format() {
     // Until the newest format is in force; no version goes back after that.
     while (record_format_.below_newest()) {
-        co_await learn_record_format(store_, record_format_);
+        co_await refresh_record_format(store_, record_format_);
         if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     if (record_format_.newer()) election_.stop_campaigning();
--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -66,7 +66,7 @@
     Seconds timeout = in_partition ? constants::kPartitionTimeoutLeases * lease_s : unreachable_after();
     Seconds silent_for = silence(machine);
     if (machine.phase == MachinePhase::kRunning && machine.heartbeat_received) {
-        if (!machine.heartbeat_held && silent_for > timeout) return ScaleInReason::kUnreachable;
+        if (!machine.heartbeat_awaits_response && silent_for > timeout) return ScaleInReason::kUnreachable;
     } else if (machine.phase == MachinePhase::kRunning) {
         if (silent_for > timeout + (in_partition ? 0 : lease_s)) return ScaleInReason::kNeverReported;
     } else if (const MachineType* type = context_.cluster.machine_type(machine.machine_type)) {
@@ -102,8 +102,9 @@
 }
 
 bool MachineHealth::silent(const Machine& machine) const {
-    return !machine.heartbeat_held && silence(machine) > constants::kSilentAfterHeartbeatIntervals *
-                                                             context_.input.config.heartbeat_interval_s;
+    return !machine.heartbeat_awaits_response &&
+           silence(machine) >
+               constants::kSilentAfterHeartbeatIntervals * context_.input.config.heartbeat_interval_s;
 }
 
 Seconds MachineHealth::unreachable_after() const {
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -168,7 +168,7 @@
     mark_changed(job);
 }
 
-void JobTable::repeat_stops_of_cancelled(Seconds cancelled_until) {
+void JobTable::resend_stops_of_cancelled(Seconds cancelled_until) {
     for (const auto& [id, job] : jobs_) {
         if (!job->cancelled || job->cancellation_known_at > cancelled_until) continue;
         for (const auto& [task, placement] : job->live) machines_with_new_stops_.insert(placement.machine);
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -102,7 +102,7 @@
     // Machines whose placements have changed since the last call.
     std::set<std::string> take_changed_machines() { return placements_.take_changed_machines(); }
     // Counts the stops of all jobs that were cancelled until then as new ones.
-    void repeat_stops_of_cancelled(Seconds cancelled_until);
+    void resend_stops_of_cancelled(Seconds cancelled_until);
     // Whether the machine has placements that wait for their commit.
     bool awaits_commit(const Machine& machine) const;
     // Whether there is nothing to command: all that the machine has runs, and is meant to.
--- a/src/jobs/job_wait.cc
+++ b/src/jobs/job_wait.cc
@@ -14,9 +14,9 @@
             return "no machine that it may use has room";
         case WaitReason::kGangRoom:
             return "no room for all tasks of the gang at once";
-        case WaitReason::kHeldForImage:
+        case WaitReason::kDelayedForImage:
             return "held briefly for an idle machine that has its image";
-        case WaitReason::kHeldForSpread:
+        case WaitReason::kDelayedForSpread:
             return "held briefly for a machine that runs less of it";
         case WaitReason::kBackoff:
             return "its tasks failed on several machines; it is tried again later";
--- a/src/jobs/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -22,7 +22,7 @@
     return format && *format <= kNewestRecordFormat;
 }
 
-Task<bool> learn_record_format(StoreClient& state, RecordFormat& record_format) {
+Task<bool> refresh_record_format(StoreClient& state, RecordFormat& record_format) {
     GetResult read = co_await state.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
     if (read.status == StoreStatus::kNotFound) co_return true;
     if (read.status != StoreStatus::kOk) co_return false;
--- a/src/jobs/record_format.h
+++ b/src/jobs/record_format.h
@@ -30,6 +30,6 @@
 bool reads_record_format(const std::string& packed);
 
 // Reads the key. Returns false if the store gave no certain answer; a format that was read before stays.
-Task<bool> learn_record_format(StoreClient& state, RecordFormat& record_format);
+Task<bool> refresh_record_format(StoreClient& state, RecordFormat& record_format);
 
 }  // namespace hareshore
--- a/src/jobs/resource_accounting.cc
+++ b/src/jobs/resource_accounting.cc
@@ -34,7 +34,7 @@
 
 // Whether tasks may be bound to a machine of a known type.
 bool may_be_scheduled(const Machine& machine, Seconds now, Seconds silent_after) {
-    bool heard = machine.heartbeat_held || now - machine.last_heartbeat <= silent_after;
+    bool heard = machine.heartbeat_awaits_response || now - machine.last_heartbeat <= silent_after;
     bool stays = !machine.cordoned && !machine.deleting && !machine.draining && !machine.spot_reclaim_at;
     return heard && stays && machine.has_current_token && !machine.unreachable_since &&
            machine.usage.all_sizes_known;
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -30,7 +30,7 @@
         if (stops.empty()) break;
         const uint64_t incarnation = machine->incarnation;
         // The worker numbers the command like a heartbeat, whether or not its answer arrives.
-        machine->answered_directly = false;
+        machine->next_sequence_predictable = false;
         auto heartbeat = co_await send_commands(parts_.loop, *address, parts_.fencing_token, incarnation,
                                                 std::move(stops));
         machine = parts_.cluster.machine(machine_name);
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -47,7 +47,7 @@
     const Seconds interval = parts_.config.heartbeat_interval_s;
     if (stops_repeated_at_ && now - *stops_repeated_at_ < interval) return;
     stops_repeated_at_ = now;
-    parts_.jobs.repeat_stops_of_cancelled(now - interval);
+    parts_.jobs.resend_stops_of_cancelled(now - interval);
 }
 
 // In an outage of the store for all this cannot wait for a confirmed lease. Where every peer has seen no
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -24,7 +24,7 @@
     HeldHeartbeat(const HeldHeartbeat&) = delete;
     HeldHeartbeat& operator=(const HeldHeartbeat&) = delete;
     ~HeldHeartbeat() {
-        if (Machine* machine = cluster_.machine(name_)) machine->heartbeat_held = false;
+        if (Machine* machine = cluster_.machine(name_)) machine->heartbeat_awaits_response = false;
     }
 
   private:
@@ -72,7 +72,7 @@
             awaits_commit ? commit_deadline : hold_for_work_until(*machine, received_at, hold);
         if (!until || loop.now() >= *until) break;
         HeldHeartbeat held(parts_.cluster, name);
-        machine->heartbeat_held = !awaits_commit;
+        machine->heartbeat_awaits_response = !awaits_commit;
         co_await loop.wait(parts_.connections.of(name).wake, *until);
     }
     co_return answer(*machine, route);
@@ -83,7 +83,7 @@
     const bool was_reachable = !machine.unreachable_since;
     const bool was_current = machine.has_current_token;
     const bool had_spot_notice = machine.spot_reclaim_at.has_value();
-    const bool first = !machine.answered_at;
+    const bool first = !machine.last_response_at;
     update_reachability(machine, heartbeat, route);
     // Only a machine that has seen this leader's fencing token can no longer be given launches by an earlier
     // leader, so only then does a task's absence prove anything.
@@ -110,7 +110,7 @@
     // A machine that was answered and does not take up this leader's fencing token receives no answers
     // either.
     if (machine.has_current_token && !was_current) machine.unreachable_since.reset();
-    if (!machine.has_current_token && machine.answered_at && !machine.unreachable_since)
+    if (!machine.has_current_token && machine.last_response_at && !machine.unreachable_since)
         machine.unreachable_since = now;
     if (was_reachable == !machine.unreachable_since) return;
     log::debug("machine_reachability", {{"machine", machine.name}, {"reachable", !was_reachable}});
@@ -121,7 +121,7 @@
     Loop& loop = parts_.loop;
     SchedulingLoop& scheduling = parts_.scheduling;
     HeldHeartbeat held(parts_.cluster, name);
-    parts_.cluster.machine(name)->heartbeat_held = true;
+    parts_.cluster.machine(name)->heartbeat_awaits_response = true;
     const uint64_t passes_before = scheduling.passes_done();
     parts_.pass_requests.request();
     const Seconds until = std::min(answer_by, loop.now() + constants::kHeartbeatSchedulingWait_s);
@@ -158,7 +158,7 @@
     response.body = encode_heartbeat_answer(parts_.fencing_token, commands);
     // A command on its way numbers a heartbeat as well, so that the next one's number would show nothing.
     const bool next_number_known = !parts_.connections.of(machine.name).command_in_flight;
-    machine.answered(route == HeartbeatRoute::kDirect && next_number_known, parts_.loop.now());
+    machine.record_response(route == HeartbeatRoute::kDirect && next_number_known, parts_.loop.now());
     return response;
 }
 
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -121,7 +121,7 @@
 Task<void> Leader::load_records() {
     Loop& loop = environment_.loop;
     const Seconds began = loop.now();
-    while (!co_await learn_record_format(environment_.store, environment_.record_format))
+    while (!co_await refresh_record_format(environment_.store, environment_.record_format))
         co_await loop.sleep(constants::kRetryBackoff_s * 2);
     while (!co_await record_watch_.read_all()) co_await loop.sleep(constants::kRetryBackoff_s * 2);
     lifecycle_.set_loaded();
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -187,7 +187,7 @@
             writes_.take(1, parts_.loop.now());
             co_await parts_.store.commit(std::move(transaction), constants::kStoreCallTimeout_s);
             // Whatever became of it, the key shows.
-            co_await learn_record_format(parts_.store, parts_.record_format);
+            co_await refresh_record_format(parts_.store, parts_.record_format);
         }
         if (parts_.record_format.below_newest())
             co_await parts_.loop.sleep(constants::kRecordFormatPollInterval_s);
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -17,7 +17,8 @@
 }
 
 bool held_for_better_machine(const Job& job) {
-    return job.wait.reason == WaitReason::kHeldForImage || job.wait.reason == WaitReason::kHeldForSpread;
+    return job.wait.reason == WaitReason::kDelayedForImage ||
+           job.wait.reason == WaitReason::kDelayedForSpread;
 }
 
 }  // namespace
@@ -50,7 +51,7 @@
     SchedulerInput input{
         parts_.config, parts_.settings, parts_.loop.now(), {}, parts_.record_format.in_force()};
     for (auto& [name, machine] : parts_.cluster.machines)
-        if (machine->heartbeat_held) input.requesting_machines.push_back(machine.get());
+        if (machine->heartbeat_awaits_response) input.requesting_machines.push_back(machine.get());
     for (const auto& binding : schedule(parts_.cluster, parts_.jobs, input))
         log::debug("task_bound", {{"job", binding.job->spec.id},
                                   {"task", binding.task},
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -26,8 +26,8 @@
 };
 
 MachineRank rank_of(const Machine& machine, const std::string& image) {
-    return {!machine.cache.has(image), machine.free.gpus, machine.free.cpus, !machine.heartbeat_held,
-            machine.last_heartbeat};
+    return {!machine.cache.has(image), machine.free.gpus, machine.free.cpus,
+            !machine.heartbeat_awaits_response, machine.last_heartbeat};
 }
 
 }  // namespace
@@ -54,7 +54,7 @@
         return;
     }
     if (pass_.input.now < job.image_preemption.until && slots.with_image < tasks) {
-        job.wait.reason = WaitReason::kHeldForImage;
+        job.wait.reason = WaitReason::kDelayedForImage;
         return;
     }
     std::vector<const Machine*> machines(slots.machines.begin(), slots.machines.end());
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -56,7 +56,7 @@
         if (!has_startable_task(queued, pass_.input.now)) continue;
         if (auto reason = reason_to_wait(job, machine)) {
             // That one machine lacks room does not hide that it waits for others.
-            if (*reason != WaitReason::kNoRoom || job.wait.reason != WaitReason::kHeldForImage)
+            if (*reason != WaitReason::kNoRoom || job.wait.reason != WaitReason::kDelayedForImage)
                 job.wait.reason = *reason;
             continue;
         }
@@ -78,8 +78,8 @@
         return WaitReason::kRecordFull;
     if (!machine.cache.has(job.spec.image) &&
         (pass_.input.now < job.image_preemption.until || should_wait_for_image(job, machine)))
-        return WaitReason::kHeldForImage;
-    if (job.spec.service() && should_wait_for_spread(job, machine)) return WaitReason::kHeldForSpread;
+        return WaitReason::kDelayedForImage;
+    if (job.spec.service() && should_wait_for_spread(job, machine)) return WaitReason::kDelayedForSpread;
     return std::nullopt;
 }
 
--- a/tests/jobs/machine_health_test.cc
+++ b/tests/jobs/machine_health_test.cc
@@ -114,7 +114,7 @@
         machine.update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed,
                                     config.lease_s, now += 3);
         jobs.apply_heartbeat(cluster, machine, r, Absence::kProven, now);
-        machine.answered(direct, now);
+        machine.record_response(direct, now);
         return !machine.unreachable_since;
     };
     EXPECT_TRUE(next(1, 10));
@@ -123,7 +123,7 @@
     EXPECT_FALSE(next(1, 15, false)) << "a relayed report shows nothing";
     EXPECT_FALSE(next(1, 16));
     EXPECT_TRUE(next(1, 17));
-    machine.answered(false, now);
+    machine.record_response(false, now);
     EXPECT_TRUE(next(1, 20)) << "a command's answer may have taken a number";
     EXPECT_FALSE(next(2, 21)) << "its lease has ended although it was answered";
     machine.unreachable_since.reset();
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -57,7 +57,7 @@
     holder.cache.set_capacity(50);
     holder.cache.use(job.spec.image, 2);
     EXPECT_TRUE(schedule_for({&asker}).empty());
-    EXPECT_EQ(job.wait.reason, WaitReason::kHeldForImage);
+    EXPECT_EQ(job.wait.reason, WaitReason::kDelayedForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(schedule_for({&asker}).size(), 1U) << "not for ever";
 }
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -148,7 +148,7 @@
     spec.spot = true;
     Job& job = add_job(spec);
     EXPECT_EQ(start_on({all[0]}), 1U) << "the others of this machine wait for other machines";
-    EXPECT_EQ(job.wait.reason, WaitReason::kHeldForSpread);
+    EXPECT_EQ(job.wait.reason, WaitReason::kDelayedForSpread);
     EXPECT_EQ(start_on(all), 3U);
     EXPECT_EQ(placements_by(job, &Placement::machine).size(), 4U);
     // Not for long: a machine that asks is better than one that may ask.
