--- a/src/cluster/cluster.cc
+++ b/src/cluster/cluster.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A limit of 0 is none.
+// A limit of 0 means unlimited.
 bool within(double limit, double amount) {
     return limit <= 0 || amount <= limit + kRoundingError;
 }
--- a/src/cluster/image_cache.cc
+++ b/src/cluster/image_cache.cc
@@ -5,7 +5,7 @@
 namespace hareshore {
 
 void ImageCache::use(const std::string& image, double size_gb) {
-    std::erase_if(images_, [&](const Image& held) { return held.name == image; });
+    std::erase_if(images_, [&](const Image& cached) { return cached.name == image; });
     images_.insert(images_.begin(), {image, size_gb});
     double sum_gb = 0;
     for (auto it = images_.begin(); it != images_.end();) {
@@ -16,7 +16,8 @@
 }
 
 bool ImageCache::has(const std::string& image) const {
-    return std::any_of(images_.begin(), images_.end(), [&](const Image& held) { return held.name == image; });
+    return std::any_of(images_.begin(), images_.end(),
+                       [&](const Image& cached) { return cached.name == image; });
 }
 
 }  // namespace hareshore
--- a/src/cluster/image_cache.h
+++ b/src/cluster/image_cache.h
@@ -1,5 +1,5 @@
-// Which images a machine holds. Heartbeats do not list them, so it is followed from what ran there: the least
-// recently used image is evicted first, as the protocol promises.
+// The container images cached on a machine. Heartbeats do not list them, so they are inferred from the tasks
+// that ran there: the worker protocol specifies that the least recently used image is evicted first.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,8 +12,7 @@
     explicit ImageCache(double capacity_gb) : capacity_gb_(capacity_gb) {}
 
     void set_capacity(double capacity_gb) { capacity_gb_ = capacity_gb; }
-    // A task with this image has run: it is the most recently used one. The newest image stays even if it is
-    // larger than the capacity.
+    // Makes the image the most recently used one. It is not evicted even if it exceeds the capacity.
     void use(const std::string& image, double size_gb);
     [[nodiscard]] bool has(const std::string& image) const;
     void clear() { images_.clear(); }
--- a/src/cluster/machine.cc
+++ b/src/cluster/machine.cc
@@ -4,18 +4,19 @@
 
 void Machine::update_reachability(const WorkerHeartbeat& heartbeat, HeartbeatRoute route, Seconds lease_s,
                                   Seconds now) {
-    auto suspect = [&] {
+    auto mark_unreachable = [&] {
         if (!unreachable_since) unreachable_since = now;
     };
     if (heartbeat.incarnation > incarnation) {
-        // Its lease ended although it was answered well within it.
-        if (last_response_at && now - *last_response_at < lease_s / 2) suspect();
+        // Its lease expired although the last response was sent well within the lease.
+        if (last_response_at && now - *last_response_at < lease_s / 2) mark_unreachable();
     } else if (route == HeartbeatRoute::kDirect && next_sequence_predictable) {
-        // One that receives answers stays and numbers its heartbeats one by one; any other has asked others.
+        // A worker that receives responses stays with its controller and numbers its heartbeats
+        // consecutively. A gap in the numbers means that it has sent heartbeats to other controllers.
         if (heartbeat.sequence == last_response_sequence + 1) {
             unreachable_since.reset();
         } else {
-            suspect();
+            mark_unreachable();
         }
     }
     next_sequence_predictable = false;
--- a/src/jobs/compact_wire.cc
+++ b/src/jobs/compact_wire.cc
@@ -13,36 +13,36 @@
 
 constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 constexpr unsigned kBitsPerDigit = 5;
-constexpr uint64_t kMoreFollows = 1U << kBitsPerDigit;
-constexpr unsigned kQuantityBits = 60;  // of the largest quantity that is read
+constexpr uint64_t kContinuationBit = 1U << kBitsPerDigit;
+constexpr unsigned kMaxVarintBits = 60;
 constexpr char kRangesMark = '=';
-constexpr int8_t kNoDigit = -1;
+constexpr int8_t kInvalidDigit = -1;
 
-// The value of each character, or kNoDigit.
+// The value of each character as a digit, or kInvalidDigit.
 constexpr auto kDigitValues = [] {
     std::array<int8_t, 256> values{};
-    for (auto& value : values) value = kNoDigit;
+    for (auto& value : values) value = kInvalidDigit;
     for (size_t i = 0; i < kDigits.size(); ++i)
         values[static_cast<uint8_t>(kDigits[i])] = static_cast<int8_t>(i);
     return values;
 }();
 
-// Signed distances: small ones of either sign become small numbers.
-uint64_t fold_sign(int64_t distance) {
-    return distance < 0 ? (static_cast<uint64_t>(-(distance + 1)) << 1) + 1
-                        : static_cast<uint64_t>(distance) << 1;
+// Zigzag encoding: small differences of either sign become small numbers.
+uint64_t zigzag_encode(int64_t difference) {
+    return difference < 0 ? (static_cast<uint64_t>(-(difference + 1)) << 1) + 1
+                          : static_cast<uint64_t>(difference) << 1;
 }
-int64_t unfold_sign(uint64_t folded) {
-    return folded & 1 ? -static_cast<int64_t>(folded >> 1) - 1 : static_cast<int64_t>(folded >> 1);
+int64_t zigzag_decode(uint64_t encoded) {
+    return encoded & 1 ? -static_cast<int64_t>(encoded >> 1) - 1 : static_cast<int64_t>(encoded >> 1);
 }
 
-// A machine's name as an entry of CompactLive::names and a number.
+// A machine's name, split into an entry of CompactLive::names and a number.
 struct NumberedName {
     std::string entry;
     uint64_t number = 0;
 };
 
-// "vm-000231" is {"6vm-", 231}; a name without a number at its end is {"0name", 0}.
+// Splits "vm-000231" into {"6vm-", 231}, and a name that does not end in a number into {"0name", 0}.
 NumberedName split_name(std::string_view name) {
     size_t digits = 0;
     while (digits < name.size() && digits < constants::kMachineNumberDigits) {
@@ -56,7 +56,7 @@
     return {std::to_string(digits).append(name.substr(0, name.size() - digits)), number};
 }
 
-// The name that split_name made these of; nothing if there is none.
+// The inverse of split_name; std::nullopt if no name splits into these.
 std::optional<std::string> join_name(const std::string& entry, uint64_t number) {
     if (entry.empty() || entry[0] < '0' || entry[0] > '9') return std::nullopt;
     auto digits = static_cast<size_t>(entry[0] - '0');
@@ -67,13 +67,13 @@
     return name + std::string(digits - number_text.size(), '0') + number_text;
 }
 
-// A placement with its machine's name split.
+// A placement with the split name of its machine.
 struct Row {
     NumberedName name;
     const LiveTask* placement = nullptr;
 };
 
-// Sorted by entry, number and task.
+// The placements, sorted by entry, number and task.
 std::vector<Row> sorted_rows(const std::vector<LiveTask>& live) {
     std::vector<Row> rows;
     rows.reserve(live.size());
@@ -94,14 +94,14 @@
     return zones;
 }
 
-// Task and attempt of the placement before, to which the next one's distances refer. The skew is the attempt
-// less the task: tasks of an array are bound in order and have the same one.
+// Task and attempt of the previous placement, relative to which the next one is encoded. The skew is the
+// attempt minus the task; it is mostly the same for the tasks of an array, which are bound in order.
 struct TaskPosition {
     int64_t task = 0;
     int64_t skew = 0;
 };
 
-// Reads the text of CompactLive from front to end.
+// Decodes a CompactLive.
 class PlacementReader {
   public:
     PlacementReader(const CompactLive& compact, uint32_t tasks)
@@ -116,7 +116,7 @@
 
   private:
     bool read_entry(const std::string& entry) {
-        auto rows = take_quantity(text_);
+        auto rows = take_varint(text_);
         if (!rows || *rows == 0 || *rows > tasks_) return false;
         uint64_t number = 0;
         for (uint64_t i = 0; i < *rows; ++i)
@@ -124,58 +124,58 @@
         return true;
     }
 
-    // `number` is that of the last machine, and becomes that of this one.
+    // `number` is the number of the previous machine and is set to that of this one.
     bool read_placement(const std::string& entry, uint64_t& number) {
-        auto place = take_quantity(text_);
-        auto task_distance = place ? take_quantity(text_) : std::nullopt;
-        auto skew_distance = task_distance ? take_quantity(text_) : std::nullopt;
-        if (!skew_distance || compact_.zones.empty()) return false;
-        number += *place / compact_.zones.size();
-        // Every quantity is below 2^60: checked after each step, no sum can overflow.
-        last_.task += unfold_sign(*task_distance);
-        last_.skew += unfold_sign(*skew_distance);
-        if (number > constants::kMaxExactInteger || !valid(last_)) return false;
+        auto number_and_zone = take_varint(text_);
+        auto task_difference = number_and_zone ? take_varint(text_) : std::nullopt;
+        auto skew_difference = task_difference ? take_varint(text_) : std::nullopt;
+        if (!skew_difference || compact_.zones.empty()) return false;
+        number += *number_and_zone / compact_.zones.size();
+        // Varints are below 2^60 and the sums are checked after each step, so they cannot overflow.
+        previous_.task += zigzag_decode(*task_difference);
+        previous_.skew += zigzag_decode(*skew_difference);
+        if (number > constants::kMaxExactInteger || !valid(previous_)) return false;
         auto machine = join_name(entry, number);
         if (!machine) return false;
-        PlacementRecord placement{static_cast<uint64_t>(last_.task + last_.skew), *machine,
-                                  compact_.zones[*place % compact_.zones.size()]};
-        return live_.emplace(static_cast<uint32_t>(last_.task), std::move(placement)).second;
+        PlacementRecord placement{static_cast<uint64_t>(previous_.task + previous_.skew), *machine,
+                                  compact_.zones[*number_and_zone % compact_.zones.size()]};
+        return live_.emplace(static_cast<uint32_t>(previous_.task), std::move(placement)).second;
     }
 
     [[nodiscard]] bool valid(const TaskPosition& position) const {
-        constexpr auto kMost = static_cast<int64_t>(constants::kMaxExactInteger);
+        constexpr auto kMaxSkew = static_cast<int64_t>(constants::kMaxExactInteger);
         return position.task >= 0 && position.task < static_cast<int64_t>(tasks_) &&
-               position.skew >= -kMost && position.skew <= kMost && position.task + position.skew >= 0;
+               position.skew >= -kMaxSkew && position.skew <= kMaxSkew && position.task + position.skew >= 0;
     }
 
     const CompactLive& compact_;
     uint32_t tasks_;
-    std::string_view text_;  // what is not read yet
-    TaskPosition last_;
+    std::string_view text_;  // the part that is not decoded yet
+    TaskPosition previous_;
     std::map<uint32_t, PlacementRecord> live_;
 };
 
 }  // namespace
 
-void put_quantity(std::string& text, uint64_t quantity) {
-    while (quantity >= kMoreFollows) {
-        text += kDigits[(quantity & (kMoreFollows - 1)) | kMoreFollows];
-        quantity >>= kBitsPerDigit;
+void append_varint(std::string& text, uint64_t value) {
+    while (value >= kContinuationBit) {
+        text += kDigits[(value & (kContinuationBit - 1)) | kContinuationBit];
+        value >>= kBitsPerDigit;
     }
-    text += kDigits[quantity];
+    text += kDigits[value];
 }
 
-std::optional<uint64_t> take_quantity(std::string_view& text) {
-    uint64_t quantity = 0;
-    for (unsigned shift = 0; !text.empty() && shift < kQuantityBits; shift += kBitsPerDigit) {
-        int8_t value = kDigitValues[static_cast<uint8_t>(text.front())];
-        if (value == kNoDigit) return std::nullopt;
+std::optional<uint64_t> take_varint(std::string_view& text) {
+    uint64_t value = 0;
+    for (unsigned shift = 0; !text.empty() && shift < kMaxVarintBits; shift += kBitsPerDigit) {
+        int8_t digit_value = kDigitValues[static_cast<uint8_t>(text.front())];
+        if (digit_value == kInvalidDigit) return std::nullopt;
         text.remove_prefix(1);
-        uint64_t digit = static_cast<uint8_t>(value);
-        quantity |= (digit & (kMoreFollows - 1)) << shift;
-        if (digit >= kMoreFollows) continue;
-        // A zero at the end is not written.
-        return digit == 0 && shift > 0 ? std::nullopt : std::optional(quantity);
+        uint64_t digit = static_cast<uint8_t>(digit_value);
+        value |= (digit & (kContinuationBit - 1)) << shift;
+        if (digit >= kContinuationBit) continue;
+        // append_varint writes no zero as the last of several digits.
+        return digit == 0 && shift > 0 ? std::nullopt : std::optional(value);
     }
     return std::nullopt;
 }
@@ -184,8 +184,8 @@
     std::string text(1, kRangesMark);
     uint32_t next = 0;
     for (auto [first, last] : ranges.all()) {
-        put_quantity(text, first - next);
-        put_quantity(text, last - first);
+        append_varint(text, first - next);
+        append_varint(text, last - first);
         next = last + 1;
     }
     return text;
@@ -197,12 +197,12 @@
     Ranges ranges;
     uint64_t next = 0;
     while (!text.empty()) {
-        auto gap = take_quantity(text);
-        auto run = gap ? take_quantity(text) : std::nullopt;
-        // Ranges that touch would have been one.
-        if (!run || *gap >= limit || *run >= limit || (next > 0 && *gap == 0)) return std::nullopt;
+        auto gap = take_varint(text);
+        auto length = gap ? take_varint(text) : std::nullopt;
+        // compact_ranges never writes adjacent ranges: they are merged into one.
+        if (!length || *gap >= limit || *length >= limit || (next > 0 && *gap == 0)) return std::nullopt;
         uint64_t first = next + *gap;
-        uint64_t last = first + *run;
+        uint64_t last = first + *length;
         if (last >= limit) return std::nullopt;
         ranges.append(static_cast<uint32_t>(first), static_cast<uint32_t>(last));
         next = last + 1;
@@ -214,13 +214,13 @@
     CompactLive compact;
     compact.zones = sorted_zones(live);
     const std::vector<Row> rows = sorted_rows(live);
-    TaskPosition last;
+    TaskPosition previous;
     for (size_t i = 0; i < rows.size();) {
         size_t end = i;
         while (end < rows.size() && rows[end].name.entry == rows[i].name.entry) ++end;
         compact.names.push_back(rows[i].name.entry);
-        put_quantity(compact.text, end - i);
-        uint64_t last_number = 0;
+        append_varint(compact.text, end - i);
+        uint64_t previous_number = 0;
         for (; i < end; ++i) {
             const LiveTask& placement = *rows[i].placement;
             uint64_t number = rows[i].name.number;
@@ -228,11 +228,11 @@
             auto zone_index = static_cast<uint64_t>(zone - compact.zones.begin());
             auto task = static_cast<int64_t>(placement.task);
             int64_t skew = static_cast<int64_t>(placement.attempt) - task;
-            put_quantity(compact.text, (number - last_number) * compact.zones.size() + zone_index);
-            put_quantity(compact.text, fold_sign(task - last.task));
-            put_quantity(compact.text, fold_sign(skew - last.skew));
-            last_number = number;
-            last = {task, skew};
+            append_varint(compact.text, (number - previous_number) * compact.zones.size() + zone_index);
+            append_varint(compact.text, zigzag_encode(task - previous.task));
+            append_varint(compact.text, zigzag_encode(skew - previous.skew));
+            previous_number = number;
+            previous = {task, skew};
         }
     }
     return compact;
--- a/src/jobs/failure_accounting.cc
+++ b/src/jobs/failure_accounting.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr size_t kBackoffAfterMachines = 2;  // a failure on one machine alone may be the machine's
+constexpr size_t kBackoffAfterMachines = 2;  // failures on a single machine may be the machine's fault
 
-// Notes the machine. A job that thereby becomes failing no longer counts against any machine.
-void add_failed_machine(Cluster& cluster, const Machine& machine, Job& job) {
+// Records that the job failed on the machine. A job that becomes failing no longer counts against machines.
+void record_failed_machine(Cluster& cluster, const Machine& machine, Job& job) {
     job.failures.machines.insert(machine.name);
     if (job.failures.failing ||
         job.failures.machines.size() < static_cast<size_t>(constants::kFailingAfterMachines))
@@ -22,7 +22,7 @@
     for (auto& [name, other] : cluster.machines) other->failed_jobs.erase(job.spec.id);
 }
 
-void hold_against_machine(Machine& machine, const Job& job) {
+void record_machine_failure(Machine& machine, const Job& job) {
     machine.failed_jobs.insert(job.spec.id);
     if (machine.cordoned ||
         machine.failed_jobs.size() < static_cast<size_t>(constants::kCordonAfterFailedJobs))
@@ -36,13 +36,13 @@
 
 void account_task_error(Cluster& cluster, Machine& machine, Job& job, Seconds now) {
     JobFailures& failures = job.failures;
-    add_failed_machine(cluster, machine, job);
+    record_failed_machine(cluster, machine, job);
     if (failures.machines.size() >= kBackoffAfterMachines) {
         failures.backoff_s =
             std::clamp(failures.backoff_s * 2, constants::kJobBackoff_s, constants::kJobBackoffMax_s);
         failures.retry_at = now + failures.backoff_s;
     }
-    if (!failures.failing) hold_against_machine(machine, job);
+    if (!failures.failing) record_machine_failure(machine, job);
 }
 
 void account_replica_exit(Cluster& cluster, Machine& machine, Job& job, uint32_t task, ExitCause cause,
@@ -57,19 +57,19 @@
     if (ran >= constants::kReplicaStableRun_s) return;
     JobFailures& failures = job.failures;
     failures.last_quick_exit_at = now;
-    add_failed_machine(cluster, machine, job);
+    record_failed_machine(cluster, machine, job);
     if (++failures.quick_exits > constants::kReplicaImmediateRestarts) {
-        // Replicas that end together count as one: a pause runs already.
+        // Replicas that exit together count as one: a back-off is already in progress.
         if (now >= failures.retry_at)
             failures.backoff_s = std::clamp(failures.backoff_s * 2, constants::kReplicaBackoff_s,
                                             constants::kReplicaBackoffMax_s);
         failures.retry_at = now + failures.backoff_s;
     }
-    if (!failures.failing && cause == ExitCause::kError) hold_against_machine(machine, job);
+    if (!failures.failing && cause == ExitCause::kError) record_machine_failure(machine, job);
 }
 
 void account_running_replica(Job& job, const Placement& replica, Seconds now) {
-    // What was started since the last quick exit and runs steadily shows that replicas stay again.
+    // A replica bound after the last quick exit that runs long enough shows that the service has recovered.
     bool since_last_exit =
         !job.failures.last_quick_exit_at || replica.bound_at >= *job.failures.last_quick_exit_at;
     if (since_last_exit && replica.ran(now) >= constants::kReplicaStableRun_s)
--- a/src/jobs/heartbeat_intake.cc
+++ b/src/jobs/heartbeat_processor.cc
@@ -1,4 +1,4 @@
-#include "jobs/heartbeat_intake.h"
+#include "jobs/heartbeat_processor.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,12 +12,12 @@
 
 namespace {
 
-// Whether the machine refused the launch: it has not fetched the image for it.
+// Whether the machine refused the launch, in which case it has not fetched the image.
 bool launch_refused(ExitCause cause) {
     return cause == ExitCause::kNoRoom || cause == ExitCause::kBusy || cause == ExitCause::kUnknownJob;
 }
 
-// Whether the task's image is on the machine.
+// Whether the task's image is cached on the machine.
 bool has_image(const TaskStatus& status) {
     return status.phase != TaskPhase::kFetching && !launch_refused(status.cause);
 }
@@ -26,7 +26,7 @@
     return status.phase == TaskPhase::kExited;
 }
 
-// A result of an attempt that was given up: the work is done all the same.
+// Whether the status is the success of an attempt that is no longer placed. The task is done nevertheless.
 bool is_abandoned_result(const Job& job, const TaskStatus& status) {
     return is_exit(status) && status.cause == ExitCause::kDone && !job.spec.service() &&
            status.name.task < job.spec.tasks &&
@@ -45,20 +45,20 @@
 
 bool JobTable::apply_heartbeat(Cluster& cluster, Machine& machine, const WorkerHeartbeat& heartbeat,
                                Absence absence, Seconds now) {
-    return HeartbeatIntake(*this, cluster, machine, heartbeat, now).run(absence);
+    return HeartbeatProcessor(*this, cluster, machine, heartbeat, now).run(absence);
 }
 
-bool HeartbeatIntake::run(Absence absence) {
+bool HeartbeatProcessor::run(Absence absence) {
     previous_tasks_ = std::exchange(machine_.tasks, {});
     changed_ = previous_tasks_.size() != heartbeat_.tasks.size();
     machine_.tasks.reserve(heartbeat_.tasks.size());
-    take_header();
-    for (const auto& status : heartbeat_.tasks) take_task(status);
-    if (absence == Absence::kProven) take_absences();
+    apply_machine_state();
+    for (const auto& status : heartbeat_.tasks) apply_task_status(status);
+    if (absence == Absence::kProven) handle_absent_tasks();
     return changed_;
 }
 
-void HeartbeatIntake::take_header() {
+void HeartbeatProcessor::apply_machine_state() {
     machine_.usage_valid = false;
     machine_.incarnation = heartbeat_.incarnation;
     machine_.sequence = heartbeat_.sequence;
@@ -72,7 +72,7 @@
     log::info("spot_notice", {{"machine", machine_.name}, {"remaining_s", *heartbeat_.notice_s}});
 }
 
-void HeartbeatIntake::take_task(const TaskStatus& status) {
+void HeartbeatProcessor::apply_task_status(const TaskStatus& status) {
     auto previous = find_attempt(previous_tasks_, machine_.tasks.size(), status.name, status.attempt);
     bool listed_before = previous != previous_tasks_.end();
     bool known_exit = listed_before && previous->phase == TaskPhase::kExited;
@@ -82,26 +82,27 @@
     task.attempt = status.attempt;
     task.phase = status.phase;
     task.cause = status.cause;
-    if (Job* job = table_.find(status.name.job)) take_task_of(*job, status, known_exit, task);
+    if (Job* job = table_.find(status.name.job)) apply_status_of_known_job(*job, status, known_exit, task);
     machine_.tasks.push_back(std::move(task));
 }
 
-void HeartbeatIntake::take_task_of(Job& job, const TaskStatus& status, bool known_exit, MachineTask& task) {
+void HeartbeatProcessor::apply_status_of_known_job(Job& job, const TaskStatus& status, bool known_exit,
+                                                   MachineTask& task) {
     task.size_known = true;
     task.amount = Resources::of(job.spec);
     task.team = job.spec.team;
     if (has_image(status) && !known_exit) machine_.cache.use(job.spec.image, job.spec.image_gb);
 
     auto it = job.live.find(status.name.task);
-    bool accounted_for =
+    bool is_placed =
         it != job.live.end() && it->second.machine == machine_.name && it->second.attempt == status.attempt;
-    // A gang's replacement may come to a machine that still lists an exit of the same attempt.
-    if (accounted_for && known_exit && !it->second.acknowledged) accounted_for = false;
+    // A replacement task of a gang may be bound to a machine that still lists an exit of the same attempt.
+    if (is_placed && known_exit && !it->second.acknowledged) is_placed = false;
 
-    if (accounted_for) {
-        task_present(job, it->second, status);
+    if (is_placed) {
+        handle_present_task(job, it->second, status);
         if (!is_exit(status)) return;
-        task_exited(job, status);
+        handle_exited_task(job, status);
     } else if (is_abandoned_result(job, status)) {
         table_.complete(job, status.name.task, now_);
     } else if (!is_exit(status) || known_exit) {
@@ -110,7 +111,7 @@
     task.exit_version = job.persistence.version;
 }
 
-void HeartbeatIntake::task_present(Job& job, Placement& placement, const TaskStatus& status) {
+void HeartbeatProcessor::handle_present_task(Job& job, Placement& placement, const TaskStatus& status) {
     present_.push_back(&placement);
     if (placement.phase != status.phase || !placement.acknowledged)
         log::debug("task_phase", {{"task", status.name.text()},
@@ -122,13 +123,13 @@
         if (job.spec.service()) account_running_replica(job, placement, now_);
         job.gang_attempt.started = true;
     }
-    // It was launched: an answer arrived.
-    if (!placement.acknowledged && placement.launch.answers > 0) machine_.unreachable_since.reset();
+    // The task was launched, so a response reached the machine.
+    if (!placement.acknowledged && placement.launch.responses > 0) machine_.unreachable_since.reset();
     placement.acknowledged = true;
     placement.phase = status.phase;
 }
 
-void HeartbeatIntake::task_exited(Job& job, const TaskStatus& status) {
+void HeartbeatProcessor::handle_exited_task(Job& job, const TaskStatus& status) {
     uint32_t task = status.name.task;
     log::debug("task_exited", {{"task", status.name.text()},
                                {"attempt", status.attempt},
@@ -152,45 +153,45 @@
                                      {"cause", exit_cause_name(status.cause)}});
     if (job.spec.gang()) break_gang_on_exit(job, status.cause);
     table_.release(job, task, now_);
-    // The rest of a stopping gang may still be saving; the rest of a failed one has nothing to save.
-    bool stopped_in_order = status.cause == ExitCause::kStopped;
-    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled && !stopped_in_order)
+    // The other tasks of a gang that is being stopped may still be saving; those of a failed one cannot save.
+    bool stopped_by_command = status.cause == ExitCause::kStopped;
+    if (job.spec.gang() && job.gang_attempt.broken && !job.cancelled && !stopped_by_command)
         table_.stop_gang(job, 0);
 }
 
-void HeartbeatIntake::record_run_time(Job& job, uint32_t task) {
+void HeartbeatProcessor::record_run_time(Job& job, uint32_t task) {
     const Placement& placement = job.live.at(task);
     if (!job.spec.gang() && placement.running_since && job.run_times.counts(task))
         job.run_times.add(placement.ran(now_));
 }
 
-void HeartbeatIntake::break_gang_on_exit(Job& job, ExitCause cause) const {
-    // After its start a gang that lost a task ends; before, a replacement may complete it, but not when it
-    // ran out of time.
+void HeartbeatProcessor::break_gang_on_exit(Job& job, ExitCause cause) const {
+    // A started gang that loses a task ends. Before the start a replacement task may complete the gang,
+    // unless the task failed or timed out while waiting for its peers.
     if (job.gang_attempt.started || cause == ExitCause::kIncomplete || cause == ExitCause::kPeersGone ||
         cause == ExitCause::kError)
         job.gang_attempt.broken = true;
 }
 
-void HeartbeatIntake::take_absences() {
-    auto tasks = table_.on_machine(machine_.name);  // a copy: releases change the original
+void HeartbeatProcessor::handle_absent_tasks() {
+    auto tasks = table_.on_machine(machine_.name);  // a copy, because releases change the original
     for (const auto& [job, task, placement] : tasks) {
         if (std::find(present_.begin(), present_.end(), placement) != present_.end()) continue;
         auto it = job->live.find(task);
-        if (it != job->live.end()) task_absent(*job, task, it->second);
+        if (it != job->live.end()) handle_absent_task(*job, task, it->second);
     }
 }
 
-void HeartbeatIntake::task_absent(Job& job, uint32_t task, const Placement& placement) {
-    // What is not committed was not launched: its absence shows nothing.
+void HeartbeatProcessor::handle_absent_task(Job& job, uint32_t task, const Placement& placement) {
+    // An uncommitted placement has not been launched, so its absence proves nothing.
     if (!placement.from_earlier_leader && !job.persistence.committed(placement.job_version)) return;
-    // A newer heartbeat without the task: every launch sent before it is void, since the worker has one
-    // heartbeat in flight and drops what answers an older one.
+    // A newer heartbeat without the task voids every launch sent earlier, because a worker has one heartbeat
+    // in flight and ignores responses to older ones.
     const LaunchAttempts& launch = placement.launch;
     if (launch.sent() && !heartbeat_.newer_than(launch.incarnation, launch.sequence)) return;
-    // Answer after answer carried the launch and nothing came of it: bound to a machine that does not receive
-    // answers, the task would wait for ever.
-    if (launch.answers >= constants::kUnansweredLaunchLimit && !machine_.unreachable_since) {
+    // Several responses carried the launch without effect. On a machine that does not receive responses the
+    // task would wait forever.
+    if (launch.responses >= constants::kUnansweredLaunchLimit && !machine_.unreachable_since) {
         machine_.unreachable_since = now_;
         log::info("machine_unreachable", {{"machine", machine_.name}, {"reason", "launches_without_effect"}});
     }
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -1,4 +1,3 @@
-// One job: its deadlines and objectives, and its record.
 #include "jobs/job.h"
 
 #include <algorithm>
@@ -26,16 +25,16 @@
 }
 
 bool Job::likely_late(const Config& config, Seconds now) const {
-    if (spec.service()) return false;  // it has no end
+    if (spec.service()) return false;  // a service has no end
     return now + constants::kLateEstimateShare * spec.estimate_s > deadline(config);
 }
 
 int Job::missed_objectives(const Config& config, Seconds now) const {
-    // What counts of a service is the time it is not served: a late start is one more reason to hurry.
+    // A service counts the time during which it is down, so a late start makes its next start more urgent.
     if (spec.service()) return 0;
     int missed = likely_late(config, now) ? 1 : 0;
     auto waits = config.wait_within.find(spec.job_class);
-    // Of tasks that were all begun once, only the end is still open.
+    // If all pending tasks have started before, only the objective for the end can still be missed.
     if (waits == config.wait_within.end() || run_times.interrupted.covers(pending)) return missed;
     for (Seconds within : waits->second)
         if (now + constants::kExpectedStartLatency_s > accepted + within) ++missed;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,4 @@
-// One unfinished job as the leader holds it: what was asked for, its tasks, and its state by concern.
+// An unfinished job in the leader's memory: its specification, its tasks, and its state by concern.
 #pragma once
 #include <map>
 #include <memory>
@@ -21,13 +21,13 @@
 struct Job {
     JobSpec spec;
     WallTime accepted_wall;
-    Seconds accepted = 0;  // on this process's clock
+    Seconds accepted = 0;  // on this process's monotonic clock
 
     bool cancelled = false;
-    Seconds cancellation_known_at = 0;   // when this leader learned of it; its user may have been told before
-    bool cancelled_before_term = false;  // by the first record that this leader read: told at an unknown time
+    Seconds cancellation_known_at = 0;   // on this leader; the user may have got the confirmation earlier
+    bool cancelled_before_term = false;  // already in the first record read: confirmed at an unknown time
 
-    // The tasks: each is done, pending (neither done nor placed) or placed.
+    // Each task is done, pending (neither done nor placed) or placed.
     Ranges done;
     Ranges pending;
     std::map<uint32_t, Placement> live;  // by task
@@ -40,30 +40,30 @@
     JobWait wait;
     ImagePreemption image_preemption;
 
-    mutable RecordSizes record_sizes;  // measured as needed, see record_room.cc
+    mutable RecordSizes record_sizes;  // measured on demand, see record_room.cc
 
     bool finished() const { return !spec.service() && done.size() == spec.tasks; }
     bool waiting() const { return !cancelled && !finished() && !pending.empty(); }
-    // Stopping a task of it at once loses no more than letting it save: it checkpoints often.
+    // Whether its tasks checkpoint so often that stopping one without saving loses no more time than saving.
     bool skips_saving() const;
-    // When it should be done, by its deadline or its class's objective; far off if there is none.
+    // When it should be done, by its own deadline or its class's objective; in the far future without either.
     Seconds deadline(const Config& config) const;
-    // Even started now it would likely be late.
+    // Whether it would likely miss its deadline even if it started now.
     bool likely_late(const Config& config, Seconds now) const;
-    // How many of its class's service-level objectives a task of it that starts now can no longer meet.
+    // The number of its class's service-level objectives that a task started now can no longer meet.
     int missed_objectives(const Config& config, Seconds now) const;
-    // Replicas that run and are not being stopped.
+    // The number of replicas that run and are not being stopped.
     uint32_t running_replicas() const;
 
-    // Whether the record holds one more task on each of these machines, whatever becomes of its tasks: it
-    // must fit the limit today, and in format 2 also the later one.
+    // Whether the record can take one more task on each of these machines and still fits however its tasks
+    // end. It must fit today's limit in `record_format`, and in format 2 also the limit that follows.
     bool room_in_record(const Config& config, uint64_t record_format,
                         std::span<const Machine* const> machines) const;
-    // The length of the record's JSON text in that format, at most.
+    // An upper bound of the record's JSON size in that format.
     size_t record_bytes(uint64_t record_format) const;
-    // A binding on the machine follows, as the next version: raises the known sizes by the most that it adds.
+    // Raises the known sizes to upper bounds for the next version, before a task is bound to the machine.
     void raise_record_sizes(const Machine& machine);
-    // What is stored of the job.
+    // The record to be stored.
     JobRecord to_record() const;
 };
 
--- a/src/jobs/job_persistence.h
+++ b/src/jobs/job_persistence.h
@@ -1,12 +1,12 @@
-// How far a job's changes are written to the key-value store.
+// Which of a job's changes have been written to the key-value store.
 #pragma once
 #include <cstdint>
 #include <optional>
 
 namespace hareshore {
 
-// A write that is put off until the job changes or another record format is in force: the record is too large
-// for the store, or the store refused it.
+// A write that is deferred until the job changes or another record format is in force, because the record is
+// too large for the store or the store rejected it.
 struct DeferredWrite {
     uint64_t version = 0;
     uint64_t record_format = 0;
@@ -15,14 +15,14 @@
 
 struct JobPersistence {
     uint64_t mod_revision = 0;       // of the job's record in the key-value store
-    uint64_t version = 0;            // counts the changes that have to be stored
-    uint64_t committed_version = 0;  // the last version that the store holds
-    uint64_t in_flight_version = 0;  // the version in the transaction that is on its way
+    uint64_t version = 0;            // counts the changes to be stored
+    uint64_t committed_version = 0;  // the last version committed to the store
+    uint64_t in_flight_version = 0;  // the version in the transaction in flight
     std::optional<DeferredWrite> deferred_write;
 
     [[nodiscard]] bool unwritten() const { return version != committed_version; }
     [[nodiscard]] bool committed(uint64_t of_version) const { return committed_version >= of_version; }
-    // Whether writing the present version in this format is put off.
+    // Whether the write of the current version in this format is deferred.
     [[nodiscard]] bool write_deferred(uint64_t record_format) const {
         return deferred_write == DeferredWrite{version, record_format};
     }
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -19,24 +19,25 @@
 
 Job& JobTable::load(const JobRecord& record, uint64_t mod_revision, Seconds now, WallTime wall) {
     unreadable_.erase(record.spec.id);
-    auto& slot = jobs_[record.spec.id];
-    if (slot) {
-        // Only users change a record besides this leader, and only to cancel the job.
-        uint64_t& known_revision = slot->persistence.mod_revision;
+    auto& entry = jobs_[record.spec.id];
+    if (entry) {
+        // Apart from this leader only users' requests change a record, and only to cancel the job.
+        uint64_t& known_revision = entry->persistence.mod_revision;
         known_revision = std::max(known_revision, mod_revision);
-        if (record.cancelled && !slot->cancelled) cancel(*slot, now);
-        return *slot;
+        if (record.cancelled && !entry->cancelled) cancel(*entry, now);
+        return *entry;
     }
-    slot = std::make_unique<Job>();
+    entry = std::make_unique<Job>();
     last_arrival_ = now;
-    Job& job = *slot;
+    Job& job = *entry;
     job.spec = record.spec;
     job.accepted_wall = record.accepted_wall;
     job.accepted = now - std::max(0.0, wall - record.accepted_wall);
     bool never_bound = record.next_attempt <= 1;
-    // A job that never started has waited since it came, also before this leader.
+    // A job that never started has waited since its acceptance, including the time under earlier leaders.
     job.wait.since = record.live.empty() && record.done.empty() && never_bound ? job.accepted : now;
-    if (!job.spec.service()) job.done = record.done;  // earlier versions took a replica's exit for its end
+    // Earlier versions recorded a replica as done when it exited.
+    if (!job.spec.service()) job.done = record.done;
     job.next_attempt = record.next_attempt;
     job.run_times.saw_all_starts = never_bound;
     job.persistence.mod_revision = mod_revision;
@@ -62,8 +63,8 @@
         placement.bound_at = now;
         placements_.add(stored.machine, {&job, task, &(job.live[task] = placement)});
         job.pending.remove(task);
-        // A gang's tasks share an attempt. Whether it has started is not stored: it counts as started, so
-        // that no replacement joins an attempt that has already run.
+        // A gang's tasks share an attempt. The record does not say whether it has started; it is assumed to
+        // have, so that no replacement task joins an attempt that has already run.
         job.gang_attempt.number = std::max(job.gang_attempt.number, stored.attempt);
         job.gang_attempt.started = true;
     }
@@ -106,9 +107,8 @@
         if (job->persistence.unwritten()) queue_write(*job);
 }
 
-std::vector<Job*> JobTable::take_unwritten(size_t most_operations, size_t most_bytes,
-                                           uint64_t record_format) {
-    return write_queue_.take(jobs_, {most_operations, most_bytes}, record_format);
+std::vector<Job*> JobTable::take_unwritten(size_t max_operations, size_t max_bytes, uint64_t record_format) {
+    return write_queue_.take(jobs_, {max_operations, max_bytes}, record_format);
 }
 
 Placement& JobTable::bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now) {
@@ -137,7 +137,7 @@
         job.pending.add(task);
     }
     mark_changed(job);
-    if (job.live.empty()) job.gang_attempt.end();
+    if (job.live.empty()) job.gang_attempt.reset();
 }
 
 void JobTable::complete(Job& job, uint32_t task, Seconds now) {
@@ -147,7 +147,7 @@
     release(job, task, now);
     mark_changed(job);
     if (!job.spec.gang()) return;
-    // A gang completes together. Its other tasks still count on their machines until they report it.
+    // A gang completes as a whole. Its other tasks still count on their machines until they exit.
     for (uint32_t other = 0; other < job.spec.tasks; ++other) {
         job.done.add(other);
         job.pending.remove(other);
@@ -159,7 +159,7 @@
     if (!job.cancelled) job.cancellation_known_at = now;
     job.cancelled = true;
     for (auto& [task, placement] : job.live) begin_stop(placement, 0);
-    // What this leader bound and never sent cannot be on a machine.
+    // Release placements that cannot be on a machine: this leader bound them and never sent their launch.
     for (auto it = job.live.begin(); it != job.live.end();) {
         const auto& [task, placement] = *it++;
         TaskState state = placed_state(job, placement);
@@ -188,9 +188,9 @@
 
 void JobTable::stop(Job& job, uint32_t task, StopMode mode) {
     Seconds grace_s = job.spec.save_s + constants::kCheckpointMargin_s;
-    // A replica has nothing to save: its successor is waited for.
+    // A replica has no progress to save, and a grace period would delay its replacement.
     if (job.spec.service()) grace_s = 0;
-    // On average half a checkpoint interval is lost, against a save during which the room is not free.
+    // Skipping the save loses half a checkpoint interval on average; saving keeps the resources occupied.
     if (mode == StopMode::kSkipSaveIfCheap && job.skips_saving()) grace_s = 0;
     if (job.spec.gang()) {
         stop_gang(job, grace_s);
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,8 +1,8 @@
-// The unfinished jobs, their tasks' placements and what has to be written and sent about them. No I/O; time
-// is a parameter. Owned and called by the leader alone.
+// The unfinished jobs, the placements of their tasks, and the record writes and machine commands that follow
+// from them. No I/O; time is a parameter. Owned and called only by the leader.
 //
-// Implemented by concern: job_table.cc (jobs and transitions of their tasks), machine_commands.cc,
-// stragglers.cc and replica_moves.cc. Heartbeats are taken in by heartbeat_intake.cc.
+// Implemented by concern: job_table.cc (jobs and task transitions), machine_commands.cc, stragglers.cc and
+// replica_moves.cc. Heartbeats are applied by heartbeat_processor.cc.
 #pragma once
 #include <memory>
 #include <set>
@@ -20,18 +20,18 @@
 
 namespace hareshore {
 
-// What it means that a heartbeat lacks a task that is placed on its machine.
+// Whether a heartbeat that does not list a task placed on its machine proves that the task is not there.
 enum class Absence : uint8_t {
     kUnproven,  // a launch by an earlier leader may still arrive
-    kProven,    // the machine has this leader's fencing token: the task is not there
+    kProven,    // the machine has this leader's fencing token: launches of earlier leaders have no effect
 };
 
-// Whether the commands for a machine include launches. Those are only sent in answers to heartbeats.
+// Whether the commands for a machine include launches, which are only sent in responses to heartbeats.
 enum class LaunchCommands : uint8_t { kOmit, kInclude };
 
 enum class StopMode : uint8_t {
     kSaveFirst,
-    kSkipSaveIfCheap,  // a task that checkpoints often does not save: that would take as long as it loses
+    kSkipSaveIfCheap,  // a task that checkpoints often does not save: saving costs as much time as is lost
 };
 
 class JobTable {
@@ -43,82 +43,81 @@
     Job* find(const std::string& id);
     const Job* find(const std::string& id) const;
     size_t size() const { return jobs_.size(); }
-    // When the last job was loaded that was not known before.
+    // When load() last added a new job.
     Seconds last_arrival() const { return last_arrival_; }
 
-    // Takes in a record read from the key-value store: a new job, or the cancellation of a known one.
-    // `now` and `wall` are the same moment on the two clocks.
+    // Loads a record read from the key-value store: adds a new job, or cancels a known one.
+    // `now` and `wall` are the same moment on the monotonic and the wall clock.
     Job& load(const JobRecord& record, uint64_t mod_revision, Seconds now, WallTime wall);
     // Removes the job with its placements, if it is known.
     void erase(const std::string& id);
     void clear();
-    // A job whose record cannot be read here, perhaps a later version's: its placements are not known.
-    // Nothing is decided about it: its tasks are neither stopped nor forgotten, and a machine that has one is
+    // Marks a job whose record this version cannot decode, perhaps because a newer version wrote it. Its
+    // placements are unknown, so its tasks are neither stopped nor forgotten, and machines that run one are
     // not used.
     void set_unreadable(const std::string& id);
     bool unreadable(const std::string& id) const { return unreadable_.contains(id); }
 
-    // --- Transitions of tasks; see jobs/task_lifecycle.h.
-    // Places a pending task. The job's record has room for it (Job::room_in_record).
+    // --- Task transitions; see jobs/task_lifecycle.h.
+    // Places a pending task. The caller has checked that the record has room for it (Job::room_in_record).
     Placement& bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now);
     void cancel(Job& job, Seconds now);
-    // Starts to stop a placed task, or the whole gang it belongs to.
+    // Begins to stop a placed task, or its whole gang.
     void stop(Job& job, uint32_t task, StopMode mode);
     // Frees the placements on a machine whose deletion the cloud has confirmed.
     void machine_deleted(const std::string& machine, Seconds now);
-    // Cordons machines whose tasks take several times as long as others of their job did elsewhere.
+    // Cordons machines on which tasks run several times longer than finished tasks of the same job elsewhere.
     void cordon_stragglers(Cluster& cluster, Seconds now);
-    // Stops replicas on cordoned and draining machines, of each service one at a time: the next when all of
-    // its replicas run again.
+    // Stops the replicas on cordoned and draining machines, one at a time for each service: the next one only
+    // when all replicas of the service are running again.
     void move_replicas(Cluster& cluster);
 
-    // --- Changes that have to be written.
-    // Counts a change of the job's record and queues its write.
+    // --- Unwritten changes.
+    // Increments the version of the job's record and queues its write.
     void mark_changed(Job& job);
-    // Takes jobs with unwritten changes off the queue, oldest change first: no more than fit into one
-    // transaction of so many operations and bytes of records.
-    std::vector<Job*> take_unwritten(size_t most_operations, size_t most_bytes, uint64_t record_format);
+    // Dequeues jobs with unwritten changes, oldest change first, up to the given limits of one transaction.
+    std::vector<Job*> take_unwritten(size_t max_operations, size_t max_bytes, uint64_t record_format);
     bool has_unwritten() const { return write_queue_.size() > 0; }
-    // How many records wait to be written.
+    // The number of records that wait to be written.
     size_t unwritten_count() const { return write_queue_.size(); }
-    // Queues a job whose write failed.
+    // Queues the record to be written, without a new version; also called after a write failed.
     void queue_write(Job& job);
-    // Queues all jobs with unwritten changes, also those whose write was put off: what could not be written
+    // Queues all jobs with unwritten changes, including deferred writes: a record that could not be written
     // in one format may fit in another.
     void queue_all_unwritten();
 
     // --- Machines.
-    // Takes in a machine's heartbeat, which is newer than all before. Returns whether anything changed that
-    // matters to others (room, phases).
+    // Applies a heartbeat that is newer than all earlier ones of the machine. Returns whether the scheduler
+    // or other readers have to act on it (free resources or task phases changed).
     bool apply_heartbeat(Cluster& cluster, Machine& machine, const WorkerHeartbeat& heartbeat,
                          Absence absence, Seconds now);
-    // The commands for the machine now: stops, forgets and launches of committed placements. Each launch is
-    // noted with the heartbeat that it answers, the machine's newest.
+    // The current commands for the machine: stops, forgets, and launches of committed placements. Records for
+    // each launch that the response to the machine's newest heartbeat carries it.
     std::vector<Command> commands(Machine& machine, LaunchCommands launches);
-    // Machines that have been given new stops since the last call; a stop should not wait for a heartbeat.
+    // Machines that got new stops since the last call. A stop is sent without waiting for a heartbeat.
     std::set<std::string> take_machines_with_new_stops() {
         return std::exchange(machines_with_new_stops_, {});
     }
     // Machines whose placements have changed since the last call.
     std::set<std::string> take_changed_machines() { return placements_.take_changed_machines(); }
-    // Counts the stops of all jobs that were cancelled until then as new ones.
+    // Makes take_machines_with_new_stops() return the machines of all jobs cancelled until then once more.
     void resend_stops_of_cancelled(Seconds cancelled_until);
-    // Whether the machine has placements that wait for their commit.
+    // Whether a placement on the machine is not committed yet.
     bool awaits_commit(const Machine& machine) const;
-    // Whether there is nothing to command: all that the machine has runs, and is meant to.
+    // Whether the machine needs no commands: exactly the tasks placed on it run there, and none is stopping.
     bool all_running_on(const Machine& machine) const;
-    // The placements on the machine. To be copied where tasks are bound or released meanwhile.
+    // The placements on the machine. Copy them before tasks are bound or released.
     const std::vector<PlacedTask>& on_machine(const std::string& machine) const {
         return placements_.on_machine(machine);
     }
 
   private:
-    friend class HeartbeatIntake;  // releases and completes tasks as the machine reports them
+    friend class HeartbeatProcessor;  // releases and completes tasks according to the machine's heartbeats
 
     void load_placements(Job& job, const JobRecord& record, Seconds now);
-    // The task is on no machine any more: it is pending again, unless it is done.
+    // Removes the task's placement; the task becomes pending unless it is done.
     void release(Job& job, uint32_t task, Seconds now);
-    // The task is done, and with it the whole of a gang.
+    // Marks the task as done, and all tasks of a gang with it.
     void complete(Job& job, uint32_t task, Seconds now);
     void begin_stop(Placement& placement, Seconds grace_s);
     void stop_gang(Job& job, Seconds grace_s);
@@ -127,7 +126,7 @@
     PlacementIndex placements_;
     WriteQueue write_queue_;
     std::set<std::string> machines_with_new_stops_;
-    std::set<std::string> unreadable_;  // ids of jobs
+    std::set<std::string> unreadable_;  // job ids
     Seconds last_arrival_ = 0;
 };
 
--- a/src/jobs/job_wait.cc
+++ b/src/jobs/job_wait.cc
@@ -7,23 +7,23 @@
         case WaitReason::kNone:
             return "not waiting";
         case WaitReason::kNew:
-            return "just arrived, not looked at yet";
+            return "submitted, not considered by the scheduler yet";
         case WaitReason::kTeamLimit:
-            return "its team's limit is used up";
+            return "the team's resource limit is reached";
         case WaitReason::kNoRoom:
-            return "no machine that it may use has room";
+            return "no allowed machine has enough free resources";
         case WaitReason::kGangRoom:
-            return "no room for all tasks of the gang at once";
+            return "not enough free resources for all tasks of the gang at once";
         case WaitReason::kDelayedForImage:
-            return "held briefly for an idle machine that has its image";
+            return "start delayed briefly, waiting for an idle machine with the image cached";
         case WaitReason::kDelayedForSpread:
-            return "held briefly for a machine that runs less of it";
+            return "start delayed briefly, waiting for a machine that runs fewer of its replicas";
         case WaitReason::kBackoff:
-            return "its tasks failed on several machines; it is tried again later";
+            return "tasks failed on several machines; retrying after a back-off";
         case WaitReason::kOldAttempt:
-            return "tasks of its last attempt are still on their machines";
+            return "tasks of the previous attempt are still on their machines";
         case WaitReason::kRecordFull:
-            return "its record is full; more tasks start as others finish";
+            return "the job's record is full; more tasks start as others finish";
     }
     return "";
 }
--- a/src/jobs/job_wait.h
+++ b/src/jobs/job_wait.h
@@ -1,4 +1,4 @@
-// Why and since when a job's tasks wait, and preemption for image locality on their behalf.
+// Why and since when a job's tasks wait, and preemption for image locality on behalf of the job.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace hareshore {
 
-// Why a job's tasks wait, for the operators.
+// Why a job's tasks wait; shown to operators.
 enum class WaitReason : uint8_t {
     kNone,
     kNew,
@@ -25,21 +25,21 @@
 const char* wait_reason_text(WaitReason reason);
 
 struct JobWait {
-    Seconds since = 0;  // on this process's clock
+    Seconds since = 0;  // on this process's monotonic clock
     WaitReason reason = WaitReason::kNew;
     std::optional<Seconds> reason_logged_at;
-    bool has_unplaced_task = false;  // a machine runs a task of the job that no placement accounts for
+    bool has_unplaced_task = false;  // a machine runs a task of the job that matches no placement
 
-    // Whether the reason was not logged in the last kWaitLogInterval_s.
+    // Whether the reason has not been logged within the last kWaitLogInterval_s.
     [[nodiscard]] bool reason_log_due(Seconds now) const {
         return !reason_logged_at || now - *reason_logged_at >= constants::kWaitLogInterval_s;
     }
 };
 
-// Tasks of less importance are stopped on machines that have the job's image.
+// Preemption of tasks of lower priority on machines that have the job's image cached.
 struct ImagePreemption {
-    Seconds until = 0;                      // the job starts nowhere else before; 0: no preemption
-    std::optional<Seconds> tried_for_wait;  // JobWait::since of the wait for which it was tried
+    Seconds until = 0;                      // until then the job starts on no other machine; 0: no preemption
+    std::optional<Seconds> tried_for_wait;  // JobWait::since of the wait during which it was last tried
 };
 
 }  // namespace hareshore
--- a/src/jobs/machine_commands.cc
+++ b/src/jobs/machine_commands.cc
@@ -1,7 +1,7 @@
-// What a machine is commanded to do, from its last heartbeat and the placements on it.
+// Derives the commands for a machine from its last heartbeat and the placements on it.
 #include <algorithm>
 
-#include "jobs/heartbeat_intake.h"
+#include "jobs/heartbeat_processor.h"
 #include "jobs/job_table.h"
 #include "jobs/task_lifecycle.h"
 #include "workers/command.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The placement that accounts for what the machine reported; null if its job is over or its attempt given up.
+// The placement of a reported task; nullptr if its job has ended or its attempt is no longer placed.
 const Placement* placement_of(const Job* job, const Machine& machine, const MachineTask& task) {
     if (!job) return nullptr;
     auto it = job->live.find(task.name.task);
@@ -26,8 +26,8 @@
         commands.push_back({CommandKind::kStop, task.name, task.attempt, 0});
         return;
     }
-    bool saves_already = task.phase == TaskPhase::kSaving && placement->grace_s > 0;
-    if (placement->stopping && !saves_already)
+    bool already_saving = task.phase == TaskPhase::kSaving && placement->grace_s > 0;
+    if (placement->stopping && !already_saving)
         commands.push_back({CommandKind::kStop, task.name, task.attempt, placement->grace_s});
 }
 
@@ -36,9 +36,9 @@
     return !(job.spec.gang() && job.gang_attempt.broken);
 }
 
-// Notes that the answer to the machine's newest heartbeat carries the launch.
-void note_launch(LaunchAttempts& launch, const Machine& machine) {
-    if (launch.incarnation != machine.incarnation || launch.sequence != machine.sequence) ++launch.answers;
+// Records that the response to the machine's newest heartbeat carries the launch.
+void record_launch(LaunchAttempts& launch, const Machine& machine) {
+    if (launch.incarnation != machine.incarnation || launch.sequence != machine.sequence) ++launch.responses;
     launch.incarnation = machine.incarnation;
     launch.sequence = machine.sequence;
 }
@@ -53,7 +53,7 @@
         if (task.phase != TaskPhase::kExited) {
             add_stop(commands, machine, task, job);
         } else if (!job || job->persistence.committed(task.exit_version)) {
-            // Forgotten only when the store has what came of it.
+            // The machine may forget an exit only after its effect is committed to the store.
             commands.push_back({CommandKind::kForget, task.name, task.attempt, 0});
         }
     }
@@ -63,14 +63,14 @@
         TaskName name{job->spec.id, task};
         if (find_attempt(machine.tasks, 0, name, placed->attempt) != machine.tasks.end()) continue;
         commands.push_back({CommandKind::kLaunch, std::move(name), placed->attempt, 0});
-        note_launch(job->live.at(task).launch, machine);
+        record_launch(job->live.at(task).launch, machine);
     }
     return commands;
 }
 
 bool JobTable::awaits_commit(const Machine& machine) const {
-    const auto& here = on_machine(machine.name);
-    return std::any_of(here.begin(), here.end(), [](const PlacedTask& placed) {
+    const auto& placements = on_machine(machine.name);
+    return std::any_of(placements.begin(), placements.end(), [](const PlacedTask& placed) {
         const Placement& placement = *placed.placement;
         return !placement.from_earlier_leader && !placed.job->cancelled &&
                !placed.job->persistence.committed(placement.job_version);
@@ -78,14 +78,14 @@
 }
 
 bool JobTable::all_running_on(const Machine& machine) const {
-    auto runs = [](const MachineTask& task) { return task.phase == TaskPhase::kRunning; };
-    auto is_meant_to = [](const PlacedTask& placed) {
+    auto is_running = [](const MachineTask& task) { return task.phase == TaskPhase::kRunning; };
+    auto should_run = [](const PlacedTask& placed) {
         return placed.placement->acknowledged && !placed.placement->stopping;
     };
-    const auto& here = on_machine(machine.name);
-    return here.size() == machine.tasks.size() &&
-           std::all_of(machine.tasks.begin(), machine.tasks.end(), runs) &&
-           std::all_of(here.begin(), here.end(), is_meant_to);
+    const auto& placements = on_machine(machine.name);
+    return placements.size() == machine.tasks.size() &&
+           std::all_of(machine.tasks.begin(), machine.tasks.end(), is_running) &&
+           std::all_of(placements.begin(), placements.end(), should_run);
 }
 
 }  // namespace hareshore
--- a/src/jobs/placement.h
+++ b/src/jobs/placement.h
@@ -1,4 +1,4 @@
-// A task bound to a machine, as the leader follows it from the binding to the exit.
+// A task bound to a machine, as the leader tracks it from the binding to the exit.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace hareshore {
 
-// The launch command of a placement: in which heartbeats' answers it was sent.
+// The heartbeats whose responses carried the launch command of a placement.
 struct LaunchAttempts {
-    // The newest heartbeat whose answer carried the launch; sequence 0: none did.
+    // The newest heartbeat whose response carried the launch; sequence 0: none did.
     uint64_t incarnation = 0;
     uint64_t sequence = 0;
-    int answers = 0;  // heartbeats whose answers carried it
+    int responses = 0;  // the number of heartbeats whose responses carried the launch
 
     [[nodiscard]] bool sent() const { return sequence != 0; }
 };
@@ -23,17 +23,17 @@
     uint64_t attempt = 0;
     std::string machine;
     std::string zone;
-    uint64_t job_version = 0;  // the job's version that first holds it; launched once that is committed
-    bool from_earlier_leader = false;  // read from the record: that leader may have launched it
+    uint64_t job_version = 0;  // the job's version that first includes it; launched once that is committed
+    bool from_earlier_leader = false;  // read from the record: an earlier leader may have launched it
     LaunchAttempts launch;
-    bool acknowledged = false;  // the machine has reported the task
+    bool acknowledged = false;  // a heartbeat has listed the task
     TaskPhase phase = TaskPhase::kFetching;
     Seconds bound_at = 0;
-    bool stopping = false;  // it is being stopped, with `grace_s` to save its progress
-    Seconds grace_s = 0;
+    bool stopping = false;
+    Seconds grace_s = 0;  // that a stopping task has to save its progress
     std::optional<Seconds> running_since;
 
-    // For how long it has run; 0 if it has not been reported as running.
+    // How long it has run; 0 unless it has been reported as running.
     [[nodiscard]] Seconds ran(Seconds now) const { return running_since ? now - *running_since : 0; }
 };
 
--- a/src/jobs/placement_index.h
+++ b/src/jobs/placement_index.h
@@ -1,4 +1,4 @@
-// The placements by machine.
+// An index of the placements by machine.
 #pragma once
 #include <set>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace hareshore {
 
-// A placement, seen from its machine. The job and its placement must outlive it.
+// An entry of the index. The job and its placement must outlive it.
 struct PlacedTask {
     Job* job = nullptr;
     uint32_t task = 0;
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -1,6 +1,6 @@
-// A job's record in the key-value store: all of a job that outlives a controller. One key a job, "j/<id>"
-// while it is unfinished and "f/<id>" for ever after, so that a take-over reads only what is unfinished. How
-// records are packed stands in record_wire.cc.
+// A job's record in the key-value store: the state of a job that survives a controller. Each job has one key,
+// "j/<id>" while it is unfinished and "f/<id>" afterwards, so that a failover reads only unfinished jobs.
+// record_wire.cc packs and unpacks records.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,11 +13,12 @@
 
 namespace hareshore {
 
-// The newest format of records that this version reads and writes. Format 1 is what the production version
-// reads; format 2 holds done tasks and placements in the compact text of compact_wire.h.
+// The newest record format that this version reads and writes. The production version reads format 1; format
+// 2 stores done tasks and placements in the compact text of compact_wire.h.
 inline constexpr uint64_t kNewestRecordFormat = 2;
 
-// A task bound to a machine. It counts as live from its commit until it is disproved.
+// A task bound to a machine. It counts as live from its commit until a heartbeat, or the deletion of its
+// machine, proves that it is not there.
 struct PlacementRecord {
     uint64_t attempt = 0;
     std::string machine;
@@ -35,26 +36,26 @@
 
     [[nodiscard]] JobPhase phase() const;
     [[nodiscard]] std::string pack(uint64_t record_format) const;
-    // Nothing if the record is malformed, or of a newer format than known (newer_record_format).
+    // std::nullopt if the record is malformed or in a format newer than kNewestRecordFormat.
     [[nodiscard]] static std::optional<JobRecord> unpack(const std::string& packed);
 };
 
-// Whether a packed record is of a newer format than kNewestRecordFormat. False of what is malformed.
+// Whether a packed record is in a format newer than kNewestRecordFormat; false if it is malformed.
 [[nodiscard]] bool newer_record_format(const std::string& packed);
 
-// What is kept of a finished job.
+// The record of a finished job.
 struct FinalRecord {
     std::string id;
-    bool cancelled = false;  // else done
+    bool cancelled = false;  // false: the job is done
     uint32_t tasks = 0;
     uint32_t done = 0;
 
     [[nodiscard]] std::string pack() const;
-    // Nothing if the record is malformed or of a newer format than known.
+    // std::nullopt if the record is malformed or in a format newer than kNewestRecordFormat.
     [[nodiscard]] static std::optional<FinalRecord> unpack(const std::string& packed);
 };
 
-// Keys in the key-value store, by the job's id.
+// Keys in the key-value store, by job id.
 inline const std::string kLivePrefix = "j/";
 inline const std::string kFinalPrefix = "f/";
 inline std::string live_key(const std::string& id) {
--- a/src/jobs/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -26,7 +26,7 @@
     GetResult read = co_await state.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
     if (read.status == StoreStatus::kNotFound) co_return true;
     if (read.status != StoreStatus::kOk) co_return false;
-    if (!record_format.stored) co_return true;  // it has been found unreadable, which stays
+    if (!record_format.stored) co_return true;  // once unreadable, it stays so in this process
     auto format = unpack_record_format(read.entry.data);
     if (format && *format <= *record_format.stored) co_return true;
     record_format.stored = format;
--- a/src/jobs/record_format.h
+++ b/src/jobs/record_format.h
@@ -1,6 +1,6 @@
-// The format in which the jobs' records are written, kept in the key-value store under a key of its own. The
-// production version writes format 1 and does not know the key; a leader puts it once every controller runs a
-// version that reads format 2. No process of an older version returns after that.
+// The format in which job records are written, stored under its own key in the key-value store. The
+// production version writes format 1 and does not know the key. A leader writes the key once every controller
+// runs a version that reads format 2; older versions must not be started after that.
 #pragma once
 #include <optional>
 
@@ -12,24 +12,25 @@
 inline const std::string kRecordFormatKey = "form";
 
 struct RecordFormat {
-    // The format in the key-value store, as far as this controller has read it; none: it is unreadable here.
+    // The format last read from the key-value store; std::nullopt: the stored value is unreadable.
     std::optional<uint64_t> stored = 1;
 
-    // A later version's format, or an unreadable one: what its records mean is not known here.
+    // Whether the stored format is unreadable or too new, so that this version cannot decode the records.
     [[nodiscard]] bool newer() const { return !stored || *stored > kNewestRecordFormat; }
-    // A leader may raise it.
+    // Whether a leader may raise the stored format.
     [[nodiscard]] bool below_newest() const { return stored && *stored < kNewestRecordFormat; }
-    // The format to write.
+    // The format in which records are written.
     [[nodiscard]] uint64_t in_force() const { return newer() ? kNewestRecordFormat : *stored; }
 };
 
 std::string pack_record_format(uint64_t record_format);
-// Nothing if the stored value is not that of a format.
+// std::nullopt if the stored value is malformed.
 std::optional<uint64_t> unpack_record_format(const std::string& packed);
-// Whether the stored value is that of a format which this version reads.
+// Whether the stored value is a format that this version reads.
 bool reads_record_format(const std::string& packed);
 
-// Reads the key. Returns false if the store gave no certain answer; a format that was read before stays.
+// Reads the key and updates `record_format`, which is never lowered. Returns false, and changes nothing, if
+// the store could not be read.
 Task<bool> refresh_record_format(StoreClient& state, RecordFormat& record_format);
 
 }  // namespace hareshore
--- a/src/jobs/record_room.cc
+++ b/src/jobs/record_room.cc
@@ -1,4 +1,4 @@
-// How much room a job's record has in the key-value store, whose limit counts the value's JSON text.
+// The room left in a job's record. The key-value store limits the size of a value's JSON text.
 #include <algorithm>
 
 #include "base/constants.h"
@@ -10,10 +10,10 @@
 
 namespace {
 
-// JSON bytes around an entry of a list.
+// JSON bytes in addition to the text of a list entry.
 constexpr size_t kListEntryPunctuation = 2;  // a comma and a space
-constexpr size_t kNameEntryExtra = 3;        // the same and the count of digits before a machine's name
-// In format 1: two spaces in the line and two behind it, and of the two names' four quotes two go.
+constexpr size_t kNameEntryExtra = 3;        // the punctuation and the digit count before a machine's name
+// In format 1: three spaces, and the line's own quotes and punctuation, less the quotes of the two names.
 constexpr size_t kTextPlacementExtra = 3;
 
 size_t format1_placement_bytes(uint32_t task, uint64_t attempt, std::string_view machine,
@@ -38,17 +38,18 @@
     return tasks;
 }
 
+// An upper bound for both formats: format 1 has fewer fields.
 size_t measure_fixed_bytes(const Job& job) {
-    JobRecord bare;
-    bare.spec = job.spec;
-    bare.accepted_wall = job.accepted_wall;
-    bare.next_attempt = constants::kMaxExactInteger;
-    return json_size(bare.pack(2));  // format 1 has fewer fields
+    JobRecord empty_record;
+    empty_record.spec = job.spec;
+    empty_record.accepted_wall = job.accepted_wall;
+    empty_record.next_attempt = constants::kMaxExactInteger;
+    return json_size(empty_record.pack(2));
 }
 
 enum class Precision : uint8_t { kUpperBound, kExact };
 
-// The size of the record today, from what is known of it or measured.
+// The present size of the record, cached or measured.
 const RecordSize& record_size(const Job& job, uint64_t record_format, Precision precision) {
     RecordSize& size = job.record_sizes.of(record_format);
     bool precise_enough = size.exact || precision == Precision::kUpperBound;
@@ -66,19 +67,19 @@
     return size;
 }
 
-// What one more placement on this machine adds at most.
+// An upper bound of the bytes that one more placement on this machine adds.
 size_t placement_bytes(const Job& job, uint64_t record_format, const Machine& machine) {
     if (record_format < 2)
         return format1_placement_bytes(job.spec.tasks, job.next_attempt, machine.name, machine.zone);
     size_t bytes = constants::kPlacementOverheadBytes + json_text_size(machine.name) + kNameEntryExtra;
     bool known_zone = std::any_of(job.live.begin(), job.live.end(),
                                   [&](const auto& entry) { return entry.second.zone == machine.zone; });
-    // With one zone more each placement's number may become a digit longer.
+    // Another zone may make the number in each placement one digit longer.
     if (!known_zone) bytes += json_text_size(machine.zone) + kListEntryPunctuation + job.live.size();
     return bytes;
 }
 
-// The size of the record with the first pending tasks placed on these machines, in that order.
+// The size of the record once the first pending tasks are placed on these machines, in that order.
 size_t bytes_with_placements(const Job& job, uint64_t record_format,
                              std::span<const Machine* const> machines) {
     if (record_format < 2) {
@@ -99,21 +100,22 @@
 
 bool room_in_format(const Job& job, uint64_t record_format, size_t limit,
                     std::span<const Machine* const> machines) {
-    // The ends of what is live may lengthen the done ranges by more than they take away.
+    // When live tasks end, the done ranges may grow by more than their placements take.
     size_t growth_each = job.spec.tasks > constants::kSmallJobTasks
                              ? constants::kDoneRangesGrowthBytes - constants::kMinPlacementBytes
                              : 0;
     size_t growth = growth_each * (job.live.size() + machines.size());
     size_t added = 0;
     for (const Machine* machine : machines) added += placement_bytes(job, record_format, *machine);
-    // Room for one stays free, unless this is the one: a job whose record is full goes on one by one.
+    // Room for one placement is always kept free, unless the job has no other task placed, so that a job
+    // whose record is full continues with one task at a time.
     size_t reserve = job.live.empty() && machines.size() == 1 ? 0 : constants::kRecordReserveBytes;
     auto fits = [&](Precision precision) {
         return record_size(job, record_format, precision).bytes + std::max(added, reserve) + growth <= limit;
     };
     if (fits(Precision::kUpperBound) || fits(Precision::kExact)) return true;
     if (machines.size() == 1) return false;
-    // Several at once, a gang's: what they add exactly.
+    // For the tasks of a gang, compute exactly what they add together.
     return bytes_with_placements(job, record_format, machines) + growth <= limit;
 }
 
@@ -125,7 +127,7 @@
 
 bool Job::room_in_record(const Config& config, uint64_t record_format,
                          std::span<const Machine* const> machines) const {
-    // Of what is written today and of what format 2 would be, each has its limit.
+    // Both the format written today and the newer ones have to fit their own limit.
     for (uint64_t format = record_format; format <= kNewestRecordFormat; ++format)
         if (!room_in_format(*this, format, config.value_limit(format), machines)) return false;
     return true;
--- a/src/jobs/record_wire.cc
+++ b/src/jobs/record_wire.cc
@@ -1,4 +1,4 @@
-// The records of jobs as MessagePack maps. Their keys are the stored format: they stand here alone.
+// Packs job records as MessagePack maps. The keys are part of the stored format and occur only in this file.
 #include <algorithm>
 #include <charconv>
 
@@ -39,7 +39,7 @@
     packer.key("due_s").number(spec.due_s.value_or(-1));
 }
 
-// A placement a line, "task attempt machine zone"; names of machines have no spaces.
+// One line per placement, "task attempt machine zone"; machine names contain no spaces.
 void pack_text_placements(MsgpackWriter& packer, const std::map<uint32_t, PlacementRecord>& live) {
     packer.key("live").list(live.size());
     for (const auto& [task, placement] : live)
@@ -110,7 +110,7 @@
     PlacementRecord placement;
 };
 
-// Reads a line of format 1, "task attempt machine zone".
+// Parses a line of format 1, "task attempt machine zone".
 std::optional<TaskPlacement> parse_text_placement(const std::string& line) {
     TaskPlacement parsed;
     const char* end = line.data() + line.size();
--- a/src/jobs/resource_accounting.cc
+++ b/src/jobs/resource_accounting.cc
@@ -15,7 +15,7 @@
         if (const Job* job = jobs.find(task.name.job)) {
             auto placement = job->live.find(task.name.task);
             if (placement != job->live.end() && placement->second.machine == machine.name)
-                continue;  // counted above
+                continue;  // counted as a placement
         }
         usage.taken += task.amount;
         ++usage.placed_tasks;
@@ -25,18 +25,18 @@
     return usage;
 }
 
-// What the job's placements take of its team's limit.
+// Adds the job's placements to its team's usage.
 void add_usage(TeamUsage& usage, const Job& job) {
     auto placements = static_cast<double>(job.live.size());
     usage.cpus += placements * job.spec.cpus;
     usage.gpus += placements * job.spec.gpus;
 }
 
-// Whether tasks may be bound to a machine of a known type.
+// Whether tasks may be bound to a machine, provided that its type is known.
 bool may_be_scheduled(const Machine& machine, Seconds now, Seconds silent_after) {
-    bool heard = machine.heartbeat_awaits_response || now - machine.last_heartbeat <= silent_after;
+    bool alive = machine.heartbeat_awaits_response || now - machine.last_heartbeat <= silent_after;
     bool stays = !machine.cordoned && !machine.deleting && !machine.draining && !machine.spot_reclaim_at;
-    return heard && stays && machine.has_current_token && !machine.unreachable_since &&
+    return alive && stays && machine.has_current_token && !machine.unreachable_since &&
            machine.usage.all_sizes_known;
 }
 
--- a/src/jobs/stragglers.cc
+++ b/src/jobs/stragglers.cc
@@ -1,4 +1,4 @@
-// Machines on which tasks run much longer than others of their job did elsewhere.
+// Detects machines on which tasks run much longer than finished tasks of the same job.
 #include "base/constants.h"
 #include "base/log.h"
 #include "jobs/job_table.h"
@@ -25,11 +25,11 @@
 
 void JobTable::cordon_stragglers(Cluster& cluster, Seconds now) {
     for (auto& [name, machine] : cluster.machines) {
-        // Of one that is silent nothing is known; its tasks only seem to go on for long.
+        // On a machine without recent heartbeats tasks may have ended; they only appear to run for long.
         if (machine->cordoned || !machine->schedulable) continue;
         if (count_stragglers(on_machine(name), now) < constants::kCordonAfterStragglers) continue;
         machine->cordoned = true;
-        machine->cordon_reason = "tasks take several times as long as others of their job elsewhere";
+        machine->cordon_reason = "tasks run several times longer than other tasks of the same job";
         log::info("machine_cordoned", {{"machine", name}, {"reason", machine->cordon_reason}});
         for (const auto& placed : on_machine(name))
             if (placed.job->spec.checkpoint_s > 0 && !placed.job->spec.service())
--- a/src/jobs/task_lifecycle.h
+++ b/src/jobs/task_lifecycle.h
@@ -1,5 +1,5 @@
-// The lifecycle of one task as a table of states and events. A task's state is not stored: it follows from
-// its job and its placement. JobTable asks the table where it decides what becomes of a task.
+// The state machine of a task: a table of states and events. A task's state is not stored but derived from
+// its job and its placement. JobTable looks up its decisions about a task in the table.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -13,11 +13,11 @@
     kPending,         // neither done nor placed
     kBound,           // placed; the key-value store does not hold the placement yet
     kCommitted,       // the store holds the placement; no launch was sent
-    kInherited,       // placed by an earlier leader, which may have launched it; not reported since
-    kLaunched,        // an answer to a heartbeat carried the launch; not reported yet
-    kRunning,         // the machine has reported the attempt, which has not ended
-    kStoppingUnsent,  // to be stopped, and never launched: it cannot be on the machine
-    kStopping,        // to be stopped; it may be on the machine
+    kInherited,       // placed by an earlier leader, which may have launched it; no heartbeat lists it yet
+    kLaunched,        // a response to a heartbeat carried the launch; no heartbeat lists it yet
+    kRunning,         // a heartbeat has listed the attempt, which has not ended
+    kStoppingUnsent,  // to be stopped, never launched: it cannot be on the machine
+    kStopping,        // to be stopped, may be on the machine
     kDone,
 };
 inline constexpr size_t kTaskStates = 9;
@@ -25,23 +25,23 @@
 enum class TaskEvent : uint8_t {
     kBind,             // the scheduler places the task
     kCommit,           // the store holds the placement
-    kLaunchSent,       // an answer to the machine's heartbeat carries the launch
-    kReported,         // the machine reports the placement's attempt as present
-    kResult,           // the placement's attempt ended with its result; never of a service's replica
+    kLaunchSent,       // the response to the machine's heartbeat carries the launch
+    kReported,         // a heartbeat lists the placement's attempt as present
+    kResult,           // the placement's attempt succeeded; not raised for replicas of a service
     kExit,             // the placement's attempt ended in any other way
-    kAbandonedResult,  // an attempt that no placement accounts for ended with its result
-    kAbsent,         // a heartbeat newer than the last launch lacks the attempt; only of committed placements
-    kLaunchGivenUp,  // as kAbsent, and no launch can reach the machine or join the attempt any more
-    kMachineDeleted,  // the cloud confirmed the deletion of the machine
-    kStop,            // the scheduler or the scaling takes the machine's room back
-    kCancel,          // the job is cancelled
+    kAbandonedResult,  // an attempt that matches no placement succeeded
+    kAbsent,           // a heartbeat newer than the last launch lacks the attempt of a committed placement
+    kLaunchGivenUp,    // as kAbsent, and no launch can reach the machine or join the gang's attempt any more
+    kMachineDeleted,   // the cloud confirmed the deletion of the machine
+    kStop,             // the scheduler or the autoscaler takes the machine's resources back
+    kCancel,           // the job is cancelled
 };
 inline constexpr size_t kTaskEvents = 12;
 
 enum class Reaction : uint8_t {
-    kAccepted,  // the task is in state `next` from now on, which may be the same
+    kAccepted,  // the task moves to state `next`, which may be its present one
     kIgnored,   // the event changes nothing
-    kRefused,   // the event must not be raised in this state
+    kRefused,   // the caller must not raise the event in this state
 };
 
 struct TaskTransition {
@@ -61,7 +61,7 @@
     return {Reaction::kAccepted, next};
 }
 
-// All transitions: a row each state, a column each event, both in the order of their enumerations.
+// All transitions: one row per state and one column per event, both in the order of their enumerations.
 constexpr std::array<Row, kTaskStates> make() {
     const TaskTransition ignored{Reaction::kIgnored, {}};
     const TaskTransition refused{Reaction::kRefused, {}};
@@ -97,7 +97,7 @@
 
 }  // namespace lifecycle_table
 
-// What the event makes of a task in this state.
+// The transition of a task in this state on this event.
 constexpr const TaskTransition& transition(TaskState state, TaskEvent event) {
     return lifecycle_table::kTable[static_cast<size_t>(state)][static_cast<size_t>(event)];
 }
@@ -114,7 +114,7 @@
     return job.persistence.committed(placement.job_version) ? TaskState::kCommitted : TaskState::kBound;
 }
 
-// The state of any task of the job.
+// The state of any task of the job, placed or not.
 TaskState task_state(const Job& job, uint32_t task);
 
 }  // namespace hareshore
--- a/src/jobs/write_queue.cc
+++ b/src/jobs/write_queue.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Operations that writing the job takes: of one that has ended, its record moves to another key.
+// The number of store operations that write the job. The record of a job that has ended moves to another key.
 size_t operations_of(const Job& job) {
     return job.finished() || job.cancelled ? 2 : 1;
 }
@@ -17,7 +17,7 @@
 
 std::vector<Job*> WriteQueue::take(const JobMap& jobs, const WriteLimits& limits, uint64_t record_format) {
     std::vector<Job*> taken;
-    std::vector<std::string> left;
+    std::vector<std::string> remaining;
     size_t operations = 0;
     size_t bytes = 0;
     bool full = false;
@@ -33,7 +33,7 @@
         full = full || operations + job_operations > limits.operations ||
                (bytes > 0 && bytes + job_bytes > limits.bytes);
         if (full) {
-            left.push_back(std::move(id));
+            remaining.push_back(std::move(id));
             continue;
         }
         operations += job_operations;
@@ -41,7 +41,7 @@
         queued_.erase(id);
         taken.push_back(job);
     }
-    ids_ = std::move(left);
+    ids_ = std::move(remaining);
     return taken;
 }
 
--- a/src/model/job_spec.h
+++ b/src/model/job_spec.h
@@ -1,4 +1,4 @@
-// What a user asked for. Names are the field's usual ones; the wire's are mapped in users/.
+// The specification of a job as submitted by a user. users/ maps the field names of the user API to these.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -13,11 +13,11 @@
 // The values are stored in records and must not change.
 enum class JobKind : uint8_t {
     kArray,    // independent tasks
-    kGang,     // tasks that start together and end together
-    kService,  // replicas, which run until the job is cancelled: none of them is ever done
+    kGang,     // tasks that start and end together
+    kService,  // replicas, which run until the job is cancelled and are never done
 };
 
-// From the lowest to the highest. The values are stored in records and must not change.
+// From lowest to highest. The values are stored in records and must not change.
 enum class PriorityClass : uint8_t { kIdle, kStandard, kHigh, kProduction };
 
 struct JobSpec {
@@ -28,7 +28,7 @@
     PriorityClass priority = PriorityClass::kStandard;
     uint32_t tasks = 0;
 
-    // What each task takes.
+    // Resources of each task.
     double cpus = 0;
     double gpus = 0;
     double memory_gb = 0;
@@ -38,14 +38,14 @@
     // Where tasks may run.
     std::vector<std::string> machine_types;  // empty: any
     std::string zone;                        // empty: any
-    bool single_zone = false;                // all in one zone
-    bool spread_across_zones = false;        // no more than half of them in one zone
-    bool spot = false;                       // spot machines are allowed
+    bool single_zone = false;                // all tasks in one zone
+    bool spread_across_zones = false;        // at most half of the tasks in any one zone
+    bool spot = false;                       // spot instances are allowed
 
     Seconds estimate_s = 0;        // expected run time of a task
-    Seconds checkpoint_s = 0;      // interval of checkpoints; 0: none
-    Seconds save_s = 0;            // time that saving progress takes
-    std::optional<Seconds> due_s;  // deadline, from the acceptance on
+    Seconds checkpoint_s = 0;      // checkpoint interval; 0: no checkpoints
+    Seconds save_s = 0;            // time to write a checkpoint
+    std::optional<Seconds> due_s;  // deadline, relative to the acceptance of the job
 
     [[nodiscard]] bool gang() const { return kind == JobKind::kGang; }
     [[nodiscard]] bool service() const { return kind == JobKind::kService; }
@@ -60,7 +60,7 @@
     bool operator==(const JobSpec&) const = default;
 };
 
-// How far a job is, as users are told.
+// The phase of a job as shown to users.
 enum class JobPhase : uint8_t { kPending, kRunning, kDone, kCancelled };
 
 }  // namespace hareshore
--- a/src/model/resources.cc
+++ b/src/model/resources.cc
@@ -21,12 +21,12 @@
 uint32_t Resources::count_fitting(const JobSpec& spec, uint32_t at_most) const {
     if (!holds(spec)) return 0;
     double count = at_most;
-    auto bound_by = [&](double available, double needed) {
+    auto limit_by = [&](double available, double needed) {
         if (needed > 0) count = std::min(count, std::floor((available + kRoundingError) / needed));
     };
-    bound_by(cpus, spec.cpus);
-    bound_by(gpus, spec.gpus);
-    bound_by(memory_gb, spec.memory_gb);
+    limit_by(cpus, spec.cpus);
+    limit_by(gpus, spec.gpus);
+    limit_by(memory_gb, spec.memory_gb);
     return count <= 0 ? 0 : static_cast<uint32_t>(count);
 }
 
--- a/tests/cluster/image_cache_test.cc
+++ b/tests/cluster/image_cache_test.cc
@@ -1,17 +1,17 @@
-// The images that a machine is taken to hold.
+// The leader's model of a machine's image cache.
 #include "cluster/image_cache.h"
 
 #include <gtest/gtest.h>
 
 using namespace hareshore;
 
-TEST(ImageCache, DropsTheLeastRecentlyUsed) {
-    ImageCache c(10);
-    c.use("a", 4);
-    c.use("b", 4);
-    c.use("a", 4);
-    c.use("c", 4);
-    EXPECT_TRUE(c.has("a"));
-    EXPECT_FALSE(c.has("b"));
-    EXPECT_TRUE(c.has("c"));
+TEST(ImageCache, EvictsLeastRecentlyUsedImage) {
+    ImageCache cache(10);
+    cache.use("a", 4);
+    cache.use("b", 4);
+    cache.use("a", 4);
+    cache.use("c", 4);
+    EXPECT_TRUE(cache.has("a"));
+    EXPECT_FALSE(cache.has("b"));
+    EXPECT_TRUE(cache.has("c"));
 }
--- a/tests/jobs/machine_health_test.cc
+++ b/tests/jobs/machine_health_test.cc
@@ -1,4 +1,4 @@
-// What failures, slow tasks and heartbeats show of a machine.
+// Detection of unhealthy machines from task failures, stragglers and heartbeats.
 #include <gtest/gtest.h>
 
 #include "base/constants.h"
@@ -27,18 +27,18 @@
                              Absence::kProven, now);
     };
     fail(bad, "job-1");
-    EXPECT_FALSE(bad.cordoned) << "one failure says little";
+    EXPECT_FALSE(bad.cordoned) << "a single failure is not enough";
     fail(bad, "job-2");
     EXPECT_TRUE(bad.cordoned);
-    // One job that fails everywhere costs no machine.
-    for (const char* m : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
-        Machine& machine = add_machine(m);
+    // A job that fails on every machine does not cause any to be cordoned.
+    for (const char* name : {"vm-2", "vm-3", "vm-4", "vm-5"}) {
+        Machine& machine = add_machine(name);
         fail(machine, "job-7");
         EXPECT_FALSE(machine.cordoned);
     }
     EXPECT_TRUE(jobs.find("job-7")->failures.failing);
     EXPECT_GT(jobs.find("job-7")->failures.retry_at, now);
-    // What made it fail may be over: beside fitting room no job waits for 90 s.
+    // The cause of the failures may be gone: with resources free, no job may be left waiting for 90 s.
     for (int i = 0; i < 8; ++i) {
         now = jobs.find("job-7")->failures.retry_at;
         fail(add_machine("vm-" + std::to_string(10 + i)), "job-7");
@@ -46,7 +46,8 @@
     EXPECT_LT(jobs.find("job-7")->failures.retry_at, now + 75);
 }
 
-// A machine that straggles shows against peers of the same job elsewhere; a long job alone shows nothing.
+// Stragglers are recognized by comparison with finished tasks of the same job on other machines. A long run
+// time alone must not cordon a machine.
 TEST_F(MachineHealth, CordonsStragglingMachines) {
     config.teams[0].gpus_max = 0;
     Job& job = add_job(job_spec("job-1", 8));
@@ -54,79 +55,80 @@
     for (int i = 0; i < 4; ++i) machines.push_back(&add_machine("vm-" + std::to_string(i)));
     ASSERT_EQ(schedule_for(machines).size(), 8U);
     mark_committed(job);
-    auto state = [&](Machine& machine, TaskPhase p, ExitCause c) {
-        std::vector<TaskStatus> t;
-        for (auto& r : jobs.on_machine(machine.name))
-            t.push_back(task_status(r.job->spec.id, r.task, r.placement->attempt, p, c));
-        jobs.apply_heartbeat(cluster, machine, heartbeat(machine, t), Absence::kProven, now);
+    auto send_heartbeat = [&](Machine& machine, TaskPhase phase, ExitCause cause) {
+        std::vector<TaskStatus> tasks;
+        for (auto& placed : jobs.on_machine(machine.name))
+            tasks.push_back(
+                task_status(placed.job->spec.id, placed.task, placed.placement->attempt, phase, cause));
+        jobs.apply_heartbeat(cluster, machine, heartbeat(machine, tasks), Absence::kProven, now);
     };
-    for (Machine* machine : machines) state(*machine, TaskPhase::kRunning, ExitCause::kNone);
+    for (Machine* machine : machines) send_heartbeat(*machine, TaskPhase::kRunning, ExitCause::kNone);
     now += 100;
     jobs.cordon_stragglers(cluster, now);
-    EXPECT_FALSE(machines[0]->cordoned) << "nothing to compare with";
+    EXPECT_FALSE(machines[0]->cordoned) << "no finished task to compare with";
     now -= 70;
     for (int i = 1; i < 4; ++i)
-        state(*machines[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
+        send_heartbeat(*machines[static_cast<size_t>(i)], TaskPhase::kExited, ExitCause::kDone);
     jobs.cordon_stragglers(cluster, now);
     EXPECT_FALSE(machines[0]->cordoned);
     now += 50;
     jobs.cordon_stragglers(cluster, now);
     EXPECT_TRUE(machines[0]->cordoned);
-    EXPECT_EQ(jobs.take_machines_with_new_stops().count("vm-0"), 1U) << "its tasks save and move";
+    EXPECT_EQ(jobs.take_machines_with_new_stops().count("vm-0"), 1U) << "its tasks save and are moved";
 }
 
-// Launch after launch comes to nothing although newer reports arrive: the machine does not hear its answers.
-// The task goes elsewhere, nothing more is bound there, and the machine is replaced.
-TEST_F(MachineHealth, ReplacesAMachineThatReceivesNoAnswers) {
+// Repeated launches have no effect although newer heartbeats arrive: the machine does not receive responses.
+// Its task is moved to another machine, no more tasks are bound to it, and it is replaced.
+TEST_F(MachineHealth, ReplacesMachineThatReceivesNoResponses) {
     Job& job = add_job(job_spec("job-1", 1));
-    Machine &deaf = add_machine("vm-1"), &other = add_machine("vm-2");
+    Machine &unreachable = add_machine("vm-1"), &other = add_machine("vm-2");
     other.cordoned = true;
-    ASSERT_EQ(schedule_for({&deaf}).size(), 1U);
+    ASSERT_EQ(schedule_for({&unreachable}).size(), 1U);
     mark_committed(job);
     for (int i = 0; i < constants::kUnansweredLaunchLimit; ++i) {
         ASSERT_EQ(job.live.count(0), 1U);
-        EXPECT_EQ(count_launches(jobs.commands(deaf, LaunchCommands::kInclude)), 1U);
-        jobs.apply_heartbeat(cluster, deaf, heartbeat(deaf, {}), Absence::kProven, now += 3);
+        EXPECT_EQ(count_launches(jobs.commands(unreachable, LaunchCommands::kInclude)), 1U);
+        jobs.apply_heartbeat(cluster, unreachable, heartbeat(unreachable, {}), Absence::kProven, now += 3);
     }
     EXPECT_TRUE(job.live.empty());
-    EXPECT_TRUE(schedule_for({&deaf}).empty()) << "no room to count on";
+    EXPECT_TRUE(schedule_for({&unreachable}).empty()) << "no tasks are bound to an unreachable machine";
     other.cordoned = false;
-    EXPECT_EQ(schedule_for({&deaf, &other}).size(), 1U);
-    auto returned = [&] {
-        ScalingInput in{config, settings, now, 0, {}, {}, false};
-        return plan_scaling(cluster, jobs, in).scales_in("vm-1");
+    EXPECT_EQ(schedule_for({&unreachable, &other}).size(), 1U);
+    auto is_returned = [&] {
+        ScalingInput input{config, settings, now, 0, {}, {}, false};
+        return plan_scaling(cluster, jobs, input).scales_in("vm-1");
     };
-    EXPECT_EQ(returned(), 0U);
+    EXPECT_EQ(is_returned(), 0U);
     now += config.lease_s + 1;
-    deaf.last_heartbeat = other.last_heartbeat = now;
+    unreachable.last_heartbeat = other.last_heartbeat = now;
     recount_resources();
-    EXPECT_EQ(returned(), 1U);
+    EXPECT_EQ(is_returned(), 1U);
 }
 
-// What its reports say of the answers to them: one that is answered stays and numbers its reports one by
-// one, and its lease does not end.
-TEST_F(MachineHealth, TracksByHeartbeatsWhetherAnswersArrive) {
+// A worker that receives responses numbers its heartbeats to one controller consecutively and keeps its
+// lease. Skipped numbers and a new incarnation show that the responses did not arrive.
+TEST_F(MachineHealth, InfersReachabilityFromHeartbeatSequence) {
     Machine& machine = add_machine("vm-1");
-    auto next = [&](uint64_t incarnation, uint64_t sequence, bool direct = true) {
-        WorkerHeartbeat r = heartbeat(machine, {});
-        r.incarnation = incarnation;
-        r.sequence = sequence;
-        machine.update_reachability(r, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed,
+    auto reachable_after = [&](uint64_t incarnation, uint64_t sequence, bool direct = true) {
+        WorkerHeartbeat next = heartbeat(machine, {});
+        next.incarnation = incarnation;
+        next.sequence = sequence;
+        machine.update_reachability(next, direct ? HeartbeatRoute::kDirect : HeartbeatRoute::kRelayed,
                                     config.lease_s, now += 3);
-        jobs.apply_heartbeat(cluster, machine, r, Absence::kProven, now);
+        jobs.apply_heartbeat(cluster, machine, next, Absence::kProven, now);
         machine.record_response(direct, now);
         return !machine.unreachable_since;
     };
-    EXPECT_TRUE(next(1, 10));
-    EXPECT_TRUE(next(1, 11));
-    EXPECT_FALSE(next(1, 14)) << "it has asked others in between";
-    EXPECT_FALSE(next(1, 15, false)) << "a relayed report shows nothing";
-    EXPECT_FALSE(next(1, 16));
-    EXPECT_TRUE(next(1, 17));
+    EXPECT_TRUE(reachable_after(1, 10));
+    EXPECT_TRUE(reachable_after(1, 11));
+    EXPECT_FALSE(reachable_after(1, 14)) << "the skipped heartbeats were sent to other controllers";
+    EXPECT_FALSE(reachable_after(1, 15, false)) << "a relayed heartbeat proves nothing";
+    EXPECT_FALSE(reachable_after(1, 16));
+    EXPECT_TRUE(reachable_after(1, 17));
     machine.record_response(false, now);
-    EXPECT_TRUE(next(1, 20)) << "a command's answer may have taken a number";
-    EXPECT_FALSE(next(2, 21)) << "its lease has ended although it was answered";
+    EXPECT_TRUE(reachable_after(1, 20)) << "the reply to a command may have taken a sequence number";
+    EXPECT_FALSE(reachable_after(2, 21)) << "its lease expired although a response was sent";
     machine.unreachable_since.reset();
     now += config.lease_s;
-    EXPECT_TRUE(next(3, 40)) << "it was silent for a lease";
+    EXPECT_TRUE(reachable_after(3, 40)) << "it was silent for the duration of a lease";
 }
--- a/tests/jobs/task_lifecycle_test.cc
+++ b/tests/jobs/task_lifecycle_test.cc
@@ -1,5 +1,5 @@
-// A task from its placement to its end, as the leader records it: each test is a way in which a rule could be
-// broken.
+// The lifecycle of a task from its placement to its end. Each test covers one way in which a task could be
+// lost or run twice.
 #include <gtest/gtest.h>
 
 #include "standins/scheduling_fixture.h"
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_F(TaskLifecycle, LaunchesOnlyWhatIsCommitted) {
+TEST_F(TaskLifecycle, LaunchesOnlyCommittedPlacements) {
     Job& job = add_job(job_spec("job-1", 1));
     Machine& machine = add_machine("vm-1");
     ASSERT_EQ(schedule_for({&machine}).size(), 1U);
@@ -23,13 +23,13 @@
     EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 0U);
     mark_committed(job);
     EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kOmit)), 0U)
-        << "a direct command carries no launch";
+        << "commands outside heartbeat responses carry no launch";
     EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 1U);
 }
 
-// The response with the launch is lost: the next report does not list the task, and it is sent again with
-// the same attempt. The task stays bound to this machine all the while.
-TEST_F(TaskLifecycle, RepeatsALaunchWhoseResponseWasLost) {
+// The response that carries a launch is lost, so the next heartbeat does not list the task. The launch is
+// sent again with the same attempt, and the task stays bound to the machine.
+TEST_F(TaskLifecycle, RepeatsLaunchAfterLostResponse) {
     Job& job = add_job(job_spec("job-1", 1));
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
@@ -42,16 +42,16 @@
     EXPECT_EQ(first[0].attempt, second[0].attempt);
 }
 
-// A report that was sent before the launch says nothing about it, however late it comes; and the answer
-// of a direct command proves no absence, since a response may still carry the launch.
-TEST_F(TaskLifecycle, LateHeartbeatsDisproveNothing) {
+// A heartbeat sent before the launch proves nothing about it, however late it arrives. Nor does the reply to
+// a command prove that a task is absent, since a response in flight may still carry its launch.
+TEST_F(TaskLifecycle, LateHeartbeatDoesNotProveAbsence) {
     Job& job = add_job(job_spec("job-1", 1));
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
     mark_committed(job);
     jobs.commands(machine, LaunchCommands::kInclude);
     WorkerHeartbeat late = heartbeat(machine, {});
-    late.sequence = machine.sequence;  // the report that was answered with the launch
+    late.sequence = machine.sequence;  // of the heartbeat whose response carried the launch
     EXPECT_FALSE(late.newer_than(machine.incarnation, machine.sequence));
     jobs.apply_heartbeat(cluster, machine,
                          heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
@@ -60,26 +60,26 @@
     EXPECT_EQ(job.live.size(), 1U);
 }
 
-// After a take-over a placement counts until a report from a machine that has seen the new epoch lacks it:
-// before that, the last leader's launch may still arrive.
-TEST_F(TaskLifecycle, InheritedPlacementsStayUntilDisproved) {
+// After a failover a placement counts until a machine that has the new fencing token sends a heartbeat
+// without the task: before that, the previous leader's launch may still arrive.
+TEST_F(TaskLifecycle, KeepsInheritedPlacementUntilAbsenceIsProven) {
     Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& machine = cluster.ensure("vm-1", now);
     machine.machine_type = "g2";
-    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kUnproven,
-                         now);  // has not seen the epoch
+    // The machine does not have the new fencing token yet.
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kUnproven, now);
     EXPECT_EQ(job.live.size(), 1U);
     Machine& other = add_machine("vm-2");
     EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kProven, now);
-    // Never seen on the machine: it is launched there, still the same attempt on the same machine.
+    // The task was never reported: the same attempt is launched on the same machine.
     auto commands = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(count_launches(commands), 1U);
     EXPECT_EQ(commands[0].attempt, 3U);
     EXPECT_TRUE(schedule_for({&other}).empty());
 }
 
-TEST_F(TaskLifecycle, NoTimeoutFreesAPlacementOnlyTheDeletionDoes) {
+TEST_F(TaskLifecycle, FreesPlacementOnSilentMachineOnlyAfterDeletion) {
     Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
     Machine& other = add_machine("vm-2");
     now += 100000;
@@ -90,8 +90,9 @@
     EXPECT_GT(job.live.at(0).attempt, 3U);
 }
 
-// Launch after forget: the exit is committed first, and the next start has another attempt.
-TEST_F(TaskLifecycle, ForgetsOnlyWhatIsCommittedAndNeverReusesAnAttempt) {
+// A machine may forget an exit only after it is committed, and the next start has a new attempt number.
+// Otherwise a repeated launch could run the same attempt twice.
+TEST_F(TaskLifecycle, ForgetsOnlyCommittedExitsAndNeverReusesAttempts) {
     Job& job = add_job(job_spec("job-1", 1));
     Machine& machine = add_machine("vm-1");
     schedule_for({&machine});
@@ -101,46 +102,47 @@
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {exited}), Absence::kProven, now += 3);
     EXPECT_TRUE(jobs.commands(machine, LaunchCommands::kInclude).empty()) << "the exit is not committed yet";
     mark_committed(job);
-    auto o = jobs.commands(machine, LaunchCommands::kInclude);
-    ASSERT_EQ(o.size(), 1U);
-    EXPECT_EQ(o[0].kind, CommandKind::kForget);
+    auto commands = jobs.commands(machine, LaunchCommands::kInclude);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].kind, CommandKind::kForget);
     Machine& other = add_machine("vm-2");
     now += 30;
     ASSERT_EQ(schedule_for({&other}).size(), 1U);
     EXPECT_EQ(job.live.at(0).attempt, 2U);
 }
 
-// Until the last task of the old attempt has exited, no task of the gang may start anywhere.
-TEST_F(TaskLifecycle, RestartsAGangOnlyWhenItsLastAttemptIsGone) {
+// No task of a gang may start anywhere until all tasks of its previous attempt have exited.
+TEST_F(TaskLifecycle, RestartsGangOnlyAfterPreviousAttemptHasEnded) {
     Job& gang = add_job(job_spec("job-1", 2, JobKind::kGang));
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     first.free = {};
     ASSERT_EQ(schedule_for({&first}).size(), 2U);
     mark_committed(gang);
     Machine& machine = *cluster.machine(gang.live.at(0).machine);
-    auto t0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
-         t1 = task_status("job-1", 1, 1, TaskPhase::kRunning);
-    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
+    auto task0 = task_status("job-1", 0, 1, TaskPhase::kRunning),
+         task1 = task_status("job-1", 1, 1, TaskPhase::kRunning);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {task0, task1}), Absence::kProven, now += 3);
     EXPECT_TRUE(gang.gang_attempt.started);
-    exit_task(t0, ExitCause::kPeersGone);
-    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
-    EXPECT_TRUE(schedule_for({&first, &y}).empty());
+    exit_task(task0, ExitCause::kPeersGone);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {task0, task1}), Absence::kProven, now += 3);
+    EXPECT_TRUE(schedule_for({&first, &second}).empty());
     EXPECT_EQ(gang.wait.reason, WaitReason::kOldAttempt);
-    auto o = jobs.commands(machine, LaunchCommands::kInclude);
-    EXPECT_TRUE(std::any_of(o.begin(), o.end(), [](auto& k) { return k.kind == CommandKind::kStop; }));
-    exit_task(t1, ExitCause::kStopped);
-    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {t0, t1}), Absence::kProven, now += 3);
-    EXPECT_EQ(schedule_for({&first, &y}).size(), 2U);
+    auto commands = jobs.commands(machine, LaunchCommands::kInclude);
+    EXPECT_TRUE(std::any_of(commands.begin(), commands.end(),
+                            [](auto& command) { return command.kind == CommandKind::kStop; }));
+    exit_task(task1, ExitCause::kStopped);
+    jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {task0, task1}), Absence::kProven, now += 3);
+    EXPECT_EQ(schedule_for({&first, &second}).size(), 2U);
     EXPECT_EQ(gang.live.at(0).attempt, 2U);
 }
 
-TEST_F(TaskLifecycle, AGangIsDoneWithItsFirstDoneTaskAndStillTakesRoomUntilReported) {
+TEST_F(TaskLifecycle, GangIsDoneWithFirstDoneTaskAndOthersCountUntilTheyExit) {
     Job& gang = add_job(job_spec("job-1", 2, JobKind::kGang));
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     schedule_for({&first});
     mark_committed(gang);
     Machine& machine = *cluster.machine(gang.live.at(0).machine);
-    Machine& other = &machine == &first ? y : first;
+    Machine& other = &machine == &first ? second : first;
     jobs.apply_heartbeat(cluster, machine,
                          heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning),
                                              task_status("job-1", 1, 1, TaskPhase::kRunning)}),
@@ -155,22 +157,23 @@
     (void)other;
 }
 
-// A task that nothing confirms for is stopped, and its job does not start it elsewhere meanwhile.
-TEST_F(TaskLifecycle, StopsUnplacedTasksAndStartsNothingBesideThem) {
+// A reported task that matches no placement is stopped. Until it has exited, its job starts no tasks
+// elsewhere.
+TEST_F(TaskLifecycle, StopsUnplacedTasksBeforeStartingOthers) {
     add_job(job_spec("job-1", 1));
-    Machine &first = add_machine("vm-1"), &y = add_machine("vm-2");
+    Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
     jobs.apply_heartbeat(cluster, first,
                          heartbeat(first, {task_status("job-1", 0, 77, TaskPhase::kRunning),
                                            task_status("job-9", 0, 1, TaskPhase::kRunning)}),
                          Absence::kProven, now);
-    EXPECT_TRUE(schedule_for({&y}).empty());
-    auto o = jobs.commands(first, LaunchCommands::kInclude);
-    ASSERT_EQ(o.size(), 2U);
-    EXPECT_EQ(o[0].kind, CommandKind::kStop);
-    EXPECT_EQ(o[1].kind, CommandKind::kStop);
+    EXPECT_TRUE(schedule_for({&second}).empty());
+    auto commands = jobs.commands(first, LaunchCommands::kInclude);
+    ASSERT_EQ(commands.size(), 2U);
+    EXPECT_EQ(commands[0].kind, CommandKind::kStop);
+    EXPECT_EQ(commands[1].kind, CommandKind::kStop);
 }
 
-TEST_F(TaskLifecycle, ACancelledJobIsLaunchedNowhereAndStoppedEverywhere) {
+TEST_F(TaskLifecycle, CancelledJobIsNotLaunchedAndItsTasksAreStopped) {
     Job& job = add_job(job_spec("job-1", 3));
     Machine& machine = add_machine("vm-1");
     ASSERT_EQ(schedule_for({&machine}).size(), 2U);
@@ -179,12 +182,12 @@
     jobs.cancel(job, now);
     EXPECT_TRUE(schedule_for({&machine}).empty());
     EXPECT_EQ(count_launches(jobs.commands(machine, LaunchCommands::kInclude)), 0U);
-    // The launch was in flight and took effect.
+    // A launch that was in flight at the cancellation took effect.
     jobs.apply_heartbeat(cluster, machine,
                          heartbeat(machine, {task_status("job-1", 0, 1, TaskPhase::kRunning)}),
                          Absence::kProven, now += 3);
-    auto o = jobs.commands(machine, LaunchCommands::kInclude);
-    ASSERT_EQ(o.size(), 1U);
-    EXPECT_EQ(o[0].kind, CommandKind::kStop);
-    EXPECT_EQ(o[0].grace_s, 0);
+    auto commands = jobs.commands(machine, LaunchCommands::kInclude);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].kind, CommandKind::kStop);
+    EXPECT_EQ(commands[0].grace_s, 0);
 }
--- a/tests/jobs/task_transitions_test.cc
+++ b/tests/jobs/task_transitions_test.cc
@@ -1,5 +1,5 @@
-// The lifecycle of a task: each pair of state and event in the table, and what JobTable makes of the same
-// pair.
+// The task state machine: the transition table for each pair of state and event, and that JobTable behaves as
+// the table says.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -24,7 +24,7 @@
 constexpr uint64_t kInheritedAttempt = 3;
 constexpr uint64_t kUnknownAttempt = 99;
 
-// A job of one task and the machine on which it is placed.
+// A job with one task, brought into the given state, and the machine on which the task is placed.
 class SingleTask {
   public:
     explicit SingleTask(TaskState state) : machine_(add_machine()), job_(add_job(state)) {
@@ -79,10 +79,10 @@
             case kAbandonedResult:
                 return report(kUnknownAttempt, TaskPhase::kExited, ExitCause::kDone);
             case kAbsent:
-                return hear({}, Absence::kProven);
+                return send_heartbeat({}, Absence::kProven);
             case kLaunchGivenUp:
                 machine_.unreachable_since = now_;
-                return hear({}, Absence::kProven);
+                return send_heartbeat({}, Absence::kProven);
             case kMachineDeleted:
                 return jobs_.machine_deleted(machine_.name, now_);
             case kStop:
@@ -129,14 +129,14 @@
     }
     void stop() { jobs_.stop(job_, 0, StopMode::kSaveFirst); }
 
-    void hear(std::vector<TaskStatus> tasks, Absence absence) {
+    void send_heartbeat(std::vector<TaskStatus> tasks, Absence absence) {
         now_ += 3;
         jobs_.apply_heartbeat(cluster_, machine_, SchedulingTest::heartbeat(machine_, std::move(tasks)),
                               absence, now_);
     }
-    // The heartbeat proves nothing of other attempts.
+    // Sends a heartbeat that lists this attempt, and does not prove that others are absent.
     void report(uint64_t attempt, TaskPhase phase, ExitCause cause) {
-        hear({SchedulingTest::task_status("job-1", 0, attempt, phase, cause)}, Absence::kUnproven);
+        send_heartbeat({SchedulingTest::task_status("job-1", 0, attempt, phase, cause)}, Absence::kUnproven);
     }
     uint64_t attempt() const {
         auto placed = job_.live.find(0);
@@ -152,7 +152,7 @@
     Job& job_;
 };
 
-// The names of the next states and reactions, as the table below writes them.
+// The next state or the reaction, in the words of the table below.
 std::string text_of(TaskState state, TaskEvent event) {
     constexpr std::array kNames{"pending", "bound",           "committed", "inherited", "launched",
                                 "running", "stopping-unsent", "stopping",  "done"};
@@ -164,9 +164,9 @@
 
 }  // namespace
 
-TEST(TaskTransitions, ReactsToEveryEventInEveryStateAsWritten) {
+TEST(TaskTransitions, TableMatchesExpectedTransitions) {
     using Row = std::array<const char*, kTaskEvents>;
-    // Events in the order of kEvents, a row each state in the order of kStates.
+    // One row per state in the order of kStates, one column per event in the order of kEvents.
     const std::array<Row, kTaskStates> expected{{
         {"bound", "ignored", "refused", "ignored", "refused", "refused", "done", "ignored", "ignored",
          "ignored", "ignored", "ignored"},
@@ -193,8 +193,7 @@
                 << "state " << state << ", event " << event;
 }
 
-// What is not accepted leaves the state as it is.
-TEST(TaskTransitions, MovesOnlyOnAcceptedEvents) {
+TEST(TaskTransitions, StateChangesOnlyOnAcceptedEvents) {
     for (TaskState state : kStates)
         for (TaskEvent event : kEvents)
             if (!transition(state, event).accepted()) {
@@ -202,9 +201,9 @@
             }
 }
 
-// Every pair but two kinds: nobody may bind a task that is placed or done, and a placement's attempt cannot
-// end where there is no placement.
-TEST(TaskTransitions, IsWhatTheJobTableDoes) {
+// Covers all pairs except the refused ones that the caller must not raise: binding a task that is placed or
+// done, and the end of a placement's attempt when there is no placement.
+TEST(TaskTransitions, JobTableFollowsTable) {
     size_t pairs = 0;
     for (TaskState state : kStates)
         for (TaskEvent event : kEvents) {
