--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -147,7 +147,7 @@
 Task<void> Controller::poll_record_format() {
     // Polls until the newest format is in force; the format never reverts to an older one.
     while (record_format_.below_newest()) {
-        co_await learn_record_format(store_, record_format_);
+        co_await refresh_record_format(store_, record_format_);
         if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
     if (record_format_.newer()) election_.stop_campaigning();
--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -68,7 +68,7 @@
     Seconds timeout = in_partition ? constants::kPartitionTimeoutLeases * lease_s : unreachable_after();
     Seconds silent_for = time_since_heartbeat(machine);
     if (machine.phase == MachinePhase::kRunning && machine.heartbeat_received) {
-        if (!machine.heartbeat_held && silent_for > timeout) return ScaleInReason::kUnreachable;
+        if (!machine.heartbeat_awaits_response && silent_for > timeout) return ScaleInReason::kUnreachable;
     } else if (machine.phase == MachinePhase::kRunning) {
         if (silent_for > timeout + (in_partition ? 0 : lease_s)) return ScaleInReason::kNeverReported;
     } else if (const MachineType* type = context_.cluster.machine_type(machine.machine_type)) {
@@ -105,7 +105,7 @@
 }
 
 bool MachineHealth::silent(const Machine& machine) const {
-    return !machine.heartbeat_held &&
+    return !machine.heartbeat_awaits_response &&
            time_since_heartbeat(machine) >
                constants::kSilentAfterHeartbeatIntervals * context_.input.config.heartbeat_interval_s;
 }
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -30,7 +30,7 @@
         if (stops.empty()) break;
         const uint64_t incarnation = machine->incarnation;
         // The worker assigns the command a heartbeat's sequence number, whether or not its response arrives.
-        machine->answered_directly = false;
+        machine->next_sequence_predictable = false;
         auto heartbeat = co_await send_commands(parts_.loop, *address, parts_.fencing_token, incarnation,
                                                 std::move(stops));
         machine = parts_.cluster.machine(machine_name);
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -47,7 +47,7 @@
     const Seconds interval = parts_.config.heartbeat_interval_s;
     if (stops_repeated_at_ && now - *stops_repeated_at_ < interval) return;
     stops_repeated_at_ = now;
-    parts_.jobs.repeat_stops_of_cancelled(now - interval);
+    parts_.jobs.resend_stops_of_cancelled(now - interval);
 }
 
 // This must also work without a confirmed lease, while the store is unavailable to all controllers. If no
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -16,15 +16,15 @@
     return {503, "", 0, "application/msgpack"};
 }
 
-// Clears Machine::heartbeat_held, which marks that a response can be sent to the machine at once, when the
-// wait ends. The machine may have been deleted meanwhile.
+// Clears Machine::heartbeat_awaits_response, which marks that a response can be sent to the machine at once,
+// when the wait ends. The machine may have been deleted meanwhile.
 class PendingResponseGuard {
   public:
     PendingResponseGuard(Cluster& cluster, const std::string& name) : cluster_(cluster), name_(name) {}
     PendingResponseGuard(const PendingResponseGuard&) = delete;
     PendingResponseGuard& operator=(const PendingResponseGuard&) = delete;
     ~PendingResponseGuard() {
-        if (Machine* machine = cluster_.machine(name_)) machine->heartbeat_held = false;
+        if (Machine* machine = cluster_.machine(name_)) machine->heartbeat_awaits_response = false;
     }
 
   private:
@@ -73,7 +73,7 @@
             awaits_commit ? commit_deadline : work_wait_deadline(*machine, received_at, max_delay);
         if (!deadline || loop.now() >= *deadline) break;
         PendingResponseGuard pending_response(parts_.cluster, name);
-        machine->heartbeat_held = !awaits_commit;
+        machine->heartbeat_awaits_response = !awaits_commit;
         co_await loop.wait(parts_.connections.of(name).wake, *deadline);
     }
     co_return respond(*machine, route);
@@ -84,7 +84,7 @@
     const bool was_reachable = !machine.unreachable_since;
     const bool had_current_token = machine.has_current_token;
     const bool had_spot_notice = machine.spot_reclaim_at.has_value();
-    const bool never_answered = !machine.answered_at;
+    const bool never_answered = !machine.last_response_at;
     update_reachability(machine, heartbeat, route);
     // A machine that has this leader's fencing token refuses launches by an earlier leader. Only then does a
     // task's absence from the heartbeat prove that it is not on the machine.
@@ -112,7 +112,7 @@
     // A machine that was sent this leader's fencing token but does not adopt it is not receiving the
     // responses.
     if (machine.has_current_token && !had_current_token) machine.unreachable_since.reset();
-    if (!machine.has_current_token && machine.answered_at && !machine.unreachable_since)
+    if (!machine.has_current_token && machine.last_response_at && !machine.unreachable_since)
         machine.unreachable_since = now;
     if (was_reachable == !machine.unreachable_since) return;
     log::debug("machine_reachability", {{"machine", machine.name}, {"reachable", !was_reachable}});
@@ -123,7 +123,7 @@
     Loop& loop = parts_.loop;
     SchedulingLoop& scheduling = parts_.scheduling;
     PendingResponseGuard pending_response(parts_.cluster, name);
-    parts_.cluster.machine(name)->heartbeat_held = true;
+    parts_.cluster.machine(name)->heartbeat_awaits_response = true;
     const uint64_t passes_before = scheduling.passes_done();
     parts_.pass_requests.request();
     const Seconds deadline = std::min(response_deadline, loop.now() + constants::kHeartbeatSchedulingWait_s);
@@ -162,7 +162,7 @@
     // A direct command in flight takes a sequence number as well, so the next heartbeat's number would not
     // show whether this response has arrived.
     const bool next_sequence_known = !parts_.connections.of(machine.name).command_in_flight;
-    machine.answered(route == HeartbeatRoute::kDirect && next_sequence_known, parts_.loop.now());
+    machine.record_response(route == HeartbeatRoute::kDirect && next_sequence_known, parts_.loop.now());
     return response;
 }
 
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -189,7 +189,7 @@
             write_tokens_.take(1, parts_.loop.now());
             co_await parts_.store.commit(std::move(transaction), constants::kStoreCallTimeout_s);
             // The key shows whether the transaction took effect, whatever its result.
-            co_await learn_record_format(parts_.store, parts_.record_format);
+            co_await refresh_record_format(parts_.store, parts_.record_format);
         }
         if (parts_.record_format.below_newest())
             co_await parts_.loop.sleep(constants::kRecordFormatPollInterval_s);
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -58,7 +58,7 @@
         if (auto reason = reason_to_wait(job, machine)) {
             // Lack of room on this machine must not overwrite that the job waits for a machine with its
             // image.
-            if (*reason != WaitReason::kNoRoom || job.wait.reason != WaitReason::kHeldForImage)
+            if (*reason != WaitReason::kNoRoom || job.wait.reason != WaitReason::kDelayedForImage)
                 job.wait.reason = *reason;
             continue;
         }
@@ -80,8 +80,8 @@
         return WaitReason::kRecordFull;
     if (!machine.cache.has(job.spec.image) &&
         (pass_.input.now < job.image_preemption.until || should_wait_for_image(job, machine)))
-        return WaitReason::kHeldForImage;
-    if (job.spec.service() && should_wait_for_spread(job, machine)) return WaitReason::kHeldForSpread;
+        return WaitReason::kDelayedForImage;
+    if (job.spec.service() && should_wait_for_spread(job, machine)) return WaitReason::kDelayedForSpread;
     return std::nullopt;
 }
 
--- a/tests/scheduler/placement_test.cc
+++ b/tests/scheduler/placement_test.cc
@@ -57,7 +57,7 @@
     with_image.cache.set_capacity(50);
     with_image.cache.use(job.spec.image, 2);
     EXPECT_TRUE(schedule_for({&requesting}).empty());
-    EXPECT_EQ(job.wait.reason, WaitReason::kHeldForImage);
+    EXPECT_EQ(job.wait.reason, WaitReason::kDelayedForImage);
     now += settings.hold_s + 0.1;
     EXPECT_EQ(schedule_for({&requesting}).size(), 1U) << "the wait is bounded";
 }
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -151,7 +151,7 @@
     spec.spot = true;
     Job& job = add_job(spec);
     EXPECT_EQ(start_on({all[0]}), 1U) << "the other replicas wait for other machines";
-    EXPECT_EQ(job.wait.reason, WaitReason::kHeldForSpread);
+    EXPECT_EQ(job.wait.reason, WaitReason::kDelayedForSpread);
     EXPECT_EQ(start_on(all), 3U);
     EXPECT_EQ(placements_by(job, &Placement::machine).size(), 4U);
     // The wait is bounded: a machine that requests work now is better than one that may do so later.
