--- a/src/jobs/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -22,8 +22,8 @@
     return format && *format <= kNewestRecordFormat;
 }
 
-Task<bool> refresh_record_format(StoreClient& state, RecordFormat& record_format) {
-    GetResult read = co_await state.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
+Task<bool> refresh_record_format(StoreClient& store, RecordFormat& record_format) {
+    GetResult read = co_await store.get(kRecordFormatKey, constants::kStoreCallTimeout_s);
     if (read.status == StoreStatus::kNotFound) co_return true;
     if (read.status != StoreStatus::kOk) co_return false;
     if (!record_format.stored) co_return true;  // once unreadable, it stays so in this process
--- a/src/jobs/record_format.h
+++ b/src/jobs/record_format.h
@@ -31,6 +31,6 @@
 
 // Reads the key and updates `record_format`, which is never lowered. Returns false, and changes nothing, if
 // the store could not be read.
-Task<bool> refresh_record_format(StoreClient& state, RecordFormat& record_format);
+Task<bool> refresh_record_format(StoreClient& store, RecordFormat& record_format);
 
 }  // namespace hareshore
