--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -232,7 +232,7 @@
     FakeWorker worker;
     worker.addr = "10.1.0.9:9000";
     worker.fencing_token = kStoredFencingToken;
-    return peer::encode_frame(peer::FrameKind::kRelay, kFrameId, kSenderIncarnation, worker.report());
+    return peer::encode_frame(peer::FrameKind::kRelay, kFrameId, kSenderIncarnation, worker.next_heartbeat());
 }
 
 std::string pack_term(const std::string& node, uint64_t fencing_token) {
@@ -256,7 +256,7 @@
     txn.expect_revision("term", 0).put("term", pack_term("node-9", last_fencing_token));
     ASSERT_EQ(deployment.store.apply(encode_transaction(txn)).status, 200);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until(
+    ASSERT_TRUE(deployment.run_until(
         [&] { return deployment.leader() == 0 && deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
 }
@@ -366,7 +366,7 @@
     Deployment deployment(2);
     store_value(deployment, "leader", from_hex(kLeaderValue));
     deployment.start(1);
-    ASSERT_TRUE(deployment.until([&] { return deployment.node(1).election().leader() == "node-0"; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.node(1).election().leader() == "node-0"; }));
     EXPECT_EQ(deployment.node(1).election().known_fencing_token(), kStoredFencingToken);
     EXPECT_FALSE(deployment.node(1).election().leading());
 }
@@ -375,7 +375,7 @@
     Deployment deployment;
     store_value(deployment, "term", from_hex(kTermValue));
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     EXPECT_EQ(deployment.node(0).election().fencing_token(), kStoredFencingToken + 1);
 }
 
@@ -385,7 +385,7 @@
     Deployment deployment(2);
     store_value(deployment, "form", from_hex(kRecordFormatValue));
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto record = MsgpackDocument::parse(deployment.store.rows.at("j/job-1").data);
@@ -401,7 +401,7 @@
     store_value(deployment, "f/job-000734", from_hex(kDoneFinal));
     store_value(deployment, "f/job-000735", from_hex(kCancelledFinal));
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     auto phase = [&](const std::string& id) { return phase_of(deployment.call(0, "GET", "/v2/runs/" + id)); };
     EXPECT_EQ(phase("job-000731"), "running");
--- a/tests/controller/failover_test.cc
+++ b/tests/controller/failover_test.cc
@@ -12,19 +12,19 @@
     int first_leader = deployment.leader(), second_leader = 1 - first_leader;
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     uint64_t fencing_token = worker.fencing_token;
     ASSERT_EQ(deployment.call(second_leader, "POST", "/v2/runs", job_body("job-1")).status, 201)
         << "every node must serve users";
-    deployment.send_report(worker, first_leader);
-    deployment.send_report(worker, first_leader);
+    deployment.send_heartbeat(worker, first_leader);
+    deployment.send_heartbeat(worker, first_leader);
     ASSERT_TRUE(worker.find("job-1/0"));
-    EXPECT_EQ(deployment.send_report(worker, second_leader), 421);
+    EXPECT_EQ(deployment.send_heartbeat(worker, second_leader), 421);
     deployment.kill(first_leader);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == second_leader; }, 15));
-    deployment.settle(worker);
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == second_leader; }, 15));
+    deployment.register_worker(worker);
     EXPECT_GT(worker.fencing_token, fencing_token);
-    deployment.send_report(worker, second_leader);
+    deployment.send_heartbeat(worker, second_leader);
     ASSERT_TRUE(worker.find("job-1/0"));
     EXPECT_EQ(worker.find("job-1/0")->attempt, 1U);
     EXPECT_EQ(worker.find("job-1/0")->phase, TaskPhase::kRunning);
@@ -38,24 +38,24 @@
     int first_leader = deployment.leader();
     deployment.run(3);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     auto gang = [](auto& fields) { make_gang(fields); };
     ASSERT_EQ(deployment.call(first_leader, "POST", "/v2/runs", job_body("job-1", gang)).status, 201);
     FakeWorker old_worker = worker;
-    deployment.send_report(worker, first_leader);
-    deployment.send_report(worker, first_leader);
+    deployment.send_heartbeat(worker, first_leader);
+    deployment.send_heartbeat(worker, first_leader);
     ASSERT_TRUE(worker.find("job-1/0"));
     deployment.kill(first_leader);
     deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() >= 0; }));
     int second_leader = deployment.leader();
     deployment.run(1);
-    old_worker.deaf = true;
-    deployment.send_report(old_worker, second_leader);
+    old_worker.loses_responses = true;
+    deployment.send_heartbeat(old_worker, second_leader);
     FakeWorker other;
     other.name = "vm-000002";
-    deployment.settle(other);
-    deployment.send_report(other, second_leader);
+    deployment.register_worker(other);
+    deployment.send_heartbeat(other, second_leader);
     EXPECT_FALSE(other.find("job-1/0")) << "the task must stay where it runs";
     EXPECT_EQ(deployment.node(second_leader).leader()->jobs().find("job-1")->live.size(), 1U);
 }
@@ -67,27 +67,27 @@
     int first_leader = deployment.leader();
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     bool hold_placement = false;
-    deployment.store.let_through = [&](const std::string& body) {
+    deployment.store.transaction_filter = [&](const std::string& body) {
         // The leader's only write of this job: its placement.
         return !(hold_placement && body.find("j/job-1") != std::string::npos &&
                  body.find("leader") != std::string::npos);
     };
     hold_placement = true;
     ASSERT_EQ(deployment.call(1 - first_leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, first_leader);
+    deployment.send_heartbeat(worker, first_leader);
     ASSERT_FALSE(deployment.store.held_transactions.empty()) << "no placement was written";
     EXPECT_FALSE(worker.find("job-1/0")) << "launched before the placement was committed";
     deployment.kill(first_leader);
     hold_placement = false;
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 1 - first_leader; }, 15));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 1 - first_leader; }, 15));
     std::string before = deployment.store.rows.at("j/job-1").data;
     for (const auto& body : deployment.store.held_transactions)
         EXPECT_EQ(deployment.store.apply(body).status, 409);
     EXPECT_EQ(deployment.store.rows.at("j/job-1").data, before);
-    deployment.settle(worker);
-    deployment.send_report(worker, deployment.leader());
+    deployment.register_worker(worker);
+    deployment.send_heartbeat(worker, deployment.leader());
     EXPECT_TRUE(worker.find("job-1/0")) << "the new leader must launch it";
 }
 
@@ -97,7 +97,7 @@
     Deployment deployment(2);
     ASSERT_TRUE(deployment.start_and_elect());
     int first_leader = deployment.leader();
-    auto workers = deployment.settled_workers(4);
+    auto workers = deployment.registered_workers(4);
     // Heartbeats of busy machines get an immediate response.
     ASSERT_EQ(deployment
                   .call(first_leader, "POST", "/v2/runs",
@@ -105,18 +105,18 @@
                   .status,
               201);
     for (int i = 0; i < 2; ++i)
-        for (auto& worker : workers) deployment.send_report(worker, first_leader);
+        for (auto& worker : workers) deployment.send_heartbeat(worker, first_leader);
     ASSERT_EQ(workers[3].tasks.size(), 2U);
     auto send_heartbeats = [&](int node, Seconds duration) {
         for (Seconds t = 0; t < duration && deployment.leader() == first_leader; t += 1) {
             deployment.run(1);
-            for (auto& worker : workers) deployment.send_report(worker, node);
+            for (auto& worker : workers) deployment.send_heartbeat(worker, node);
         }
     };
     send_heartbeats(first_leader, 10);
     EXPECT_EQ(deployment.leader(), first_leader);
     send_heartbeats(1 - first_leader, 15);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 1 - first_leader; }, 5));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 1 - first_leader; }, 5));
     EXPECT_TRUE(deployment.cloud.deleted.empty()) << "the resigned leader deleted machines";
 }
 
@@ -127,9 +127,9 @@
     for (bool replaced : {false, true}) {
         Deployment deployment(2);
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(6);
-        auto workers = deployment.settled_workers(2);
+        auto workers = deployment.registered_workers(2);
         deployment.run(3);
         // The clock jumps between two turns of the loop, at different points of its routines.
         for (int steps : {0, 1, 2, 5}) {
@@ -140,18 +140,18 @@
                 deployment.store.rows["leader"] = {packer.take(), ++deployment.store.revision, 0};
             }
             deployment.clock.advance(30);
-            if (!replaced) deployment.store.restart_leases();  // keeps the leader's lease alive
+            if (!replaced) deployment.store.renew_all_leases();  // keeps the leader's lease alive
             for (int i = 0; i < 3; ++i) deployment.loop.turn(0);
             if (replaced) {
                 deployment.run(5);
                 EXPECT_EQ(deployment.leader(), -1) << steps;
-                EXPECT_EQ(deployment.send_report(workers[0], 0), 421) << steps;
+                EXPECT_EQ(deployment.send_heartbeat(workers[0], 0), 421) << steps;
             }
             EXPECT_TRUE(deployment.cloud.deleted.empty()) << steps;
             if (replaced) break;
             deployment.run(2.5);
             EXPECT_EQ(deployment.node(0).election().fencing_token(), 1U) << "it must still lead";
-            for (auto& worker : workers) deployment.settle(worker);
+            for (auto& worker : workers) deployment.register_worker(worker);
             deployment.run(3);
         }
         EXPECT_TRUE(deployment.cloud.deleted.empty());
--- a/tests/controller/fault_combinations_test.cc
+++ b/tests/controller/fault_combinations_test.cc
@@ -59,7 +59,7 @@
     users.submit(job_name(3), 2, 300, 2);
     users.submit(job_name(4), 1, 6, 1);
     auto wait_for = [&](const std::function<bool()>& condition) {
-        return scenario.deployment.until([&] { return kill_requested || condition(); }, 30);
+        return scenario.deployment.run_until([&] { return kill_requested || condition(); }, 30);
     };
     auto kill_leader_if_requested = [&] {
         if (!std::exchange(kill_requested, false)) return;
@@ -105,7 +105,7 @@
 // counter of the lost responses.
 std::shared_ptr<int> lose_responses(FaultScenario& scenario, TransactionKind kind, int count) {
     auto lost = std::make_shared<int>(0);
-    scenario.deployment.store.let_through = [&scenario, kind, count, lost](const std::string& body) {
+    scenario.deployment.store.transaction_filter = [&scenario, kind, count, lost](const std::string& body) {
         if (kind_of(body) != kind || *lost >= count) return true;
         ++*lost;
         scenario.deployment.store.apply(body);
@@ -128,7 +128,7 @@
         int lost_before = *lost;
         lost = lose_responses(scenario, kind, 1);
         users.submit(job_name(4), 2, 5, 1);
-        scenario.deployment.until([&] { return *lost > 0; });
+        scenario.deployment.run_until([&] { return *lost > 0; });
         int first_leader = scenario.await_leader();
         scenario.deployment.kill(first_leader);
         scenario.deployment.run(10);
@@ -218,7 +218,7 @@
          scenario.deny_store_access(first_leader);
          scenario.block_peer_connections(first_leader);
          scenario.deployment.run(2);
-         scenario.deployment.until(
+         scenario.deployment.run_until(
              [&] {
                  return scenario.deployment.leader() >= 0 && scenario.deployment.leader() != first_leader;
              },
@@ -246,7 +246,7 @@
              auto record = JobRecord::unpack(scenario.deployment.store.rows.at("j/job-2").data);
              return record && !record->live.empty();
          };
-         ASSERT_TRUE(scenario.deployment.until(bound));
+         ASSERT_TRUE(scenario.deployment.run_until(bound));
          // The response to the heartbeat under way is lost, too.
          machine.heartbeats_blocked = true;
          scenario.deployment.run(3.5);
@@ -259,10 +259,10 @@
          // The new leader cannot send the machine its fencing token.
          machine.partitioned = true;
          scenario.deployment.kill(first_leader);
-         scenario.deployment.until([&] { return scenario.deployment.leader() >= 0; });
+         scenario.deployment.run_until([&] { return scenario.deployment.leader() >= 0; });
          scenario.cancel("job-2");
          EXPECT_EQ(scenario.fleet.late_commands_executed(), 0);
-         scenario.deployment.until([&] { return scenario.fleet.late_commands_executed() > 0; }, 8);
+         scenario.deployment.run_until([&] { return scenario.fleet.late_commands_executed() > 0; }, 8);
          EXPECT_GT(scenario.fleet.late_commands_executed(), 0)
              << "no late command was executed under the old fencing token";
          EXPECT_EQ(scenario.fleet.launches("job-2"), 0);
@@ -276,7 +276,7 @@
          auto random = std::make_shared<std::mt19937>(3);
          for (auto& proxy : scenario.store_proxies)
              proxy->request_delay = [](const Request& request) { return request.path == "/txn" ? 0.8 : 0.0; };
-         scenario.deployment.store.let_through = [random](const std::string& body) {
+         scenario.deployment.store.transaction_filter = [random](const std::string& body) {
              return kind_of(body) == TransactionKind::kOther || (*random)() % 3 != 0;
          };
          scenario.fleet.enable_renting(4, 1);
@@ -284,7 +284,7 @@
          for (int round = 0; round < 3; ++round) {
              scenario.submit(job_name(10 * round + 1), 4, 15);
              scenario.submit(job_name(10 * round + 2), 2, 300);
-             scenario.deployment.until([&] { return scenario.fleet.machines().size() > machines; }, 25);
+             scenario.deployment.run_until([&] { return scenario.fleet.machines().size() > machines; }, 25);
              machines = scenario.fleet.machines().size();
              scenario.deployment.run(1.5);
              int first_leader = scenario.await_leader();
@@ -357,7 +357,7 @@
 TEST_P(FaultCombinationsWithServices, KeepInvariants) {
     FaultScenario scenario(GetParam().controllers, GetParam().machines);
     scenario.submit_service("job-900", 2);
-    ASSERT_TRUE(scenario.deployment.until([&] { return scenario.fleet.replicas_up("job-900") == 2; }));
+    ASSERT_TRUE(scenario.deployment.run_until([&] { return scenario.fleet.replicas_up("job-900") == 2; }));
     run_script(scenario, GetParam());
 }
 
@@ -365,7 +365,7 @@
 TEST_P(FaultCombinationsWithMixedVersions, KeepInvariants) {
     FaultScenario scenario(GetParam().controllers, GetParam().machines, 0);
     scenario.submit_service("job-900", 1);
-    ASSERT_TRUE(scenario.deployment.until([&] { return scenario.fleet.replicas_up("job-900") == 1; }));
+    ASSERT_TRUE(scenario.deployment.run_until([&] { return scenario.fleet.replicas_up("job-900") == 1; }));
     run_script(scenario, GetParam());
 }
 
--- a/tests/controller/fault_scenarios_test.cc
+++ b/tests/controller/fault_scenarios_test.cc
@@ -33,7 +33,7 @@
              std::string id = "job-" + std::to_string(i);
              scenario.submit(id, 1, 5);
              scenario.await_start(id);
-             scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 30);
+             scenario.deployment.run_until([&] { return scenario.jobs.done.contains(id); }, 30);
              if (i % 2) scenario.cancel(id);
              scenario.jobs.check_reported_phase(
                  id, scenario.call_any_controller("POST", "/v2/runs", scenario.jobs.bodies[id]));
@@ -139,7 +139,9 @@
     {"TransactionsAppliedLate", 2, 4,
      [](FaultScenario& scenario) {
          auto rng = std::make_shared<std::mt19937>(5);
-         scenario.deployment.store.let_through = [rng](const std::string&) { return (*rng)() % 4 != 0; };
+         scenario.deployment.store.transaction_filter = [rng](const std::string&) {
+             return (*rng)() % 4 != 0;
+         };
          for (int i = 1; i <= 5; ++i) scenario.submit("job-" + std::to_string(i), 2, 12);
          for (int i = 0; i < 20; ++i) {
              scenario.deployment.run(3);
@@ -152,9 +154,9 @@
          // have finished.
          for (const char* id : {"job-6", "job-7"}) {
              bool cancellation = std::string(id) == "job-6", held = false;
-             scenario.deployment.store.let_through = {};
+             scenario.deployment.store.transaction_filter = {};
              scenario.submit(id, 1, 8);
-             scenario.deployment.store.let_through = [=, &held](const std::string& body) {
+             scenario.deployment.store.transaction_filter = [=, &held](const std::string& body) {
                  bool matches = body.find(id) != std::string::npos &&
                                 (body.find("leader") == std::string::npos) == cancellation;
                  return !matches || std::exchange(held, true);
@@ -162,14 +164,14 @@
              if (cancellation)
                  scenario.deployment.call(scenario.await_leader(), "POST",
                                           std::string("/v2/runs/") + id + "/withdraw");
-             scenario.deployment.until([&] { return scenario.jobs.done.contains(id); }, 60);
+             scenario.deployment.run_until([&] { return scenario.jobs.done.contains(id); }, 60);
              scenario.deployment.run(4);
              scenario.poll(id);
              EXPECT_TRUE(held);
              scenario.apply_held_transactions();
              scenario.deployment.run(4);
              scenario.poll(id);
-             scenario.deployment.store.let_through = {};
+             scenario.deployment.store.transaction_filter = {};
          }
      }},
     {"OldHeartbeatsArriveAfterNewerOnes", 2, 3,
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -15,18 +15,18 @@
     int leader = deployment.leader(), other = 1 - leader;
     deployment.run(3);
     FakeWorker worker;
-    std::string redirected = worker.report();
+    std::string redirected = worker.next_heartbeat();
     EXPECT_EQ(deployment.call(other, "POST", "/hello", redirected).status, 421);
     deployment.run(5);
     EXPECT_EQ(deployment.call(other, "POST", "/hello", redirected).status, 421)
         << "a duplicate must not be relayed to the leader";
-    deployment.settle(worker);
-    std::string idle_heartbeat = worker.report();
+    deployment.register_worker(worker);
+    std::string idle_heartbeat = worker.next_heartbeat();
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle_heartbeat).status, 200);
     ASSERT_EQ(deployment.call(leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, leader);
+    deployment.send_heartbeat(worker, leader);
     ASSERT_TRUE(worker.find("job-1/0"));
-    deployment.send_report(worker, leader);
+    deployment.send_heartbeat(worker, leader);
     const auto& jobs = deployment.node(leader).leader()->jobs();
     ASSERT_EQ(jobs.find("job-1")->live.size(), 1U);
     EXPECT_EQ(deployment.call(leader, "POST", "/hello", idle_heartbeat).status, 503)
@@ -84,19 +84,19 @@
 TEST(Idempotence, RepeatedTransactionsAndUserRequestsChangeNothing) {
     Deployment deployment;
     std::vector<std::string> transactions;
-    deployment.store.let_through = [&](const std::string& body) {
+    deployment.store.transaction_filter = [&](const std::string& body) {
         transactions.push_back(body);
         return true;
     };
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     for (const char* id : {"job-1", "job-2", "job-3"}) {
         ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
-        deployment.send_report(worker, 0);
-        deployment.send_report(worker, 0);
+        deployment.send_heartbeat(worker, 0);
+        deployment.send_heartbeat(worker, 0);
         TaskStatus* task = worker.find(std::string(id) + "/0");
         ASSERT_TRUE(task) << id;
         if (std::string(id) == "job-1") {
@@ -104,8 +104,8 @@
         } else if (std::string(id) == "job-2") {
             ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         }
-        deployment.send_report(worker, 0);
-        deployment.send_report(worker, 0);
+        deployment.send_heartbeat(worker, 0);
+        deployment.send_heartbeat(worker, 0);
     }
     auto stored_values = [&] {
         std::map<std::string, std::string> rows;
@@ -125,7 +125,7 @@
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-3"))), "running");
         deployment.run(3);
-        deployment.send_report(worker, 0);
+        deployment.send_heartbeat(worker, 0);
         EXPECT_EQ(stored_values(), before);
         EXPECT_EQ(worker.tasks.size(), 1U) << "a finished task was launched again";
         EXPECT_EQ(deployment.node(0).election().fencing_token(), fencing_token);
--- a/tests/controller/job_run_test.cc
+++ b/tests/controller/job_run_test.cc
@@ -16,18 +16,18 @@
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200)
         << "a retried submission must not create a second job";
     FakeWorker worker;
-    deployment.settle(worker);
-    deployment.send_report(worker, 0);
+    deployment.register_worker(worker);
+    deployment.send_heartbeat(worker, 0);
     ASSERT_TRUE(worker.find("job-1/0"));
-    deployment.send_report(worker, 0);
+    deployment.send_heartbeat(worker, 0);
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "running");
     exit_task(*worker.find("job-1/0"), ExitCause::kDone);
-    deployment.send_report(worker, 0);
+    deployment.send_heartbeat(worker, 0);
     deployment.run(0.5);
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "done");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs", job_body("job-1"))), "done");
-    deployment.send_report(worker, 0);
+    deployment.send_heartbeat(worker, 0);
     EXPECT_TRUE(worker.tasks.empty()) << "an exit must be forgotten once it is committed";
 }
 
@@ -38,15 +38,15 @@
         ASSERT_TRUE(deployment.start_and_elect());
         deployment.run(1);
         FakeWorker worker;
-        deployment.settle(worker);
+        deployment.register_worker(worker);
         ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
         exit_task(*worker.find("job-1/0"), ExitCause::kDone);
         // The leader's transaction is held back and applied late.
         bool hold_transaction = cancel_first;
-        deployment.store.let_through = [&](const std::string& body) {
+        deployment.store.transaction_filter = [&](const std::string& body) {
             return !(hold_transaction && body.find("leader") != std::string::npos);
         };
-        deployment.send_report(worker, 0);
+        deployment.send_heartbeat(worker, 0);
         std::string confirmed = phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw"));
         EXPECT_EQ(confirmed, cancel_first ? "withdrawn" : "done");
         hold_transaction = false;
@@ -70,11 +70,11 @@
         co_return Response{500, "", 0, ""};
     });
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     FakeWorker worker;
     worker.addr = text_of(listen);
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
     ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.run(11);
--- a/tests/controller/lower_limits_test.cc
+++ b/tests/controller/lower_limits_test.cc
@@ -44,7 +44,7 @@
 }
 
 Task<void> send_heartbeat(Deployment& deployment, FakeWorker& worker, int node, size_t& responses) {
-    co_await worker.send_report(deployment.loop, deployment.config(node).listen);
+    co_await worker.send_heartbeat(deployment.loop, deployment.config(node).listen);
     ++responses;
 }
 
@@ -54,7 +54,7 @@
     size_t responses = 0;
     for (auto& worker : workers)
         scope.spawn(send_heartbeat(deployment, worker, node, responses), "heartbeat");
-    EXPECT_TRUE(deployment.until([&] { return responses == workers.size(); }, 20));
+    EXPECT_TRUE(deployment.run_until([&] { return responses == workers.size(); }, 20));
 }
 
 // Exited tasks that the workers have not been told to forget.
@@ -89,17 +89,17 @@
     store_record(deployment, completing);
     store_record(deployment, cancelled);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     auto workers = workers_of(completing);
     send_all_heartbeats(deployment, workers, 0);
     send_all_heartbeats(deployment, workers, 0);
     bool lose_record_format = true;
-    deployment.store.let_through = [&](const std::string& txn) {
+    deployment.store.transaction_filter = [&](const std::string& txn) {
         return !(lose_record_format && writes_key(txn, kRecordFormatKey));
     };
     deployment.start(1);
-    ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }))
+    ASSERT_TRUE(deployment.run_until([&] { return !deployment.store.held_transactions.empty(); }))
         << "the record format was not written";
     enforce_limits(deployment);
 
@@ -118,8 +118,8 @@
     EXPECT_LE(refused, 2) << "expected one for the leader's record and one for the cancellation";
 
     lose_record_format = false;
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }, 5));
-    EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 3))
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }, 5));
+    EXPECT_TRUE(deployment.run_until([&] { return stored_format(deployment, "job-1") == 2; }, 3))
         << "the record must be written without a further change";
     EXPECT_EQ(stored_record(deployment, "job-1").done.size(), 75U);
     EXPECT_EQ(stored_record(deployment, "job-1").live.size(), 75U);
@@ -146,12 +146,12 @@
             store_record(deployment, record);
             for (auto& worker : workers_of(record)) workers.push_back(std::move(worker));
         }
-        deployment.store.let_through = [&](const std::string& txn) {
+        deployment.store.transaction_filter = [&](const std::string& txn) {
             return record_format_written || !writes_key(txn, kRecordFormatKey);
         };
         deployment.start(0);
         deployment.start(1);
-        ASSERT_TRUE(deployment.until([&] {
+        ASSERT_TRUE(deployment.run_until([&] {
             return deployment.leader() >= 0 &&
                    (!record_format_written || deployment.store.rows.contains("form"));
         }));
@@ -161,14 +161,14 @@
         deployment.store.list_page_size = 1;
         deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
         Controller& node = deployment.node(second_leader);
-        ASSERT_TRUE(deployment.until([&] { return node.leader() && node.leader()->jobs().size() > 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return node.leader() && node.leader()->jobs().size() > 0; }));
         ASSERT_LT(node.leader()->jobs().size(), static_cast<size_t>(kJobs))
             << "the leader has already read all records";
         enforce_limits(deployment);
         deployment.start(first_leader);
-        ASSERT_TRUE(deployment.until([&] { return node.leader()->loaded_for() > 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return node.leader()->loaded_for() > 0; }));
         EXPECT_EQ(node.leader()->jobs().size(), static_cast<size_t>(kJobs));
-        deployment.store.let_through = {};
+        deployment.store.transaction_filter = {};
 
         send_all_heartbeats(deployment, workers, second_leader);
         for (auto& worker : workers)
@@ -206,12 +206,12 @@
         store_record(deployment, record);
         store_record(deployment, running_array("job-2", 150, 10, 200));
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(1);
         auto workers = workers_of(record);
         send_all_heartbeats(deployment, workers, 0);
         bool fail_transactions = true;
-        deployment.store.let_through = [&](const std::string& txn) {
+        deployment.store.transaction_filter = [&](const std::string& txn) {
             if (!fail_transactions) return true;
             if (!writes_key(txn, "j/job-1") && !writes_key(txn, "j/job-2") && !writes_key(txn, "j/job-3"))
                 return true;
@@ -241,8 +241,8 @@
         EXPECT_EQ(unconfirmed_exits(workers), 50U) << "exits were forgotten although they may not be stored";
 
         deployment.start(1);
-        ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
-        EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 5));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
+        EXPECT_TRUE(deployment.run_until([&] { return stored_format(deployment, "job-1") == 2; }, 5));
         EXPECT_EQ(stored_record(deployment, "job-1").done.size(), 50U);
         EXPECT_EQ(stored_record(deployment, "job-1").live.size(), 100U);
         for (int i = 0; i < 2; ++i) send_all_heartbeats(deployment, workers, 0);
@@ -266,7 +266,7 @@
     ASSERT_GT(json_text(record.pack(1)).size(), kLowerValueBytes);
     store_record(deployment, record);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     enforce_limits(deployment);
     auto workers = workers_of(record);
     ASSERT_EQ(workers.size(), kTasks);
@@ -295,13 +295,13 @@
                 exit_task(task, ExitCause::kStopped);
         }
     run_heartbeat_round();
-    EXPECT_TRUE(deployment.until([&] { return stored_format(deployment, "job-1") == 2; }, 2));
+    EXPECT_TRUE(deployment.run_until([&] { return stored_format(deployment, "job-1") == 2; }, 2));
     for (int i = 0; i < 3; ++i) run_heartbeat_round();
     EXPECT_EQ(stored_record(deployment, "job-1").live.size(), kTasks - kTasks / 3)
         << "stopped tasks must run again";
     deployment.kill(0);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     for (int i = 0; i < 2; ++i) run_heartbeat_round();
     EXPECT_EQ(stored_record(deployment, "job-1").live.size(), kTasks - kTasks / 3);
     for (auto& worker : workers)
--- a/tests/controller/peer_confirmations_test.cc
+++ b/tests/controller/peer_confirmations_test.cc
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "standins/peer_reports.h"
+#include "standins/peer_statuses.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
@@ -17,13 +17,13 @@
 peer::PeerStatus peer_without_cancellations(Seconds quiet_for, Seconds sent_at) {
     auto response = controller_heartbeat("node-1");
     response.since_last_cancellation_ms = static_cast<uint32_t>(quiet_for * 1000);
-    return peer_with_answer(response, sent_at);
+    return peer_with_response(response, sent_at);
 }
 
 peer::PeerStatus peer_with_token(uint64_t fencing_token, Seconds sent_at) {
     auto response = controller_heartbeat("node-1");
     response.fencing_token = fencing_token;
-    return peer_with_answer(response, sent_at);
+    return peer_with_response(response, sent_at);
 }
 
 }  // namespace
--- a/tests/controller/resignation_test.cc
+++ b/tests/controller/resignation_test.cc
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "standins/peer_reports.h"
+#include "standins/peer_statuses.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
--- a/tests/controller/service_moves_test.cc
+++ b/tests/controller/service_moves_test.cc
@@ -35,7 +35,7 @@
     from.spot = true;
     to.name = "vm-000002";
     for (const FakeWorker* worker : {&from, &to}) deployment.list_machine(*worker);
-    deployment.settle(from);
+    deployment.register_worker(from);
     ASSERT_EQ(deployment
                   .call(leader, "POST", "/v2/runs",
                         job_body("job-1",
@@ -49,28 +49,28 @@
                                  }))
                   .status,
               201);
-    for (int i = 0; i < 4; ++i) deployment.send_report(from, leader);
+    for (int i = 0; i < 4; ++i) deployment.send_heartbeat(from, leader);
     ASSERT_EQ(from.live_tasks(), kReplicas);
-    deployment.settle(to);
+    deployment.register_worker(to);
     ASSERT_EQ(to.live_tasks(), 0U);
 
     // The spot notice makes all replicas move at once.
     from.notice_s = 60;
     std::vector<TaskStatus> running = from.tasks;
-    deployment.send_report(from, leader);
+    deployment.send_heartbeat(from, leader);
     ASSERT_EQ(from.live_tasks(), 0U) << "the response must tell the replicas to stop";
     bool exits_reported = move == Move::kSuccessorsPlaced || move == Move::kSuccessorsLaunched;
     if (exits_reported) {
-        deployment.send_report(from, leader);
+        deployment.send_heartbeat(from, leader);
         deployment.run(0.5);
         if (move == Move::kSuccessorsPlaced)
-            deployment.store.let_through = [&](const std::string& txn) {
+            deployment.store.transaction_filter = [&](const std::string& txn) {
                 if (txn.find("leader") == std::string::npos) return true;
                 deployment.store.apply(txn);  // only its response is lost
                 return false;
             };
-        for (int i = 0; i < 3 && to.live_tasks() < kReplicas; ++i) deployment.send_report(to, leader);
-        deployment.store.let_through = {};
+        for (int i = 0; i < 3 && to.live_tasks() < kReplicas; ++i) deployment.send_heartbeat(to, leader);
+        deployment.store.transaction_filter = {};
         ASSERT_EQ(to.live_tasks(), move == Move::kSuccessorsPlaced ? 0 : kReplicas);
         EXPECT_EQ(state_of(deployment.call(leader, "GET", "/v2/runs/job-1")).running, kReplicas);
     } else {
@@ -83,7 +83,7 @@
     if (move == Move::kLeaderKilled) {
         deployment.kill(leader);
         deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == node; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == node; }));
         leader = node;
     }
     auto stopped_or_deleted = [&](const FakeWorker& worker) {
@@ -95,8 +95,8 @@
         for (const auto& task : worker->tasks) launched_before.insert({task.name, task.attempt});
     Seconds all_stopped = -1;
     while (deployment.loop.now() < cancelled_at + deployment.configs[0].cancel_s) {
-        if (move != Move::kPredecessorsHang) deployment.send_report(from, leader);
-        deployment.send_report(to, leader);
+        if (move != Move::kPredecessorsHang) deployment.send_heartbeat(from, leader);
+        deployment.send_heartbeat(to, leader);
         for (const FakeWorker* worker : {&from, &to})
             for (const auto& task : worker->tasks)
                 EXPECT_TRUE(launched_before.contains({task.name, task.attempt}))
--- a/tests/controller/service_users_test.cc
+++ b/tests/controller/service_users_test.cc
@@ -16,32 +16,32 @@
     EXPECT_EQ(deployment.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
     EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-1")), "pending");
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     for (ExitCause cause : {ExitCause::kDone, ExitCause::kDone, ExitCause::kDone}) {
-        deployment.send_report(worker, leader);
-        deployment.send_report(worker, leader);
+        deployment.send_heartbeat(worker, leader);
+        deployment.send_heartbeat(worker, leader);
         ASSERT_TRUE(worker.find("job-1/0"));
         EXPECT_EQ(phase_of(deployment.call(other, "GET", "/v2/runs/job-1")), "running");
         for (int i = 0; i < 8; ++i) {
             deployment.run(3);
-            deployment.send_report(worker, leader);
+            deployment.send_heartbeat(worker, leader);
         }
         ASSERT_TRUE(worker.find("job-1/0"));
         exit_task(*worker.find("job-1/0"), cause);
-        deployment.send_report(worker, leader);
+        deployment.send_heartbeat(worker, leader);
         deployment.run(0.5);
         std::string phase = phase_of(deployment.call(other, "GET", "/v2/runs/job-1"));
         EXPECT_TRUE(phase == "pending" || phase == "running") << phase;
         EXPECT_EQ(deployment.call(other, "POST", "/v2/runs", service_body("job-1", 1)).status, 200);
     }
-    deployment.send_report(worker, leader);
+    deployment.send_heartbeat(worker, leader);
     ASSERT_TRUE(worker.find("job-1/0"));
     std::string page = deployment.call(leader, "GET", "/operator/jobs").body;
     EXPECT_NE(page.find("job-1 service team team 1 of 1 replicas up"), std::string::npos) << page;
     EXPECT_EQ(phase_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
     deployment.run(0.5);
-    deployment.send_report(worker, leader);
-    deployment.send_report(worker, leader);
+    deployment.send_heartbeat(worker, leader);
+    deployment.send_heartbeat(worker, leader);
     deployment.run(0.5);
     EXPECT_EQ(phase_of(deployment.call(leader, "GET", "/v2/runs/job-1")), "withdrawn");
     EXPECT_EQ(deployment.store.rows.count("j/job-1"), 0U);
@@ -56,23 +56,23 @@
     deployment.run(1);
     FakeWorker first, second;
     second.name = "vm-000002";
-    deployment.settle(first);
+    deployment.register_worker(first);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", service_body("job-1", 1)).status, 201);
-    deployment.send_report(first, 0);
-    deployment.send_report(first, 0);
+    deployment.send_heartbeat(first, 0);
+    deployment.send_heartbeat(first, 0);
     ASSERT_TRUE(first.find("job-1/0"));
-    deployment.settle(second);
+    deployment.register_worker(second);
     first.notice_s = 20;
-    deployment.send_report(first, 0);
+    deployment.send_heartbeat(first, 0);
     ASSERT_TRUE(first.find("job-1/0"));
     EXPECT_EQ(first.find("job-1/0")->phase, TaskPhase::kExited) << "the response to the notice must stop it";
-    deployment.send_report(second, 0);
+    deployment.send_heartbeat(second, 0);
     EXPECT_FALSE(second.find("job-1/0")) << "its predecessor's exit is not reported yet";
-    deployment.send_report(first, 0);
-    deployment.send_report(second, 0);
+    deployment.send_heartbeat(first, 0);
+    deployment.send_heartbeat(second, 0);
     ASSERT_TRUE(second.find("job-1/0"));
     EXPECT_EQ(second.find("job-1/0")->attempt, 2U);
-    deployment.send_report(first, 0);
+    deployment.send_heartbeat(first, 0);
     EXPECT_TRUE(first.tasks.empty()) << "a machine with a spot notice must get no tasks";
 }
 
@@ -83,11 +83,11 @@
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     ASSERT_TRUE(deployment.launch(worker, 0, "job-1"));
     auto heartbeat_time = [&] {
         Seconds start = deployment.loop.now();
-        EXPECT_EQ(deployment.send_report(worker, 0), 200);
+        EXPECT_EQ(deployment.send_heartbeat(worker, 0), 200);
         return deployment.loop.now() - start;
     };
     EXPECT_LT(heartbeat_time(), 0.3) << "no delay without services";
@@ -110,7 +110,7 @@
     scope.spawn(submit_later(deployment, submission, done), "submission");
     EXPECT_LT(heartbeat_time(), 0.6);
     EXPECT_TRUE(worker.find("job-3/0"));
-    EXPECT_TRUE(deployment.until([&] { return done; }));
+    EXPECT_TRUE(deployment.run_until([&] { return done; }));
     // The response that makes the worker forget an exit is not delayed.
     exit_task(*worker.find("job-1/0"), ExitCause::kDone);
     EXPECT_LT(heartbeat_time(), 0.3);
@@ -137,14 +137,14 @@
     workers[1].name = "vm-000002";
     for (const FakeWorker& worker : workers) deployment.list_machine(worker);
     auto send_heartbeats = [&](FakeWorker& worker) {
-        for (int i = 0; i < 2; ++i) deployment.send_report(worker, leader);
+        for (int i = 0; i < 2; ++i) deployment.send_heartbeat(worker, leader);
         deployment.run(0.5);
     };
-    deployment.settle(workers[0]);
+    deployment.register_worker(workers[0]);
     send_heartbeats(workers[0]);
     ASSERT_EQ(workers[0].live_tasks(), 2U) << "the machine holds two replicas";
     EXPECT_EQ(poll(), (test::JobState{"running", 0, 2}));
-    deployment.settle(workers[1]);
+    deployment.register_worker(workers[1]);
     send_heartbeats(workers[1]);
     EXPECT_EQ(poll(), (test::JobState{"running", 0, 3}));
     // All replicas exit with cause `done` after a stable run.
--- a/tests/controller/store_outage_test.cc
+++ b/tests/controller/store_outage_test.cc
@@ -30,14 +30,14 @@
     int first_leader = deployment.leader();
     deployment.run(6);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     deployment.store.down = true;
     // Sends a heartbeat every 3 s for `duration`; returns the last status.
     auto send_heartbeats = [&](Seconds duration) {
         int status = 0;
         for (Seconds end = deployment.loop.now() + duration; deployment.loop.now() < end;) {
             deployment.run(3);
-            status = deployment.send_report(worker, first_leader);
+            status = deployment.send_heartbeat(worker, first_leader);
         }
         return status;
     };
@@ -58,7 +58,7 @@
     deployment.kill(0);
     deployment.cloud.down = true;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.call(0, "GET", "/ready").status == 200; }, 10));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.call(0, "GET", "/ready").status == 200; }, 10));
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
 }
 
@@ -70,14 +70,14 @@
     int first_leader = deployment.leader();
     deployment.run(6);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     ASSERT_EQ(deployment.call(first_leader, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    deployment.send_report(worker, first_leader);
-    deployment.store.silent = true;
+    deployment.send_heartbeat(worker, first_leader);
+    deployment.store.unresponsive = true;
     deployment.kill(1 - first_leader);
     Seconds start = deployment.loop.now();
     deployment.run(8);
-    EXPECT_EQ(deployment.send_report(worker, first_leader), 200) << "running tasks must continue";
+    EXPECT_EQ(deployment.send_heartbeat(worker, first_leader), 200) << "running tasks must continue";
     for (const char* path : {"/v2/runs/job-1", "/v2/runs/job-2"}) {
         Seconds sent = deployment.loop.now();
         EXPECT_EQ(deployment.call(first_leader, "GET", path).status, 503)
@@ -91,8 +91,8 @@
     EXPECT_EQ(deployment.call(first_leader, "GET", "/ready").status, 503);
     const Config& config = deployment.configs[0];
     deployment.run(config.cancel_s - config.lease_s - (deployment.loop.now() - start));
-    EXPECT_EQ(deployment.send_report(worker, first_leader), 503);
-    deployment.store.silent = false;
+    EXPECT_EQ(deployment.send_heartbeat(worker, first_leader), 503);
+    deployment.store.unresponsive = false;
     deployment.start(1 - first_leader);
     deployment.run(10);
     EXPECT_EQ(deployment.call(first_leader, "GET", "/v2/runs/job-1").status, 200);
@@ -111,7 +111,7 @@
     EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 200);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 503);
     deployment.store.down = false;
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }, 10));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() >= 0; }, 10));
     deployment.run(3);
     deployment.kill(1);
     deployment.configs[1].state = address(1, 2);  // nothing listens there
@@ -131,14 +131,14 @@
         ASSERT_EQ(deployment.call(i % 2, "POST", "/v2/runs", job_body("job-" + std::to_string(i))).status,
                   201);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs/job-20/withdraw").status, 200);
-    deployment.store.silent = true;
+    deployment.store.unresponsive = true;
     deployment.run(20);
     deployment.kill(0);
     deployment.kill(1);
     deployment.start(0);
     deployment.run(1);
     deployment.start(1);
-    deployment.store.silent = false;
+    deployment.store.unresponsive = false;
     deployment.run(8);
     for (int node : {0, 1})
         for (int i = 1; i <= 20; ++i)
--- a/tests/controller/upgrade_test.cc
+++ b/tests/controller/upgrade_test.cc
@@ -14,20 +14,20 @@
 TEST(Upgrade, WritesFormat1WhileAPeerMayRunTheOldVersion) {
     Deployment deployment(2);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(10);
     EXPECT_EQ(deployment.store.rows.count("form"), 0U);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     FakeWorker worker;
-    deployment.settle(worker);
-    deployment.send_report(worker, 0);
+    deployment.register_worker(worker);
+    deployment.send_heartbeat(worker, 0);
     ASSERT_TRUE(worker.find("job-1/0"));
     EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
     EXPECT_TRUE(MsgpackDocument::parse(deployment.store.rows.at("j/job-1").data)->root()["live"].is_list());
     // The peer runs this version: format 2 is in force for both, and each change is written in it.
     deployment.start(1);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(3);
     ASSERT_EQ(deployment.leader(), 0);
     EXPECT_EQ(stored_format(deployment, "job-1"), 1U);
@@ -42,7 +42,7 @@
 TEST(Upgrade, LeaderWithoutOldPeersWritesTheRecordFormatOnce) {
     Deployment deployment;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     uint64_t mod_revision = deployment.store.rows.at("form").mod_revision;
     EXPECT_EQ(unpack_record_format(deployment.store.rows.at("form").data), 2U);
     deployment.run(1);
@@ -50,7 +50,7 @@
     EXPECT_EQ(stored_format(deployment, "job-1"), 2U);
     deployment.kill(0);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(5);
     EXPECT_EQ(deployment.store.rows.at("form").mod_revision, mod_revision);
 }
@@ -68,12 +68,12 @@
         store_value(deployment, "j/job-2", cancelled.pack(1));
         lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(2);
         EXPECT_EQ(stored_format(deployment, "job-1"), 1U) << "loading must not rewrite a record";
         auto workers = workers_of(completed), cancelled_workers = workers_of(cancelled);
-        for (auto& worker : workers) deployment.settle(worker);
-        for (auto& worker : cancelled_workers) deployment.settle(worker);
+        for (auto& worker : workers) deployment.register_worker(worker);
+        for (auto& worker : cancelled_workers) deployment.register_worker(worker);
         for (const auto& worker : workers)
             for (const auto& task : worker.tasks)
                 EXPECT_EQ(task.phase, TaskPhase::kRunning) << task.name.text();
@@ -88,7 +88,7 @@
                     if (task.name.task % 2 != odd) continue;
                     exit_task(task, ExitCause::kDone);
                 }
-                deployment.send_report(worker, 0);
+                deployment.send_heartbeat(worker, 0);
             }
             deployment.run(2);
             if (odd) {
@@ -97,7 +97,7 @@
             }
         }
         for (int i = 0; i < 3; ++i)
-            for (auto& worker : cancelled_workers) deployment.send_report(worker, 0);
+            for (auto& worker : cancelled_workers) deployment.send_heartbeat(worker, 0);
         deployment.run(2);
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "done");
         EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-2")), "withdrawn");
@@ -120,20 +120,20 @@
     ASSERT_GT(json_text(record.pack(2)).size(), 780U);
     ASSERT_GT(json_text(cancelled.pack(2)).size(), 780U);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(2);
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
     EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(),
               cancelled.live.size());
     auto workers = workers_of(record);
-    for (auto& worker : workers) deployment.settle(worker);
+    for (auto& worker : workers) deployment.register_worker(worker);
     for (size_t i = 0; i < workers.size(); ++i) {
         for (auto& task : workers[i].tasks) {
             exit_task(task, ExitCause::kDone);
         }
-        deployment.send_report(workers[i], 0);
+        deployment.send_heartbeat(workers[i], 0);
         deployment.run(1);
-        deployment.send_report(workers[i], 0);
+        deployment.send_heartbeat(workers[i], 0);
         bool written = stored_format(deployment, "job-1") == 2;
         EXPECT_EQ(written, workers[i].tasks.empty()) << "a worker forgets its exits once they are stored";
         if (i == 0) {
@@ -152,7 +152,7 @@
 TEST(Upgrade, RefusedRecordIsNotRetriedAndDelaysNoOther) {
     Deployment deployment;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
     std::string team(100, 't');
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
@@ -166,9 +166,9 @@
     // The store enforces a lower limit than the settings announce.
     deployment.store.value_bytes = json_text(deployment.store.rows.at("j/job-2").data).size();
     FakeWorker worker;
-    deployment.settle(worker);
-    deployment.send_report(worker, 0);
-    deployment.send_report(worker, 0);
+    deployment.register_worker(worker);
+    deployment.send_heartbeat(worker, 0);
+    deployment.send_heartbeat(worker, 0);
     deployment.run(10);
     EXPECT_TRUE(worker.find("job-1/0"));
     EXPECT_FALSE(worker.find("job-2/0")) << "launched without a committed placement";
@@ -187,11 +187,11 @@
         Deployment deployment;
         lower_limits(deployment, {.value_bytes = 2048, .txn_ops = ops});
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
         deployment.run(1);
         auto number = [](double value) { return packed_number(value); };
         FakeWorker worker;
-        deployment.settle(worker);
+        deployment.register_worker(worker);
         for (int i = 0; i < 10; ++i)
             ASSERT_EQ(deployment
                           .call(0, "POST", "/v2/runs",
@@ -203,12 +203,12 @@
                           .status,
                       201);
         deployment.run(1);
-        for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
+        for (int i = 0; i < 4; ++i) deployment.send_heartbeat(worker, 0);
         EXPECT_EQ(worker.tasks.size(), 10U);
         for (auto& task : worker.tasks) {
             exit_task(task, ExitCause::kDone);
         }
-        for (int i = 0; i < 4; ++i) deployment.send_report(worker, 0);
+        for (int i = 0; i < 4; ++i) deployment.send_heartbeat(worker, 0);
         deployment.run(3);
         for (int i = 0; i < 10; ++i)
             EXPECT_EQ(deployment.store.rows.count("f/job-" + std::to_string(i)), 1U)
@@ -226,7 +226,7 @@
     store_value(deployment, "j/job-9", accepted_job.pack(1));
     lower_limits(deployment, {.value_bytes = 2048, .txn_ops = 4});
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
     auto long_list = [](auto& fields) {
         MsgpackWriter packer;
@@ -251,25 +251,25 @@
     ASSERT_TRUE(newer_record_format(packed));
     store_value(deployment, "j/job-7", packed);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     FakeWorker worker;
     worker.name = record.live.at(0).machine;
     worker.tasks = {{{"job-7", 0}, 1, TaskPhase::kRunning, ExitCause::kNone, false},
                     {{"job-7", 5}, 9, TaskPhase::kExited, ExitCause::kDone, false}};
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-7").status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-7/withdraw").status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-7")).status, 503);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-8")).status, 201);
-    for (int i = 0; i < 3; ++i) deployment.send_report(worker, 0);
+    for (int i = 0; i < 3; ++i) deployment.send_heartbeat(worker, 0);
     ASSERT_EQ(worker.tasks.size(), 2U) << "the worker was told to forget a task";
     ASSERT_TRUE(worker.find("job-7/0"));
     EXPECT_EQ(worker.find("job-7/0")->phase, TaskPhase::kRunning) << "the task was stopped";
     EXPECT_EQ(deployment.store.rows.at("j/job-7").data, packed);
     FakeWorker other;
-    deployment.settle(other);
-    deployment.send_report(other, 0);
+    deployment.register_worker(other);
+    deployment.send_heartbeat(other, 0);
     EXPECT_TRUE(other.find("job-8/0")) << "other jobs must still be launched";
 }
 
--- a/tests/jobs/record_room_test.cc
+++ b/tests/jobs/record_room_test.cc
@@ -115,7 +115,7 @@
     Deployment deployment(2);
     deployment.configs[0].next_value_bytes = 2048;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     auto with_types = [](int count) {
         return job_body("job-1", [count](auto& fields) {
--- a/tests/jobs/service_lifecycle_test.cc
+++ b/tests/jobs/service_lifecycle_test.cc
@@ -21,7 +21,7 @@
                             ExitCause::kBusy, ExitCause::kUnknownJob}) {
         uint64_t attempt = job.live.at(0).attempt;
         now += 60;
-        report_tasks(machine);
+        apply_next_heartbeat(machine);
         exit_all(machine, cause);
         EXPECT_FALSE(job.finished());
         EXPECT_TRUE(job.done.empty()) << "users' polls would count it as done";
@@ -31,13 +31,13 @@
         ASSERT_EQ(start_on({&machine}), 1U)
             << "after running for a while it is restarted immediately, on the same machine too";
         EXPECT_GT(job.live.at(0).attempt, attempt);
-        carry_out_commands(machine);  // forgets the old attempt, then launches the new one
+        execute_commands(machine);  // forgets the old attempt, then launches the new one
         ASSERT_EQ(job.live.size(), 1U);
     }
     // Nor does the exit `done` of an attempt that is no longer placed make it done.
     tasks_on[machine.name] = {{{"job-1", 0}, 1, TaskPhase::kExited, ExitCause::kDone, false}};
     jobs.machine_deleted("vm-1", now);
-    report_tasks(machine);
+    apply_next_heartbeat(machine);
     EXPECT_TRUE(job.done.empty());
     // Replicas that an earlier version recorded as done are pending.
     JobRecord record;
@@ -61,9 +61,9 @@
     ASSERT_EQ(schedule_for({&second}).size(), 1U);
     EXPECT_EQ(job.live.at(0).machine, "vm-2");
     // The worker's lease expires and its tasks end: a newer heartbeat does not list the replica.
-    carry_out_commands(second);
+    execute_commands(second);
     tasks_on["vm-2"].clear();
-    report_tasks(second);
+    apply_next_heartbeat(second);
     EXPECT_EQ(job.pending.size(), 1U);
 }
 
@@ -79,7 +79,7 @@
         starts.push_back(now);
         Machine* machine = cluster.machine(job.live.at(0).machine);
         exit_all(*machine, starts.size() % 2 ? ExitCause::kError : ExitCause::kDone);
-        carry_out_commands(*machine);
+        execute_commands(*machine);
     }
     ASSERT_EQ(starts.size(), 10U);
     EXPECT_LE(starts[2] - starts[0], 2) << "the first restarts are immediate";
@@ -95,7 +95,7 @@
     ASSERT_EQ(start_on(machines), 1U);
     now += constants::kReplicaStableRun_s;
     Machine* machine = cluster.machine(job.live.at(0).machine);
-    report_tasks(*machine);
+    apply_next_heartbeat(*machine);
     EXPECT_FALSE(job.failures.failing);
     exit_all(*machine, ExitCause::kError);
     EXPECT_EQ(start_on(machines), 1U);
@@ -110,7 +110,7 @@
         exit_all(bad, ExitCause::kError);
         ASSERT_EQ(start_on({&bad, &good}), 1U);
         EXPECT_EQ(job.live.at(0).machine, "vm-2") << "restarted immediately, on another machine";
-        carry_out_commands(bad);
+        execute_commands(bad);
     }
     EXPECT_TRUE(bad.cordoned);
 }
@@ -131,7 +131,7 @@
         now += 1;
         jobs.move_replicas(cluster);
         EXPECT_EQ(count_stopping(job), 1U);
-        carry_out_commands(first);
+        execute_commands(first);
         EXPECT_EQ(job.pending.size(), 1U);
         now += 1;
         jobs.move_replicas(cluster);
--- a/tests/leader/election_test.cc
+++ b/tests/leader/election_test.cc
@@ -20,7 +20,7 @@
         };
         if (record_format_before) put_record_format(0, kNewestRecordFormat);
         int elections = 0;
-        deployment.store.let_through = [&](const std::string& txn) {
+        deployment.store.transaction_filter = [&](const std::string& txn) {
             auto document = MsgpackDocument::parse(txn);
             if (document->root()["writes"].at(0)["put"].text_or("") == kLeaderKey && ++elections == 1)
                 put_record_format(
@@ -29,7 +29,7 @@
             return true;
         };
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return elections > 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return elections > 0; }));
         deployment.run(10);
         EXPECT_EQ(elections, 1) << "the candidate must not campaign again";
         EXPECT_EQ(deployment.leader(), -1);
@@ -46,7 +46,7 @@
     uint64_t fencing_token = deployment.node(0).election().fencing_token();
     deployment.kill(0);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 3))
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }, 3))
         << "the restarted leader must not wait for its old lease to expire";
     EXPECT_GT(deployment.node(0).election().fencing_token(), fencing_token);
 }
@@ -57,18 +57,18 @@
 TEST(Election, RestartedCandidateGetsNewFencingToken) {
     for (bool old_transaction_first : {true, false}) {
         Deployment deployment;
-        deployment.store.let_through = [&](const std::string& body) {
+        deployment.store.transaction_filter = [&](const std::string& body) {
             return body.find("term") == std::string::npos || !deployment.store.held_transactions.empty();
         };
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
+        ASSERT_TRUE(deployment.run_until([&] { return !deployment.store.held_transactions.empty(); }));
         std::string old_transaction = deployment.store.held_transactions.at(0);
         deployment.kill(0);
         if (old_transaction_first) {
             EXPECT_EQ(deployment.store.apply(old_transaction).status, 200);
         }
         deployment.start(0);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }, 5));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }, 5));
         uint64_t fencing_token = deployment.node(0).election().fencing_token();
         EXPECT_EQ(fencing_token, old_transaction_first ? 2U : 1U)
             << "the token follows the old transaction's only if that was executed";
--- a/tests/leader/heartbeats_test.cc
+++ b/tests/leader/heartbeats_test.cc
@@ -16,9 +16,9 @@
     int other = 1 - deployment.leader();
     deployment.run(3);
     FakeWorker worker;
-    EXPECT_EQ(deployment.send_report(worker, other), 421);
+    EXPECT_EQ(deployment.send_heartbeat(worker, other), 421);
     deployment.run(5);
-    EXPECT_EQ(deployment.send_report(worker, other), 200);
+    EXPECT_EQ(deployment.send_heartbeat(worker, other), 200);
     EXPECT_EQ(worker.fencing_token, deployment.node(deployment.leader()).election().fencing_token());
 }
 
@@ -34,7 +34,7 @@
     ASSERT_GE(files.rlim_cur, 2500U);
     deployment.configs[0].sockets = 2000;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     ASSERT_EQ(
         deployment.call(0, "POST", "/v2/runs", job_body("job-1", [](auto& fields) { set_tasks(fields, 8); }))
@@ -44,7 +44,7 @@
     int answered = 0;
     TaskGroup scope(deployment.loop);
     auto send_heartbeat = [](Loop& loop, Address leader, FakeWorker& worker, int& ok_count) -> Task<void> {
-        ok_count += co_await worker.send_report(loop, leader) == 200;
+        ok_count += co_await worker.send_heartbeat(loop, leader) == 200;
     };
     for (size_t i = 0; i < workers.size(); ++i) {
         workers[i].name = "vm-" + std::to_string(10000 + i);
@@ -53,7 +53,7 @@
     }
     uint64_t passes_before = deployment.node(0).leader()->passes_done();
     Seconds started_at = deployment.loop.now();
-    ASSERT_TRUE(deployment.until([&] { return answered == 1000; }, 10));
+    ASSERT_TRUE(deployment.run_until([&] { return answered == 1000; }, 10));
     uint64_t passes = deployment.node(0).leader()->passes_done() - passes_before;
     EXPECT_LE(static_cast<double>(passes),
               2 + (deployment.loop.now() - started_at) / constants::kSchedulingInterval_s);
--- a/tests/leader/large_fleet_test.cc
+++ b/tests/leader/large_fleet_test.cc
@@ -52,11 +52,11 @@
     }
 
     static Task<void> send_heartbeat(std::shared_ptr<Leader> target, FakeWorker& worker, size_t& answered) {
-        auto heartbeat = decode_heartbeat(worker.report());
+        auto heartbeat = decode_heartbeat(worker.next_heartbeat());
         Response response = co_await target->handle_heartbeat(
             std::move(*heartbeat), constants::kIdleHeartbeatHold_s, HeartbeatRoute::kDirect);
         if (response.status != 200) co_return;
-        worker.carry_out(response.body);
+        worker.execute_commands(response.body);
         ++answered;
     }
 
@@ -65,7 +65,7 @@
         size_t answered = 0;
         TaskGroup scope(deployment.loop);
         for (FakeWorker& worker : workers) scope.spawn(send_heartbeat(leader(), worker, answered), "report");
-        deployment.until([&] { return scope.size() == 0; }, 5);
+        deployment.run_until([&] { return scope.size() == 0; }, 5);
         return answered;
     }
 
@@ -90,11 +90,12 @@
 
 TEST_F(LargeFleet, SchedulesAllTasksAndSurvivesFailover) {
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return leader() && leader()->loaded_for() > 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return leader() && leader()->loaded_for() > 0; }));
     deployment.start(1);
     EXPECT_EQ(send_all_heartbeats(), kMachines);
     EXPECT_EQ(leader()->machines_seen(), kMachines);
-    ASSERT_TRUE(deployment.until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
+    ASSERT_TRUE(
+        deployment.run_until([&] { return leader()->cluster().machines.at("vm-004000")->listed; }, 20));
     submit_jobs();
     for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round)
         send_all_heartbeats();
@@ -110,8 +111,8 @@
 
     // After a failover the simultaneous heartbeats share a few passes, and no task is started again.
     deployment.kill(0);
-    ASSERT_TRUE(
-        deployment.until([&] { return deployment.leader() == 1 && leader() && leader()->loaded_for() > 0; }));
+    ASSERT_TRUE(deployment.run_until(
+        [&] { return deployment.leader() == 1 && leader() && leader()->loaded_for() > 0; }));
     started_at = deployment.loop.now();
     EXPECT_EQ(send_all_heartbeats(), kMachines);
     EXPECT_EQ(send_all_heartbeats(), kMachines) << "with the new leader's fencing token";
@@ -139,18 +140,20 @@
 TEST(Overload, AbandonedHeartbeatIsIgnored) {
     Deployment deployment;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0 && deployment.node(0).leader(); }));
+    ASSERT_TRUE(
+        deployment.run_until([&] { return deployment.leader() == 0 && deployment.node(0).leader(); }));
     deployment.run(1);
     FakeWorker worker;
     TaskGroup scope(deployment.loop);
     bool sent = false;
     // The server starts its coroutine for the connection only after the client has sent the request and
     // disconnected.
-    scope.spawn(send_and_disconnect(deployment.loop, deployment.configs[0].listen, worker.report(), sent),
-                "worker");
-    ASSERT_TRUE(deployment.until([&] { return sent; }));
+    scope.spawn(
+        send_and_disconnect(deployment.loop, deployment.configs[0].listen, worker.next_heartbeat(), sent),
+        "worker");
+    ASSERT_TRUE(deployment.run_until([&] { return sent; }));
     deployment.run(2);
     EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 0U);
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     EXPECT_EQ(deployment.node(0).leader()->machines_seen(), 1U);
 }
--- a/tests/leader/record_reading_test.cc
+++ b/tests/leader/record_reading_test.cc
@@ -35,7 +35,7 @@
     deployment.configs[0].ram_bytes = 8 * 1024 * 1024;
     deployment.store.list_page_size = 50;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     deployment.store.down = true;  // so that the open watch gets all changes in one response
     for (int i = 0; i < 300; ++i) {
--- a/tests/load/load_site.cc
+++ b/tests/load/load_site.cc
@@ -74,18 +74,18 @@
         std::uniform_real_distribution<double> spread(0.75, 1.25);
         co_await loop_.sleep(options_.heartbeat_interval_s * (spread(random) - 0.75) * 2);
         while (true) {
-            bool accepted = co_await report();
+            bool accepted = co_await send_heartbeat();
             end_tasks();
             co_await loop_.sleep(accepted ? options_.heartbeat_interval_s * spread(random) : 1.0);
         }
     }
 
   private:
-    Task<bool> report() {
+    Task<bool> send_heartbeat() {
         if (!client_) client_ = std::make_unique<HttpClient>(loop_, controller_address(controller_), 1);
-        CallResult answer = co_await client_->call("POST", "/hello", worker_.report(), 4.0);
+        CallResult answer = co_await client_->call("POST", "/hello", worker_.next_heartbeat(), 4.0);
         if (answer.status == 200) {
-            worker_.carry_out(answer.body);
+            worker_.execute_commands(answer.body);
             for (const auto& task : worker_.tasks) started_.try_emplace(task.name.text(), loop_.now());
             co_return true;
         }
@@ -144,7 +144,7 @@
     }
 }
 
-void play(const LoadOptions& options) {
+void run_load(const LoadOptions& options) {
     SystemClock clock;
     Loop loop(clock);
     FakeStore store(loop);
@@ -191,6 +191,6 @@
     app.add_option("--sockets", options.sockets, "sockets of each controller");
     app.add_option("--directory", options.directory, "where settings files are written");
     CLI11_PARSE(app, argc, argv);
-    hareshore::test::play(options);
+    hareshore::test::run_load(options);
     return 0;
 }
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -113,7 +113,7 @@
     int status = 0;
     for (Seconds end = deployment.loop.now() + duration; deployment.loop.now() < end;) {
         deployment.run(2);
-        status = deployment.send_report(worker, node);
+        status = deployment.send_heartbeat(worker, node);
     }
     return status;
 }
@@ -128,9 +128,9 @@
         peer = std::make_unique<ScriptedPeer>(deployment);
         peer->record_format = record_format;
         deployment.start(0);
-        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(6);
-        deployment.settle(worker);
+        deployment.register_worker(worker);
         for (const auto& id : jobs)
             EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body(id)).status, 201);
         EXPECT_EQ(send_heartbeats_for(deployment, worker, 0, 4), 200);
@@ -151,11 +151,11 @@
     for (int controllers : {2, 3, 5}) {
         Deployment deployment(controllers);
         for (int i = 0; i < controllers; ++i) deployment.start(i);
-        ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
+        ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() >= 0; }));
         int leader = deployment.leader(), other = (leader + 1) % controllers;
         deployment.run(6);
         FakeWorker worker;
-        deployment.settle(worker);
+        deployment.register_worker(worker);
         for (const char* id : {"job-1", "job-2"})
             ASSERT_EQ(deployment.call(other, "POST", "/v2/runs", job_body(id)).status, 201);
         EXPECT_EQ(send_heartbeats_for(deployment, worker, leader, 4), 200);
@@ -172,7 +172,7 @@
             << "all cancellations are known: leases are renewed";
         EXPECT_EQ(deployment.leader(), leader);
         EXPECT_EQ(worker.find("job-2/0")->phase, TaskPhase::kRunning) << deployment.loop.now() - outage_began;
-        deployment.store.restart_leases();
+        deployment.store.renew_all_leases();
         deployment.store.down = false;
         deployment.store.refused_nodes.clear();
         deployment.run(3);
@@ -190,18 +190,18 @@
     int first = deployment.leader();
     deployment.run(4);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     ASSERT_EQ(deployment.call(first, "POST", "/v2/runs", job_body("job-1")).status, 201);
     EXPECT_EQ(send_heartbeats_for(deployment, worker, first, 4), 200);
     ASSERT_TRUE(worker.find("job-1/0"));
     deployment.kill(first);
     deployment.store.expire_lease(deployment.store.rows.at("leader").lease);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() >= 0; }));
     Controller& node = deployment.node(1 - first);
-    ASSERT_TRUE(deployment.until([&] { return node.leader() != nullptr; }));
+    ASSERT_TRUE(deployment.run_until([&] { return node.leader() != nullptr; }));
     ASSERT_EQ(node.leader()->jobs().size(), 0U);
     node.leader()->observe_cancellation("job-1");
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     EXPECT_EQ(send_heartbeats_for(deployment, worker, 1 - first, 4), 200);
     const TaskStatus* task = worker.find("job-1/0");
     EXPECT_TRUE(!task || task->phase == TaskPhase::kExited);
@@ -277,11 +277,11 @@
     while (setup.deployment.loop.now() <
            confirmed_at + setup.deployment.configs[0].cancel_s - setup.deployment.configs[0].lease_s) {
         setup.deployment.run(0.2);
-        setup.deployment.send_report(setup.worker, 0);
+        setup.deployment.send_heartbeat(setup.worker, 0);
     }
     for (int i = 0; i < 40; ++i) {
         setup.deployment.run(0.2);
-        ASSERT_EQ(setup.deployment.send_report(setup.worker, 0), 503) << i;
+        ASSERT_EQ(setup.deployment.send_heartbeat(setup.worker, 0), 503) << i;
     }
 }
 
--- a/tests/peer/peer_status_test.cc
+++ b/tests/peer/peer_status_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "standins/peer_reports.h"
+#include "standins/peer_statuses.h"
 
 using namespace hareshore;
 using namespace hareshore::test;
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -42,7 +42,7 @@
         place_proxies(node);
         deployment.start(node);
     }
-    EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }));
+    EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() != kNoLeader; }));
     for (int i = 0; i < machines; ++i) fleet.add("vm-00010" + std::to_string(i), zone_of(i));
     scope_.spawn(watch_invariants(), "invariants");
     deployment.run(kStartupTime_s);
@@ -117,12 +117,12 @@
 }
 
 int FaultScenario::await_leader() {
-    EXPECT_TRUE(deployment.until([&] { return deployment.leader() != kNoLeader; }, kElectionTimeout_s));
+    EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() != kNoLeader; }, kElectionTimeout_s));
     return std::max(0, deployment.leader());
 }
 
 bool FaultScenario::await_start(const std::string& job, Seconds timeout) {
-    return deployment.until([&] { return fleet.machine_running(job) != nullptr; }, timeout);
+    return deployment.run_until([&] { return fleet.machine_running(job) != nullptr; }, timeout);
 }
 
 void FaultScenario::start_all_killed() {
@@ -141,7 +141,7 @@
 
 void FaultScenario::end_store_outage() {
     deployment.store.down = false;
-    deployment.store.restart_leases();
+    deployment.store.renew_all_leases();
 }
 
 void FaultScenario::deny_store_access(int node) {
@@ -165,7 +165,7 @@
 void FaultScenario::end_all_faults() {
     if (deployment.store.down) end_store_outage();
     deployment.cloud.down = false;
-    deployment.store.let_through = {};
+    deployment.store.transaction_filter = {};
     fleet.delay_commands({});
     for (auto& proxy : store_proxies) proxy->clear_faults();
     if (old_version_node_ != kNoOldVersionNode) {
@@ -185,7 +185,7 @@
         return std::all_of(jobs.accepted.begin(), jobs.accepted.end(),
                            [&](const auto& id) { return jobs.finished(id); });
     };
-    EXPECT_TRUE(deployment.until(all_finished, timeout))
+    EXPECT_TRUE(deployment.run_until(all_finished, timeout))
         << "jobs have not finished although machines are available";
     for (const auto& id : jobs.accepted)
         if (!jobs.finished(id)) ADD_FAILURE() << id << " did not finish";
@@ -209,13 +209,13 @@
 
 void FaultScenario::check_and_cancel_services() {
     for (const auto& [id, replicas] : jobs.services) {
-        EXPECT_TRUE(
-            deployment.until([&, &id = id, expected = replicas] { return fleet.replicas_up(id) == expected; },
-                             kReplicasTimeout_s))
+        EXPECT_TRUE(deployment.run_until(
+            [&, &id = id, expected = replicas] { return fleet.replicas_up(id) == expected; },
+            kReplicasTimeout_s))
             << id << " does not run all of its replicas";
         cancel(id);
         EXPECT_TRUE(
-            deployment.until([&, &id = id] { return !fleet.machine_running(id); }, kServiceStopTimeout_s))
+            deployment.run_until([&, &id = id] { return !fleet.machine_running(id); }, kServiceStopTimeout_s))
             << id << " is cancelled but still runs";
     }
 }
--- a/tests/scenario/simulated_fleet.cc
+++ b/tests/scenario/simulated_fleet.cc
@@ -140,7 +140,7 @@
     Seconds sent = loop.now();
     machine.last_heartbeat = sent;
     uint64_t incarnation = machine.worker.incarnation;
-    machine.sent_heartbeats.push_back(machine.worker.report());
+    machine.sent_heartbeats.push_back(machine.worker.next_heartbeat());
     HttpClient http(loop, deployment_.config(node).listen, 1);
     CallResult response =
         co_await http.call("POST", "/hello", machine.sent_heartbeats.back(), kHeartbeatTimeout_s);
@@ -177,9 +177,9 @@
         while (true) co_await deployment_.loop.sleep(kNever_s);
     }
     if (!machine.accepts(request.body))
-        co_return Response{409, machine.worker.report(), 0, "application/msgpack"};
+        co_return Response{409, machine.worker.next_heartbeat(), 0, "application/msgpack"};
     execute(machine, request.body);
-    co_return Response{200, machine.worker.report(), 0, "application/msgpack"};
+    co_return Response{200, machine.worker.next_heartbeat(), 0, "application/msgpack"};
 }
 
 // A command that was delayed on its way is checked against the machine's state at its arrival.
@@ -198,7 +198,7 @@
     for (const auto& task : worker.tasks) before.insert({task.name.text(), task.attempt});
     uint64_t fencing_token = worker.fencing_token;
     size_t live = worker.live_tasks();
-    worker.carry_out(body);
+    worker.execute_commands(body);
     machine.heartbeat_soon =
         machine.heartbeat_soon || worker.fencing_token != fencing_token || worker.live_tasks() != live;
     Seconds now = deployment_.loop.now();
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -41,7 +41,7 @@
     add_job(spec);
     ASSERT_EQ(start_on({&first}), 1U);
     now += 25;
-    report_tasks(first);
+    apply_next_heartbeat(first);
     // A waiting array is not delayed until a replica ends.
     Job& busy = add_job(batch_spec("job-2", 1, PriorityClass::kStandard));
     jobs.bind(busy, 0, second, 1, now);
@@ -68,7 +68,7 @@
     EXPECT_TRUE(schedule_for({&first}).empty());
     EXPECT_EQ(count_stopping(low), 1U);
     EXPECT_TRUE(schedule_for({&first}).empty()) << "the preempted task has not exited yet";
-    carry_out_commands(first);
+    execute_commands(first);
     auto bindings = schedule_for({&first});
     ASSERT_FALSE(bindings.empty());
     EXPECT_EQ(bindings[0].job->spec.id, "job-2") << "the service is served first";
--- a/tests/scheduler/service_rebinding_test.cc
+++ b/tests/scheduler/service_rebinding_test.cc
@@ -78,8 +78,9 @@
     EXPECT_EQ(bind_all({&in_b}), 0U) << "both replicas may still be live";
     // One replica has ended; the other is being stopped and counts until it has exited.
     jobs.stop(job, 1, StopMode::kSaveFirst);
-    report(first, {task_status("job-1", 0, job.live.at(0).attempt, TaskPhase::kExited, ExitCause::kStopped),
-                   task_status("job-1", 1, job.live.at(1).attempt, TaskPhase::kRunning)});
+    apply_heartbeat(first,
+                    {task_status("job-1", 0, job.live.at(0).attempt, TaskPhase::kExited, ExitCause::kStopped),
+                     task_status("job-1", 1, job.live.at(1).attempt, TaskPhase::kRunning)});
     ASSERT_EQ(job.pending.size(), 1U);
     EXPECT_EQ(bind_all({&in_b}), 0U);
     EXPECT_EQ(bind_all({&second}), 1U);
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -72,7 +72,7 @@
 }
 
 Task<void> carry_out_report(Loop& loop, Address to, FakeWorker& worker, int& status, bool& answered) {
-    status = co_await worker.send_report(loop, to);
+    status = co_await worker.send_heartbeat(loop, to);
     answered = true;
 }
 
@@ -113,7 +113,7 @@
 
 bool Deployment::start_and_elect() {
     for (size_t node = 0; node < nodes.size(); ++node) start(static_cast<int>(node));
-    return until([&] { return leader() != kNoLeader; });
+    return run_until([&] { return leader() != kNoLeader; });
 }
 
 void Deployment::run(Seconds duration) {
@@ -130,23 +130,23 @@
     PendingCall call{std::move(method), std::move(path), std::move(body), {}};
     TaskGroup scope(loop);
     scope.spawn(carry_out_call(loop, config(node).listen, call), "call");
-    until([&] { return call.answered; }, kMostCall_s);
+    run_until([&] { return call.answered; }, kMostCall_s);
     return call.answer;
 }
 
-int Deployment::send_report(FakeWorker& worker, int node) {
+int Deployment::send_heartbeat(FakeWorker& worker, int node) {
     int status = -1;
     bool answered = false;
     TaskGroup scope(loop);
     scope.spawn(carry_out_report(loop, config(node).listen, worker, status, answered), "report");
-    until([&] { return answered; }, kMostCall_s);
+    run_until([&] { return answered; }, kMostCall_s);
     return status;
 }
 
-void Deployment::settle(FakeWorker& worker) {
+void Deployment::register_worker(FakeWorker& worker) {
     for (int i = 0; i < kSettleTries; ++i) {
         int leading = leader();
-        if (leading != kNoLeader && send_report(worker, leading) == 200 &&
+        if (leading != kNoLeader && send_heartbeat(worker, leading) == 200 &&
             worker.fencing_token == node(leading).election().fencing_token())
             return;
         run(kSettlePause_s);
@@ -157,17 +157,17 @@
 bool Deployment::launch(FakeWorker& worker, int node, const std::string& job) {
     EXPECT_EQ(call(node, "POST", "/v2/runs", job_body(job)).status, 201);
     for (int report : {1, 2}) {
-        int status = send_report(worker, node);
+        int status = send_heartbeat(worker, node);
         EXPECT_EQ(status, 200) << "report " << report;
     }
     return worker.find(job + "/0") != nullptr;
 }
 
-std::vector<FakeWorker> Deployment::settled_workers(size_t count) {
+std::vector<FakeWorker> Deployment::registered_workers(size_t count) {
     std::vector<FakeWorker> workers(count);
     for (size_t i = 0; i < count; ++i) {
         workers[i].name = "vm-00000" + std::to_string(i);
-        settle(workers[i]);
+        register_worker(workers[i]);
     }
     return workers;
 }
--- a/tests/standins/deployment.h
+++ b/tests/standins/deployment.h
@@ -35,7 +35,7 @@
     void run(Seconds duration);
     // Runs until the condition holds; whether it does within `most`.
     template <class Condition>
-    bool until(Condition condition, Seconds most = 30) {
+    bool run_until(Condition condition, Seconds most = 30) {
         return loop.run_until(condition, most);
     }
 
@@ -46,14 +46,14 @@
     // A user's request and the answer to it.
     CallResult call(int node, std::string method, std::string path, std::string body = "");
     // Sends a worker's report; the status of the answer.
-    int send_report(FakeWorker& worker, int node);
+    int send_heartbeat(FakeWorker& worker, int node);
     // Reports to whoever leads until it is answered 200 with this epoch known.
-    void settle(FakeWorker& worker);
+    void register_worker(FakeWorker& worker);
     // Submits a job of one task at this node, which leads, and reports until the worker runs the task;
     // whether it does. Nobody else may have room for it.
     [[nodiscard]] bool launch(FakeWorker& worker, int node, const std::string& job);
     // `count` workers that the leader knows, vm-000000 and so on.
-    std::vector<FakeWorker> settled_workers(size_t count);
+    std::vector<FakeWorker> registered_workers(size_t count);
     // The cloud lists the worker's machine as running.
     void list_machine(const FakeWorker& worker);
 
--- a/tests/standins/peer_reports.h
+++ b/tests/standins/peer_statuses.h
@@ -28,7 +28,7 @@
 }
 
 // A peer that has answered a heartbeat of this process sent then, at once.
-inline peer::PeerStatus peer_with_answer(peer::ControllerHeartbeat answer, Seconds sent_at) {
+inline peer::PeerStatus peer_with_response(peer::ControllerHeartbeat answer, Seconds sent_at) {
     answer.request_sent_us = static_cast<uint64_t>(sent_at * 1e6);
     peer::PeerStatus status(peer_address(peer::label_of(answer)));
     status.receive_response(1, answer, sent_at);
--- a/tests/standins/scheduling_fixture.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -67,7 +67,7 @@
     machine.machine_type = kind.machine_type;
     machine.spot = kind.spot;
     machine.heartbeat_received = machine.has_current_token = true;
-    report(machine, {});
+    apply_heartbeat(machine, {});
     return machine;
 }
 
@@ -88,11 +88,11 @@
     return {{job, task}, attempt, phase, cause, false};
 }
 
-void SchedulingTest::report(Machine& machine, std::vector<TaskStatus> tasks) {
+void SchedulingTest::apply_heartbeat(Machine& machine, std::vector<TaskStatus> tasks) {
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, std::move(tasks)), Absence::kProven, now);
 }
 
-void SchedulingTest::hear_all_machines() {
+void SchedulingTest::refresh_heartbeat_times() {
     for (auto& [name, machine] : cluster.machines) machine->last_heartbeat = now;
 }
 
@@ -101,7 +101,7 @@
 }
 
 std::vector<Binding> SchedulingTest::schedule_for(std::vector<Machine*> requesting_machines) {
-    hear_all_machines();
+    refresh_heartbeat_times();
     recount_resources();
     return schedule(cluster, jobs,
                     {config, settings, now, std::move(requesting_machines), kNewestRecordFormat});
@@ -112,7 +112,7 @@
 }
 
 ScalingPlan SchedulingTest::plan() {
-    hear_all_machines();
+    refresh_heartbeat_times();
     recount_resources();
     return plan_scaling(cluster, jobs, scaling_input());
 }
@@ -165,17 +165,17 @@
     return add_machine(name, MachineKind{"g2", "a", true});
 }
 
-void ServiceTest::report_tasks(Machine& machine) {
-    report(machine, tasks_on[machine.name]);
+void ServiceTest::apply_next_heartbeat(Machine& machine) {
+    apply_heartbeat(machine, tasks_on[machine.name]);
 }
 
 size_t ServiceTest::start_on(const std::vector<Machine*>& requesting_machines) {
     size_t bound = schedule_for(requesting_machines).size();
-    for (auto& [name, machine] : cluster.machines) carry_out_commands(*machine);
+    for (auto& [name, machine] : cluster.machines) execute_commands(*machine);
     return bound;
 }
 
-void ServiceTest::carry_out_commands(Machine& machine) {
+void ServiceTest::execute_commands(Machine& machine) {
     for (const auto& [id, job] : jobs.all()) mark_committed(*job);
     auto& tasks = tasks_on[machine.name];
     for (const Command& command : jobs.commands(machine, LaunchCommands::kInclude)) {
@@ -188,12 +188,12 @@
         if (command.kind == CommandKind::kStop && here) exit_task(*task, ExitCause::kStopped);
         if (command.kind == CommandKind::kForget && here) tasks.erase(task);
     }
-    report_tasks(machine);
+    apply_next_heartbeat(machine);
 }
 
 void ServiceTest::exit_all(Machine& machine, ExitCause cause) {
     for (auto& task : tasks_on[machine.name]) exit_task(task, cause);
-    report_tasks(machine);
+    apply_next_heartbeat(machine);
 }
 
 std::map<std::string, int> ServiceTest::placements_by(const Job& job, std::string Placement::*field) {
--- a/tests/standins/scheduling_fixture.h
+++ b/tests/standins/scheduling_fixture.h
@@ -28,7 +28,7 @@
     static TaskStatus task_status(const std::string& job, uint32_t task, uint64_t attempt, TaskPhase phase,
                                   ExitCause cause = ExitCause::kNone);
     // Takes in the machine's next heartbeat.
-    void report(Machine& machine, std::vector<TaskStatus> tasks);
+    void apply_heartbeat(Machine& machine, std::vector<TaskStatus> tasks);
 
     // A scheduling pass for these machines; all machines have just reported.
     std::vector<Binding> schedule_for(std::vector<Machine*> requesting_machines);
@@ -36,7 +36,7 @@
     // A scaling plan; all machines have just reported.
     ScalingPlan plan();
     void recount_resources();
-    void hear_all_machines();
+    void refresh_heartbeat_times();
     // The machine is deleted with all that is on it.
     void delete_machine(const std::string& name);
 
@@ -63,11 +63,11 @@
     // Binds, commits, launches and reports; how many tasks were bound.
     size_t start_on(const std::vector<Machine*>& requesting_machines);
     // Commits everything, carries out the machine's commands, and reports.
-    void carry_out_commands(Machine& machine);
+    void execute_commands(Machine& machine);
     // All tasks of the machine exit, and it reports that.
     void exit_all(Machine& machine, ExitCause cause);
     // The machine reports its tasks.
-    void report_tasks(Machine& machine);
+    void apply_next_heartbeat(Machine& machine);
     // Live placements of the job by machine or by zone.
     static std::map<std::string, int> placements_by(const Job& job, std::string Placement::*field);
 
--- a/tests/standins/store.cc
+++ b/tests/standins/store.cc
@@ -63,7 +63,7 @@
     if (any) changed_.notify();
 }
 
-void FakeStore::restart_leases() {
+void FakeStore::renew_all_leases() {
     for (auto& [id, lease] : leases_) lease.end = loop_.now() + lease.ttl;
 }
 
@@ -114,8 +114,8 @@
     MsgpackValue writes = message->root()["writes"];
     std::vector<std::string> failed = failed_conditions(conditions);
     if (invalid(body, conditions, writes)) return refusal(400);
-    if (transactions_to_limit > 0) {
-        --transactions_to_limit;
+    if (transactions_to_rate_limit > 0) {
+        --transactions_to_rate_limit;
         return refusal(429);
     }
     MsgpackWriter answer;
@@ -131,7 +131,7 @@
 }
 
 Task<Response> FakeStore::handle(Request request, int node) {
-    if (silent) co_await loop_.sleep(kNever_s);
+    if (unresponsive) co_await loop_.sleep(kNever_s);
     if (request.path == "/changes") {
         expire_leases();
         co_return co_await watch(std::move(request), node);
@@ -139,7 +139,7 @@
     if (refuses(node)) co_return no_body(503);
     expire_leases();
     if (request.path == "/txn") {
-        if (let_through && !let_through(request.body)) {
+        if (transaction_filter && !transaction_filter(request.body)) {
             held_transactions.push_back(request.body);
             co_await loop_.sleep(kNever_s);
         }
--- a/tests/standins/store.h
+++ b/tests/standins/store.h
@@ -23,16 +23,16 @@
     std::map<std::string, Row> rows;
     uint64_t revision = 1;
 
-    bool down = false;                // every request gets 503
-    bool silent = false;              // requests get no answer, as behind a cut
-    std::set<int> refused_nodes;      // controllers that alone get 503; their watches wait
-    uint64_t compacted_revision = 0;  // watches from before this revision get 410
-    size_t list_page_size = 1000;     // most items of a list
-    int transactions_to_limit = 0;    // so many transactions to come exceed the rate and get 429
+    bool down = false;                   // every request gets 503
+    bool unresponsive = false;           // requests get no answer, as behind a cut
+    std::set<int> refused_nodes;         // controllers that alone get 503; their watches wait
+    uint64_t compacted_revision = 0;     // watches from before this revision get 410
+    size_t list_page_size = 1000;        // most items of a list
+    int transactions_to_rate_limit = 0;  // so many transactions to come exceed the rate and get 429
 
     // Called with each transaction's body before it is carried out; false: neither the transaction nor its
     // answer arrives, and its body is kept in `held_transactions` instead.
-    std::function<bool(const std::string&)> let_through;
+    std::function<bool(const std::string&)> transaction_filter;
     std::vector<std::string> held_transactions;
 
     // The limits, by the JSON text of a value; what exceeds them gets 400 and counts as invalid.
@@ -54,7 +54,7 @@
     Response apply(const std::string& body);
     void expire_lease(uint64_t id);
     // All leases have their full time again, as after an outage.
-    void restart_leases();
+    void renew_all_leases();
 
   private:
     static constexpr int kAnyNode = -1;
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string FakeWorker::report() {
+std::string FakeWorker::next_heartbeat() {
     MsgpackWriter packer;
     packer.map(10).key("host").text(name).key("addr").text(addr);
     packer.key("flavor").text(machine_type).key("cove").text(zone).key("driftwood").flag(spot);
@@ -41,7 +41,7 @@
     return packer.take();
 }
 
-void FakeWorker::carry_out(const std::string& body) {
+void FakeWorker::execute_commands(const std::string& body) {
     auto message = MsgpackDocument::parse(body);
     ASSERT_TRUE(message);
     uint64_t command_fencing_token = message->root()["epoch"].count_or(0);
@@ -63,10 +63,10 @@
     }
 }
 
-Task<int> FakeWorker::send_report(Loop& loop, Address node) {
+Task<int> FakeWorker::send_heartbeat(Loop& loop, Address node) {
     HttpClient http(loop, node, 1);
-    CallResult answer = co_await http.call("POST", "/hello", report(), kReportTimeout_s);
-    if (answer.status == 200 && !deaf) carry_out(answer.body);
+    CallResult answer = co_await http.call("POST", "/hello", next_heartbeat(), kReportTimeout_s);
+    if (answer.status == 200 && !loses_responses) execute_commands(answer.body);
     co_return answer.status;
 }
 
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -16,14 +16,14 @@
     uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
     std::vector<TaskStatus> tasks;
     std::optional<double> notice_s;  // spot notice
-    bool deaf = false;               // its reports arrive, the answers to them do not
+    bool loses_responses = false;    // its reports arrive, the answers to them do not
 
     // The body of its next report.
-    std::string report();
+    std::string next_heartbeat();
     // Sends a report to a controller and carries out what that answers; the status.
-    Task<int> send_report(Loop& loop, Address node);
+    Task<int> send_heartbeat(Loop& loop, Address node);
     // Carries out the commands of an answer or of a direct command, unless they are of an earlier epoch.
-    void carry_out(const std::string& body);
+    void execute_commands(const std::string& body);
     // The task "JOB/NUMBER"; null if it is not here.
     TaskStatus* find(const std::string& task);
     // Tasks that have not exited.
--- a/tests/state/store_client_test.cc
+++ b/tests/state/store_client_test.cc
@@ -125,7 +125,7 @@
 TEST_F(StoreClientTest, ACallThatWasNotSentIsNotExecutedAndOneWithoutAnswerUnknown) {
     StoreClient nowhere(loop, test::address(5, 7001), constants::kResponseLimit);
     EXPECT_EQ(test::await(loop, nowhere.get("a", kTimeout_s)).status, StoreStatus::kNotExecuted);
-    store.silent = true;
+    store.unresponsive = true;
     EXPECT_EQ(put("a", "x").status, StoreStatus::kUnknown);
 }
 
--- a/tests/users/poll_rate_test.cc
+++ b/tests/users/poll_rate_test.cc
@@ -44,7 +44,7 @@
         deployment.configs[0].state_rps = kStateRps;
         limited = std::make_unique<RateLimitedState>(deployment.loop, deployment.store, address(20, 2379));
         deployment.start(0);
-        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(3);
         EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     }
--- a/tests/users/service_submission_test.cc
+++ b/tests/users/service_submission_test.cc
@@ -31,7 +31,7 @@
     deployment.configs[0].teams[0].gpus_max = 8;
     deployment.configs[0].teams[0].cpus_max = 20;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     auto submit = [&](const std::string& body) {
         return deployment.call(0, "POST", "/v2/runs", body).status;
--- a/tests/users/submission_test.cc
+++ b/tests/users/submission_test.cc
@@ -76,7 +76,7 @@
     large.cpus = 64;
     deployment.cloud.machine_types = {small_machine_type(), large};
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
     deployment.run(1);
     auto submit = [&](const std::string& id, const char* field, double amount,
                       const char* machine_type = nullptr) {
--- a/tests/users/user_answers_test.cc
+++ b/tests/users/user_answers_test.cc
@@ -70,7 +70,7 @@
         held_state =
             std::make_unique<HeldState>(deployment.loop, deployment.store, deployment.configs[0].state);
         deployment.start(0);
-        EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
+        EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(3);
     }
     ~UserAnswers() override {
@@ -87,11 +87,11 @@
     // Asks, and returns once the answer of the state service is held.
     bool ask_slowly(std::string method, std::string path, std::string body = "") {
         users.spawn(ask(std::move(method), std::move(path), std::move(body)), "slow user");
-        return deployment.until([&] { return held_state->holding(); }, kCallLimit_s);
+        return deployment.run_until([&] { return held_state->holding(); }, kCallLimit_s);
     }
     bool slow_answer_arrives() {
         held_state->release();
-        return deployment.until([&] { return slow.arrived; }, kCallLimit_s);
+        return deployment.run_until([&] { return slow.arrived; }, kCallLimit_s);
     }
     int submit() { return deployment.call(0, "POST", kRuns, job_body(kJob)).status; }
 };
--- a/tests/users/write_rate_test.cc
+++ b/tests/users/write_rate_test.cc
@@ -53,11 +53,11 @@
     TaskGroup scope(deployment.loop);
     size_t answered = 0;
     for (auto* x : list) scope.spawn(submit(deployment, *x, answered), "submission");
-    ASSERT_TRUE(deployment.until([&] { return answered == list.size(); }, 10));
+    ASSERT_TRUE(deployment.run_until([&] { return answered == list.size(); }, 10));
 }
 
 Task<void> report(Deployment& deployment, FakeWorker& worker, int node, size_t& answered) {
-    co_await worker.send_report(deployment.loop, deployment.config(node).listen);
+    co_await worker.send_heartbeat(deployment.loop, deployment.config(node).listen);
     ++answered;
 }
 
@@ -71,31 +71,31 @@
     announce_limits(deployment);
     deployment.start(0);
     deployment.start(1);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     enforce_limits(deployment);
     int lead = deployment.leader();
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     std::vector<Submission> before(60);
     for (size_t i = 0; i < before.size(); ++i) {
         before[i].id = "job-" + std::to_string(1000 + i);
         submit_all(deployment, {&before[i]});
         ASSERT_TRUE(before[i].accepted());
     }
-    for (int i = 0; i < 12; ++i) deployment.send_report(worker, lead);
+    for (int i = 0; i < 12; ++i) deployment.send_heartbeat(worker, lead);
     ASSERT_EQ(worker.tasks.size(), before.size());
     // From here on the service keeps to the rate.
     TokenBucket rate(kLowerWriteRate, kLowerWriteRate);
-    deployment.store.let_through = [&](const std::string& txn) {
+    deployment.store.transaction_filter = [&](const std::string& txn) {
         auto m = MsgpackDocument::parse(txn);
-        deployment.store.transactions_to_limit =
+        deployment.store.transactions_to_rate_limit =
             rate.take(static_cast<double>(m->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
         return true;
     };
     rate.take(kLowerWriteRate, deployment.loop.now());  // the burst is used up
     for (auto& task : worker.tasks) exit_task(task, ExitCause::kDone);
-    deployment.send_report(worker, lead);
+    deployment.send_heartbeat(worker, lead);
     std::vector<Submission> steady(15);
     for (size_t i = 0; i < steady.size(); ++i) {
         deployment.run(0.35);
@@ -132,7 +132,7 @@
     EXPECT_TRUE(open.empty()) << open.size() << " users gave up";
     EXPECT_GT(returned, 0U) << "it was more than the rate";
     for (const auto& x : burst) EXPECT_EQ(deployment.store.rows.count("j/" + x.id), 1U) << x.id;
-    ASSERT_TRUE(deployment.until([&] {
+    ASSERT_TRUE(deployment.run_until([&] {
         return std::all_of(before.begin(), before.end(),
                            [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) == 1; });
     })) << "and the leader's writes are through";
@@ -143,23 +143,23 @@
     Deployment deployment;
     announce_limits(deployment);
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     enforce_limits(deployment);
     deployment.run(1);
     FakeWorker worker;
-    deployment.settle(worker);
+    deployment.register_worker(worker);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
     auto hangs = [&](const std::string& txn) { return writes_key(txn, "j/job-1"); };
-    deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
+    deployment.store.transaction_filter = [&](const std::string& txn) { return !hangs(txn); };
     TaskGroup scope(deployment.loop);
     size_t answered = 0;
     scope.spawn(report(deployment, worker, 0, answered), "report");
-    ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
+    ASSERT_TRUE(deployment.run_until([&] { return !deployment.store.held_transactions.empty(); }));
     Submission submission{"job-2", 0, "", -1};
     submit_all(deployment, {&submission});
     EXPECT_TRUE(submission.accepted()) << submission.answer;
     EXPECT_LT(submission.took, 0.3);
-    ASSERT_TRUE(deployment.until([&] { return answered == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return answered == 1; }));
 }
 
 // Users' writes and the leader's share the rate. A submission that can't be taken now is answered at once,
@@ -167,15 +167,15 @@
 TEST(WriteRate, AUsersWriteBeyondTheRateIsAnsweredAtOnce) {
     Deployment deployment;
     deployment.start(0);
-    ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
+    ASSERT_TRUE(deployment.run_until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
     auto refused = [&](const std::string& path, const std::string& body) {
-        deployment.store.transactions_to_limit = 1;
+        deployment.store.transactions_to_rate_limit = 1;
         Seconds began = deployment.loop.now();
         CallResult answer = deployment.call(0, "POST", path, body);
         EXPECT_EQ(answer.status, 429) << path;
         EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
-        EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
+        EXPECT_EQ(deployment.store.transactions_to_rate_limit, 0) << "sent once";
     };
     refused("/v2/runs", job_body("job-1"));
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
--- a/tests/workers/worker_client_test.cc
+++ b/tests/workers/worker_client_test.cc
@@ -20,8 +20,8 @@
 
     Task<Response> handle(Request request) {
         paths.push_back(request.path);
-        if (status == 200) worker.carry_out(request.body);
-        co_return Response{status, malformed ? "none" : worker.report()};
+        if (status == 200) worker.execute_commands(request.body);
+        co_return Response{status, malformed ? "none" : worker.next_heartbeat()};
     }
     std::optional<WorkerHeartbeat> send(std::vector<Command> commands) {
         return test::await(loop, send_commands(loop, at, 41, 1, std::move(commands)));
