--- a/tests/standins/addresses.h
+++ b/tests/standins/addresses.h
@@ -1,4 +1,4 @@
-// Loopback addresses for stand-ins.
+// Loopback addresses for the stand-ins.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace hareshore::test {
 
-// An address that only this test process uses, so that tests can run side by side. `host` is the last of its
-// four numbers.
+// Returns an address that is unique to this test process, so that tests can run in parallel. `host` is its
+// last octet.
 [[nodiscard]] Address address(int host, uint16_t port);
 
-// "IP:PORT", as settings files and machine lists have it.
+// Formats an address as "IP:PORT", the form used in settings files and machine lists.
 [[nodiscard]] std::string text_of(const Address& address);
 
 }  // namespace hareshore::test
--- a/tests/standins/await.h
+++ b/tests/standins/await.h
@@ -1,4 +1,4 @@
-// Runs single tasks on a test's event loop.
+// Runs a single coroutine to completion on a test's event loop.
 #pragma once
 #include <optional>
 #include <stdexcept>
@@ -13,15 +13,15 @@
     result = co_await std::move(task);
 }
 
-// Turns the loop until the task has ended, for at most a minute of its clock; the task's result.
+// Runs the loop until the task completes and returns its result. Throws after a minute on the loop's clock.
 template <class Result>
 Result await(Loop& loop, Task<Result> task) {
-    constexpr Seconds kAtMost_s = 60;
+    constexpr Seconds kTimeout_s = 60;
     std::optional<Result> result;
     TaskGroup group(loop);
     group.spawn(store_result(std::move(task), result), "awaited");
-    if (!loop.run_until([&] { return result.has_value(); }, kAtMost_s))
-        throw std::runtime_error("the task has not ended");
+    if (!loop.run_until([&] { return result.has_value(); }, kTimeout_s))
+        throw std::runtime_error("the task did not complete within the timeout");
     return *std::move(result);
 }
 
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr size_t kMostConnections = 20;
+constexpr size_t kMaxConnections = 20;
 constexpr double kListedAge_s = 100;
 
-Response error(const std::string& text) {
-    MsgpackWriter answer;
-    answer.map(1).key("error").text(text);
-    return packed_response(503, answer);
+Response unavailable(const std::string& text) {
+    MsgpackWriter response;
+    response.map(1).key("error").text(text);
+    return packed_response(503, response);
 }
 
 }  // namespace
@@ -37,10 +37,10 @@
 }
 
 FakeCloud::FakeCloud(Loop& loop, Address at)
-    : server_(loop, at, kMostConnections, [this](Request request) { return handle(std::move(request)); }) {}
+    : server_(loop, at, kMaxConnections, [this](Request request) { return handle(std::move(request)); }) {}
 
 Task<Response> FakeCloud::handle(Request request) {
-    if (down) co_return error("trouble");
+    if (down) co_return unavailable("cloud outage");
     if (request.path == "/flavors") co_return Response{200, encode_machine_types(machine_types), 0, ""};
     if (request.path == "/hosts/delete") co_return delete_machines(request);
     if (request.method == "POST") co_return rent_machines(request);
@@ -62,30 +62,30 @@
     auto message = MsgpackDocument::parse(request.body);
     std::vector<std::string> rented;
     if (rent) rented = rent(message->root()["cove"].text_or(""), message->root()["number"].count_or(1));
-    if (rented.empty()) return error("no capacity");
-    MsgpackWriter answer;
-    answer.map(1).key("hosts").list(rented.size());
-    for (const auto& name : rented) answer.text(name);
-    return packed_response(200, answer);
+    if (rented.empty()) return unavailable("no capacity");
+    MsgpackWriter response;
+    response.map(1).key("hosts").list(rented.size());
+    for (const auto& name : rented) response.text(name);
+    return packed_response(200, response);
 }
 
 Response FakeCloud::list_machines(const Request& request) {
     std::string after = query_value(request, "from");
     std::string page = query_value(request, "page");
-    size_t most = page.empty() ? machines.size() : std::stoul(page);
+    size_t page_size = page.empty() ? machines.size() : std::stoul(page);
     auto first = machines.upper_bound(after);
-    auto left = static_cast<size_t>(std::distance(first, machines.end()));
-    MsgpackWriter answer;
-    answer.map(2).key("hosts").list(std::min(most, left));
-    for (auto entry = first; entry != machines.end() && most > 0; ++entry, --most) {
+    auto remaining = static_cast<size_t>(std::distance(first, machines.end()));
+    MsgpackWriter response;
+    response.map(2).key("hosts").list(std::min(page_size, remaining));
+    for (auto entry = first; entry != machines.end() && page_size > 0; ++entry, --page_size) {
         const auto& [name, machine] = *entry;
-        answer.map(7).key("ref").text(name).key("addr").text(machine.addr);
-        answer.key("flavor").text(machine.machine_type).key("cove").text(machine.zone);
-        answer.key("driftwood").flag(machine.spot).key("phase").text("running");
-        answer.key("age_s").number(kListedAge_s);
+        response.map(7).key("ref").text(name).key("addr").text(machine.addr);
+        response.key("flavor").text(machine.machine_type).key("cove").text(machine.zone);
+        response.key("driftwood").flag(machine.spot).key("phase").text("running");
+        response.key("age_s").number(kListedAge_s);
     }
-    answer.key("has_next").flag(most == 0 && !page.empty() && std::stoul(page) < left);
-    return packed_response(200, answer);
+    response.key("has_next").flag(page_size == 0 && !page.empty() && std::stoul(page) < remaining);
+    return packed_response(200, response);
 }
 
 }  // namespace hareshore::test
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -1,4 +1,4 @@
-// A stand-in for the cloud's interface: machine types, the list of machines, renting and deleting.
+// A stand-in for the cloud's API: machine types, listing, renting and deleting machines.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,17 +10,18 @@
 
 namespace hareshore::test {
 
-// A type with 2 GPUs, 16 CPUs and 64 GB of memory in zones "a" and "b".
+// Returns a machine type with 2 GPUs, 16 CPUs and 64 GB of memory, offered in zones "a" and "b".
 [[nodiscard]] MachineType small_machine_type();
 
-// What a test sets and reads.
+// The part of the state that tests set and read.
 struct CloudControls {
     std::vector<MachineType> machine_types;
     std::map<std::string, ListedMachine> machines;
-    std::vector<std::string> deleted;  // names, in the order of their deletion
-    bool down = false;                 // every request gets 503
-    // Rents at most `most` machines and returns their names; none: there is no capacity, as without this.
-    std::function<std::vector<std::string>(const std::string& zone, size_t most)> rent;
+    std::vector<std::string> deleted;  // names, in order of deletion
+    bool down = false;                 // every request is answered 503
+    // Rents up to `max_count` machines and returns their names. No names, or no function, means that the
+    // cloud has no capacity.
+    std::function<std::vector<std::string>(const std::string& zone, size_t max_count)> rent;
 };
 
 class FakeCloud : public CloudControls {
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -17,10 +17,10 @@
 constexpr uint16_t kPeerPort = 8081;
 constexpr uint16_t kStorePort = 2379;
 constexpr Seconds kUserTimeout_s = 5;
-constexpr Seconds kMostCall_s = 10;  // for the answer to a call, on the fake clock
-constexpr int kSettleTries = 20;
-constexpr Seconds kSettlePause_s = 0.5;
-constexpr Seconds kNoReturn_s = 3600;  // the scripts decide when a machine goes
+constexpr Seconds kCallTimeout_s = 10;  // on the fake clock
+constexpr int kRegistrationAttempts = 20;
+constexpr Seconds kRegistrationRetry_s = 0.5;
+constexpr Seconds kNeverReturn_s = 3600;  // tests delete machines explicitly
 constexpr int kListedAge_s = 100;
 
 std::string label_of(int node) {
@@ -60,26 +60,26 @@
 
 struct PendingCall {
     std::string method, path, body;
-    CallResult answer;
-    bool answered = false;
+    CallResult response;
+    bool completed = false;
 };
 
-Task<void> carry_out_call(Loop& loop, Address to, PendingCall& call) {
+Task<void> run_call(Loop& loop, Address to, PendingCall& call) {
     HttpClient http(loop, to, 1);
-    call.answer = co_await http.call(std::move(call.method), std::move(call.path), std::move(call.body),
-                                     kUserTimeout_s);
-    call.answered = true;
+    call.response = co_await http.call(std::move(call.method), std::move(call.path), std::move(call.body),
+                                       kUserTimeout_s);
+    call.completed = true;
 }
 
-Task<void> carry_out_report(Loop& loop, Address to, FakeWorker& worker, int& status, bool& answered) {
+Task<void> run_heartbeat(Loop& loop, Address to, FakeWorker& worker, int& status, bool& completed) {
     status = co_await worker.send_heartbeat(loop, to);
-    answered = true;
+    completed = true;
 }
 
 }  // namespace
 
 Deployment::Deployment(int controllers) : cloud(loop, address(kCloudHost, kCloudPort)) {
-    settings.idle_return_s = settings.calm_s = kNoReturn_s;
+    settings.idle_return_s = settings.calm_s = kNeverReturn_s;
     const char* log_level = std::getenv("LOG_LEVEL");
     setup_log(log_level ? log_level : "error", "test");
     cloud.machine_types = {small_machine_type()};
@@ -128,37 +128,37 @@
 
 CallResult Deployment::call(int node, std::string method, std::string path, std::string body) {
     PendingCall call{std::move(method), std::move(path), std::move(body), {}};
-    TaskGroup scope(loop);
-    scope.spawn(carry_out_call(loop, config(node).listen, call), "call");
-    run_until([&] { return call.answered; }, kMostCall_s);
-    return call.answer;
+    TaskGroup group(loop);
+    group.spawn(run_call(loop, config(node).listen, call), "call");
+    run_until([&] { return call.completed; }, kCallTimeout_s);
+    return call.response;
 }
 
 int Deployment::send_heartbeat(FakeWorker& worker, int node) {
     int status = -1;
-    bool answered = false;
-    TaskGroup scope(loop);
-    scope.spawn(carry_out_report(loop, config(node).listen, worker, status, answered), "report");
-    run_until([&] { return answered; }, kMostCall_s);
+    bool completed = false;
+    TaskGroup group(loop);
+    group.spawn(run_heartbeat(loop, config(node).listen, worker, status, completed), "heartbeat");
+    run_until([&] { return completed; }, kCallTimeout_s);
     return status;
 }
 
 void Deployment::register_worker(FakeWorker& worker) {
-    for (int i = 0; i < kSettleTries; ++i) {
+    for (int i = 0; i < kRegistrationAttempts; ++i) {
         int leading = leader();
         if (leading != kNoLeader && send_heartbeat(worker, leading) == 200 &&
             worker.fencing_token == node(leading).election().fencing_token())
             return;
-        run(kSettlePause_s);
+        run(kRegistrationRetry_s);
     }
-    FAIL() << "no leader took the worker's report";
+    FAIL() << "no leader accepted the worker's heartbeat";
 }
 
 bool Deployment::launch(FakeWorker& worker, int node, const std::string& job) {
     EXPECT_EQ(call(node, "POST", "/v2/runs", job_body(job)).status, 201);
-    for (int report : {1, 2}) {
+    for (int sent : {1, 2}) {
         int status = send_heartbeat(worker, node);
-        EXPECT_EQ(status, 200) << "report " << report;
+        EXPECT_EQ(status, 200) << "heartbeat " << sent;
     }
     return worker.find(job + "/0") != nullptr;
 }
--- a/tests/standins/deployment.h
+++ b/tests/standins/deployment.h
@@ -1,5 +1,5 @@
-// A deployment: controllers that can be started and killed, with stand-ins for the key-value store and the
-// cloud, on a fake clock.
+// A deployment of real controllers, which tests can start and kill, with stand-ins for the key-value store
+// and the cloud. It runs on a fake clock.
 #pragma once
 #include <memory>
 #include <string>
@@ -21,40 +21,41 @@
 constexpr int kNoLeader = -1;
 
 struct Deployment {
-    // Configures `controllers` controllers, "node-0" and so on, of zone "a"; none is started.
+    // Configures `controllers` controllers named "node-0", "node-1" and so on in zone "a" without starting
+    // them.
     explicit Deployment(int controllers = 1);
     ~Deployment();
 
     Controller& start(int node);
-    // A process's end is played by cancelling its routines.
+    // Simulates the end of a process by cancelling all its coroutines.
     void kill(int node);
-    // Starts all controllers and waits until one of them leads; whether one does.
+    // Starts all controllers and waits for a leader. Returns whether one was elected.
     [[nodiscard]] bool start_and_elect();
 
-    // Lets time pass.
+    // Runs the loop for this long on the fake clock.
     void run(Seconds duration);
-    // Runs until the condition holds; whether it does within `most`.
+    // Runs the loop until the condition holds. Returns whether it did within the timeout.
     template <class Condition>
-    bool run_until(Condition condition, Seconds most = 30) {
-        return loop.run_until(condition, most);
+    bool run_until(Condition condition, Seconds timeout = 30) {
+        return loop.run_until(condition, timeout);
     }
 
     [[nodiscard]] int leader() const;  // or kNoLeader
     [[nodiscard]] Controller& node(int node) { return *nodes[static_cast<size_t>(node)]; }
     [[nodiscard]] Config& config(int node) { return configs[static_cast<size_t>(node)]; }
 
-    // A user's request and the answer to it.
+    // Sends a user's request and returns the response.
     CallResult call(int node, std::string method, std::string path, std::string body = "");
-    // Sends a worker's report; the status of the answer.
+    // Sends a worker's heartbeat and returns the status of the response.
     int send_heartbeat(FakeWorker& worker, int node);
-    // Reports to whoever leads until it is answered 200 with this epoch known.
+    // Sends heartbeats to the leader until one is answered 200 and the worker has the leader's fencing token.
     void register_worker(FakeWorker& worker);
-    // Submits a job of one task at this node, which leads, and reports until the worker runs the task;
-    // whether it does. Nobody else may have room for it.
+    // Submits a job of one task to this node, which must be the leader, and sends the two heartbeats that
+    // launch it. Returns whether the worker runs the task; no other worker may have room for it.
     [[nodiscard]] bool launch(FakeWorker& worker, int node, const std::string& job);
-    // `count` workers that the leader knows, vm-000000 and so on.
+    // Returns `count` workers named vm-000000, vm-000001 and so on, all registered with the leader.
     std::vector<FakeWorker> registered_workers(size_t count);
-    // The cloud lists the worker's machine as running.
+    // Adds the worker's machine to the cloud's list as running.
     void list_machine(const FakeWorker& worker);
 
     FakeClock clock;
--- a/tests/standins/job_bodies.h
+++ b/tests/standins/job_bodies.h
@@ -1,4 +1,4 @@
-// Bodies of submissions.
+// Request bodies of job submissions.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -7,18 +7,18 @@
 
 namespace hareshore::test {
 
-// The packed fields of a submission by their names on the wire.
+// The packed fields of a submission, by wire name.
 using JobFields = std::map<std::string, std::string>;
 using JobFieldsChange = std::function<void(JobFields&)>;
 
-// An array of one task that takes a GPU, unless `change` says otherwise.
+// Builds a job array of one task with one GPU; `change` may modify its fields before they are packed.
 [[nodiscard]] std::string job_body(const std::string& id, const JobFieldsChange& change = {});
 
-// Changes of a submission.
+// Modifications of a submission.
 void set_tasks(JobFields& fields, uint64_t tasks);
 void make_gang(JobFields& fields);
 
-// A service of production rank whose replicas take these CPUs and GPUs each.
+// Builds a service with production priority whose replicas need this many CPUs and GPUs each.
 [[nodiscard]] std::string service_body(const std::string& id, uint32_t replicas, double cpus = 1,
                                        double gpus = 0);
 
--- a/tests/standins/lower_limits.h
+++ b/tests/standins/lower_limits.h
@@ -1,4 +1,4 @@
-// The store's later, lower limits.
+// Lowers the limits of the key-value store at run time.
 #pragma once
 #include <string>
 
@@ -12,14 +12,14 @@
     double write_rps = 15;
 };
 
-// The controllers' settings announce the limits; the store keeps today's.
+// Announces the limits in the controllers' settings while the store still enforces the previous ones.
 void announce_limits(Deployment& deployment, const LowerLimits& limits = {});
-// The store enforces the limits from now on, except for the rate.
+// Makes the store enforce the limits on value and transaction sizes, but not the write rate.
 void enforce_limits(Deployment& deployment, const LowerLimits& limits = {});
-// Both.
+// Announces and enforces the limits.
 void lower_limits(Deployment& deployment, const LowerLimits& limits);
 
-// Whether a packed transaction writes this key.
+// Returns whether a packed transaction writes this key.
 [[nodiscard]] bool writes_key(const std::string& transaction, const std::string& key);
 
 }  // namespace hareshore::test
--- a/tests/standins/messages.cc
+++ b/tests/standins/messages.cc
@@ -66,7 +66,7 @@
         case msgpack::type::MAP:
             return json_map(value.via.map);
         default:
-            ADD_FAILURE() << "not JSON";
+            ADD_FAILURE() << "the MessagePack type has no JSON form";
             return "";
     }
 }
@@ -105,9 +105,9 @@
 }
 
 std::string query_value(const Request& request, const std::string& name) {
-    auto at = ("&" + request.query).find("&" + name + "=");
-    if (at == std::string::npos) return "";
-    std::string rest = request.query.substr(at + name.size() + 1);
+    auto start = ("&" + request.query).find("&" + name + "=");
+    if (start == std::string::npos) return "";
+    std::string rest = request.query.substr(start + name.size() + 1);
     return rest.substr(0, rest.find('&'));
 }
 
@@ -115,13 +115,13 @@
     return {status, body.take(), 0, "application/msgpack"};
 }
 
-std::string phase_of(const CallResult& answer) {
-    auto message = MsgpackDocument::parse(answer.body);
+std::string phase_of(const CallResult& response) {
+    auto message = MsgpackDocument::parse(response.body);
     return message ? message->root()["phase"].text_or("") : "";
 }
 
-JobState state_of(const CallResult& answer) {
-    auto message = MsgpackDocument::parse(answer.body);
+JobState state_of(const CallResult& response) {
+    auto message = MsgpackDocument::parse(response.body);
     if (!message) return {};
     MsgpackValue root = message->root();
     return {root["phase"].text_or(""), root["done"].count_or(0), root["running"].count_or(0)};
--- a/tests/standins/messages.h
+++ b/tests/standins/messages.h
@@ -1,4 +1,4 @@
-// Reading and building the MessagePack bodies of the stand-ins' protocols.
+// Reads and builds the MessagePack bodies of the protocols that the stand-ins speak.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,34 +9,34 @@
 
 namespace hareshore::test {
 
-// The JSON text of a packed value, as short as can be: the store's limits count its bytes.
+// Converts a packed value to JSON without whitespace; the store's limits count the bytes of this form.
 [[nodiscard]] std::string json_text(const std::string& packed);
 
-// The bytes of a part of a message.
+// Packs one value of a parsed message again.
 [[nodiscard]] std::string repack(const MsgpackValue& node);
 
-// One packed value.
+// Packs a single value.
 [[nodiscard]] std::string packed_text(const std::string& text);
 [[nodiscard]] std::string packed_number(double number);
 [[nodiscard]] std::string packed_count(uint64_t count);
 [[nodiscard]] std::string packed_flag(bool flag);
 [[nodiscard]] std::string packed_null();
 
-// A parameter of the request's query; empty without it.
+// Returns a parameter of the request's query string, empty if it is absent.
 [[nodiscard]] std::string query_value(const Request& request, const std::string& name);
 
-// A response that carries what the packer holds.
+// Builds a response with the writer's content as its MessagePack body.
 [[nodiscard]] Response packed_response(int status, MsgpackWriter& body);
 
-// The job's phase in an answer to a user, in the words of the wire; empty if it has none.
-[[nodiscard]] std::string phase_of(const CallResult& answer);
+// Returns the job's phase in a response to a user, by its wire name; empty if there is none.
+[[nodiscard]] std::string phase_of(const CallResult& response);
 
-// What an answer to a user tells of a job.
+// The state of a job in a response to a user.
 struct JobState {
     std::string phase;
     uint64_t done = 0, running = 0;  // tasks
     bool operator==(const JobState&) const = default;
 };
-[[nodiscard]] JobState state_of(const CallResult& answer);
+[[nodiscard]] JobState state_of(const CallResult& response);
 
 }  // namespace hareshore::test
--- a/tests/standins/mutations.cc
+++ b/tests/standins/mutations.cc
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr int kMostMutations = 4;
+constexpr int kMaxMutations = 4;
 constexpr int kKinds = 4;
-constexpr size_t kMostRepeated = 40;  // bytes
+constexpr size_t kMaxRepeatedBytes = 40;
 
 }  // namespace
 
 void mutate(std::string& bytes, std::mt19937& random) {
-    for (int left = static_cast<int>(random() % (kMostMutations + 1)); left > 0 && !bytes.empty(); --left) {
+    for (int remaining = static_cast<int>(random() % (kMaxMutations + 1)); remaining > 0 && !bytes.empty();
+         --remaining) {
         switch (random() % kKinds) {
             case 0:
                 bytes[random() % bytes.size()] = static_cast<char>(random());
@@ -21,7 +22,7 @@
                 break;
             case 2:
                 bytes.insert(random() % bytes.size(),
-                             bytes.substr(random() % bytes.size(), random() % kMostRepeated));
+                             bytes.substr(random() % bytes.size(), random() % kMaxRepeatedBytes));
                 break;
             default:
                 bytes.insert(random() % bytes.size(), 1, static_cast<char>(random()));
--- a/tests/standins/peer_statuses.h
+++ b/tests/standins/peer_statuses.h
@@ -1,4 +1,4 @@
-// Peers that have sent heartbeats or answers, for tests of decisions that depend on them.
+// Statuses of peers from which heartbeats or responses have arrived, for tests of decisions based on them.
 #pragma once
 #include <string>
 
@@ -20,18 +20,18 @@
     return heartbeat;
 }
 
-// A peer whose first heartbeat arrived then.
+// Returns a peer whose first heartbeat arrived at `received_at`.
 inline peer::PeerStatus peer_with_heartbeat(const peer::ControllerHeartbeat& heartbeat, Seconds received_at) {
     peer::PeerStatus status(peer_address(peer::label_of(heartbeat)));
     status.receive_heartbeat(1, heartbeat, received_at);
     return status;
 }
 
-// A peer that has answered a heartbeat of this process sent then, at once.
-inline peer::PeerStatus peer_with_response(peer::ControllerHeartbeat answer, Seconds sent_at) {
-    answer.request_sent_us = static_cast<uint64_t>(sent_at * 1e6);
-    peer::PeerStatus status(peer_address(peer::label_of(answer)));
-    status.receive_response(1, answer, sent_at);
+// Returns a peer that answered immediately a heartbeat that this process sent at `sent_at`.
+inline peer::PeerStatus peer_with_response(peer::ControllerHeartbeat response, Seconds sent_at) {
+    response.request_sent_us = static_cast<uint64_t>(sent_at * 1e6);
+    peer::PeerStatus status(peer_address(peer::label_of(response)));
+    status.receive_response(1, response, sent_at);
     return status;
 }
 
--- a/tests/standins/production_records.h
+++ b/tests/standins/production_records.h
@@ -1,4 +1,4 @@
-// Records as the version in production, 64db79f, wrote them.
+// Job records for tests of the stored record formats.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,10 +7,11 @@
 
 namespace hareshore::test {
 
-// The record whose bytes that version's code made, see jobs/record_format_test.cc.
+// Returns the record whose bytes in jobs/record_format_test.cc were written by commit 64db79f, the production
+// version before 9b35ad5.
 [[nodiscard]] JobRecord production_record();
 
-// An array whose tasks are all on machines, vm-000231 and so on.
+// Returns a job array with every task placed on one of `machines` machines, the first of which is vm-000231.
 [[nodiscard]] JobRecord large_record(const std::string& id, uint32_t tasks, uint32_t machines);
 
 }  // namespace hareshore::test
--- a/tests/standins/scheduling_fixture.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr uint64_t kModRevision = 5;          // of each loaded record
-constexpr uint64_t kAttemptAfterOthers = 10;  // above all attempts that tests use
+constexpr uint64_t kModRevision = 5;   // of each loaded record
+constexpr uint64_t kNextAttempt = 10;  // higher than the attempts of all placements in the tests
 
 }  // namespace
 
@@ -49,7 +49,7 @@
     JobRecord record;
     record.spec = std::move(spec);
     record.live = std::move(live);
-    record.next_attempt = record.live.empty() ? 1 : kAttemptAfterOthers;
+    record.next_attempt = record.live.empty() ? 1 : kNextAttempt;
     Job& job = jobs.load(record, kModRevision, now, {0});
     job.accepted = now;
     for (const auto& [task, placement] : record.live)
@@ -118,7 +118,8 @@
 }
 
 void SchedulingTest::delete_machine(const std::string& name) {
-    auto machine = cluster.machines.find(name);  // the name may be its own
+    // Found before the erasure: `name` may be a reference to the machine's own name.
+    auto machine = cluster.machines.find(name);
     jobs.machine_deleted(name, now);
     cluster.machines.erase(machine);
 }
@@ -131,7 +132,7 @@
 
 size_t SchedulingTest::count_stopping(const Job& job) {
     return static_cast<size_t>(std::count_if(job.live.begin(), job.live.end(),
-                                             [](const auto& live) { return live.second.stopping; }));
+                                             [](const auto& entry) { return entry.second.stopping; }));
 }
 
 ServiceTest::ServiceTest() {
@@ -179,14 +180,14 @@
     for (const auto& [id, job] : jobs.all()) mark_committed(*job);
     auto& tasks = tasks_on[machine.name];
     for (const Command& command : jobs.commands(machine, LaunchCommands::kInclude)) {
-        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& here) {
-            return here.name == command.name && here.attempt == command.attempt;
+        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& status) {
+            return status.name == command.name && status.attempt == command.attempt;
         });
-        bool here = task != tasks.end();
-        if (command.kind == CommandKind::kLaunch && !here)
+        bool present = task != tasks.end();
+        if (command.kind == CommandKind::kLaunch && !present)
             tasks.push_back({command.name, command.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-        if (command.kind == CommandKind::kStop && here) exit_task(*task, ExitCause::kStopped);
-        if (command.kind == CommandKind::kForget && here) tasks.erase(task);
+        if (command.kind == CommandKind::kStop && present) exit_task(*task, ExitCause::kStopped);
+        if (command.kind == CommandKind::kForget && present) tasks.erase(task);
     }
     apply_next_heartbeat(machine);
 }
--- a/tests/standins/settings_text.cc
+++ b/tests/standins/settings_text.cc
@@ -33,9 +33,9 @@
 list_lag_s = 6.0
 )";
 
-std::string settings_with_store_limits(const std::string& more) {
+std::string settings_with_store_limits(const std::string& lines) {
     std::string text = kSettingsText;
-    text.insert(text.find("[facts.cloud]"), more + "\n");
+    text.insert(text.find("[facts.cloud]"), lines + "\n");
     return text;
 }
 
--- a/tests/standins/settings_text.h
+++ b/tests/standins/settings_text.h
@@ -1,4 +1,4 @@
-// A controller's settings file, as small as the program accepts.
+// A minimal settings file that a controller accepts.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 extern const char* const kSettingsText;
 
-// With more in its table [facts.state].
-[[nodiscard]] std::string settings_with_store_limits(const std::string& more);
+// Returns the settings with additional lines in the table [facts.state].
+[[nodiscard]] std::string settings_with_store_limits(const std::string& lines);
 
 }  // namespace hareshore::test
--- a/tests/standins/store.cc
+++ b/tests/standins/store.cc
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr size_t kMostConnections = 100;
+constexpr size_t kMaxConnections = 100;
 constexpr Seconds kNever_s = 1e6;
-constexpr Seconds kWatchStep_s = 0.5;  // a watch looks for ended leases this often
-constexpr Seconds kLeastWatchStep_s = 0.1;
-constexpr size_t kMostRequestBytes = size_t{64} * 1024;
-constexpr size_t kConditionsPerWrite = 4;  // as many times more conditions than writes are allowed
+constexpr Seconds kLeaseCheckInterval_s = 0.5;  // of a waiting watch
+constexpr Seconds kMinLeaseCheckInterval_s = 0.1;
+constexpr size_t kMaxRequestBytes = size_t{64} * 1024;
+constexpr size_t kConditionsPerWrite = 4;  // ratio of the limit on conditions to that on writes
 
-Response no_body(int status) {
+Response empty_response(int status) {
     return {status, "", 0, ""};
 }
 
-Response refusal(int status) {
+Response error_response(int status) {
     return {status, "", 0, "application/msgpack"};
 }
 
@@ -32,7 +32,7 @@
 
 void FakeStore::listen_for(int node, Address at) {
     listeners_.push_back(std::make_unique<HttpServer>(
-        loop_, at, kMostConnections,
+        loop_, at, kMaxConnections,
         [this, node](Request request) { return handle(std::move(request), node); }));
 }
 
@@ -41,30 +41,30 @@
 }
 
 void FakeStore::expire_leases() {
-    std::vector<uint64_t> ended;
+    std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_)
-        if (lease.end < loop_.now()) ended.push_back(id);
-    for (uint64_t id : ended) expire_lease(id);
+        if (lease.expires_at < loop_.now()) expired.push_back(id);
+    for (uint64_t id : expired) expire_lease(id);
 }
 
 void FakeStore::expire_lease(uint64_t id) {
     leases_.erase(id);
-    bool any = false;
+    bool deleted_any = false;
     for (auto row = rows.begin(); row != rows.end();) {
         if (row->second.lease != id) {
             ++row;
             continue;
         }
-        if (!any) ++revision;
-        any = true;
+        if (!deleted_any) ++revision;
+        deleted_any = true;
         events_.push_back({row->first, true, "", revision});
         row = rows.erase(row);
     }
-    if (any) changed_.notify();
+    if (deleted_any) changed_.notify();
 }
 
 void FakeStore::renew_all_leases() {
-    for (auto& [id, lease] : leases_) lease.end = loop_.now() + lease.ttl;
+    for (auto& [id, lease] : leases_) lease.expires_at = loop_.now() + lease.ttl;
 }
 
 std::vector<std::string> FakeStore::failed_conditions(const MsgpackValue& conditions) {
@@ -83,9 +83,9 @@
         MsgpackValue write = writes.at(i);
         uint64_t lease = write["mooring"].count_or(0);
         if (lease > 0 && !leases_.contains(lease)) return true;
-        bool large = write["put"].present() && json_text(repack(write["data"])).size() > value_bytes;
-        if (large || writes.size() > txn_ops || conditions.size() > kConditionsPerWrite * txn_ops ||
-            json_text(body).size() > kMostRequestBytes) {
+        bool too_large = write["put"].present() && json_text(repack(write["data"])).size() > value_bytes;
+        if (too_large || writes.size() > txn_ops || conditions.size() > kConditionsPerWrite * txn_ops ||
+            json_text(body).size() > kMaxRequestBytes) {
             ++invalid_transactions;
             return true;
         }
@@ -113,21 +113,21 @@
     MsgpackValue conditions = message->root()["when"];
     MsgpackValue writes = message->root()["writes"];
     std::vector<std::string> failed = failed_conditions(conditions);
-    if (invalid(body, conditions, writes)) return refusal(400);
+    if (invalid(body, conditions, writes)) return error_response(400);
     if (transactions_to_rate_limit > 0) {
         --transactions_to_rate_limit;
-        return refusal(429);
+        return error_response(429);
     }
-    MsgpackWriter answer;
+    MsgpackWriter response;
     if (!failed.empty()) {
-        answer.map(2).key("failed").list(failed.size());
-        for (const auto& key : failed) answer.text(key);
-        answer.key("tide").count(revision);
-        return packed_response(409, answer);
+        response.map(2).key("failed").list(failed.size());
+        for (const auto& key : failed) response.text(key);
+        response.key("tide").count(revision);
+        return packed_response(409, response);
     }
     write(writes);
-    answer.map(1).key("tide").count(revision);
-    return packed_response(200, answer);
+    response.map(1).key("tide").count(revision);
+    return packed_response(200, response);
 }
 
 Task<Response> FakeStore::handle(Request request, int node) {
@@ -136,7 +136,7 @@
         expire_leases();
         co_return co_await watch(std::move(request), node);
     }
-    if (refuses(node)) co_return no_body(503);
+    if (refuses(node)) co_return empty_response(503);
     expire_leases();
     if (request.path == "/txn") {
         if (transaction_filter && !transaction_filter(request.body)) {
@@ -156,21 +156,21 @@
     Seconds ttl =
         static_cast<double>(*MsgpackDocument::parse(request.body)->root()["ttl_ms"].count()) / kMilliseconds;
     leases_[next_lease_] = {ttl, loop_.now() + ttl};
-    MsgpackWriter answer;
-    answer.map(1).key("mooring").count(next_lease_++);
-    return packed_response(200, answer);
+    MsgpackWriter response;
+    response.map(1).key("mooring").count(next_lease_++);
+    return packed_response(200, response);
 }
 
 Response FakeStore::renew_or_revoke_lease(const Request& request) {
     uint64_t id = std::stoull(request.path.substr(std::string("/leases/").size()));
     auto lease = leases_.find(id);
-    if (lease == leases_.end()) return no_body(404);
+    if (lease == leases_.end()) return empty_response(404);
     if (request.method == "DELETE") {
         expire_lease(id);
     } else {
-        lease->second.end = loop_.now() + lease->second.ttl;
+        lease->second.expires_at = loop_.now() + lease->second.ttl;
     }
-    return no_body(200);
+    return empty_response(200);
 }
 
 std::vector<const FakeStore::Event*> FakeStore::events_since(const std::string& prefix,
@@ -184,23 +184,23 @@
 Task<Response> FakeStore::watch(Request request, int node) {
     std::string prefix = query_value(request, "prefix");
     uint64_t from = std::stoull(query_value(request, "from"));
-    if (from < compacted_revision) co_return no_body(410);
-    Seconds end = loop_.now() + std::stod(query_value(request, "wait_ms")) / 1000;
+    if (from < compacted_revision) co_return empty_response(410);
+    Seconds deadline = loop_.now() + std::stod(query_value(request, "wait_ms")) / 1000;
     while (true) {
         expire_leases();
         std::vector<const Event*> found = events_since(prefix, from);
-        if (!refuses(node) && (!found.empty() || loop_.now() >= end)) {
-            MsgpackWriter answer;
-            answer.map(2).key("tide").count(revision).key("news").list(found.size());
+        if (!refuses(node) && (!found.empty() || loop_.now() >= deadline)) {
+            MsgpackWriter response;
+            response.map(2).key("tide").count(revision).key("news").list(found.size());
             for (const Event* event : found) {
-                answer.map(event->deletion ? 2 : 3).key(event->deletion ? "drop" : "put").text(event->key);
-                answer.key("stamp").count(event->mod_revision);
-                if (!event->deletion) answer.key("data").raw(event->data);
+                response.map(event->deletion ? 2 : 3).key(event->deletion ? "drop" : "put").text(event->key);
+                response.key("stamp").count(event->mod_revision);
+                if (!event->deletion) response.key("data").raw(event->data);
             }
-            co_return packed_response(200, answer);
+            co_return packed_response(200, response);
         }
-        Seconds next_look = std::max(end, loop_.now() + kLeastWatchStep_s);
-        co_await loop_.wait(changed_, std::min(next_look, loop_.now() + kWatchStep_s));
+        Seconds next_check = std::max(deadline, loop_.now() + kMinLeaseCheckInterval_s);
+        co_await loop_.wait(changed_, std::min(next_check, loop_.now() + kLeaseCheckInterval_s));
     }
 }
 
@@ -212,25 +212,25 @@
         if (starts_with(key, prefix) && key > after) found.emplace_back(key, &row);
     bool more = found.size() > list_page_size;
     if (more) found.resize(list_page_size);
-    MsgpackWriter answer;
-    answer.map(3).key("rows").list(found.size());
+    MsgpackWriter response;
+    response.map(3).key("rows").list(found.size());
     for (const auto& [key, row] : found)
-        answer.map(3).key("k").text(key).key("data").raw(row->data).key("stamp").count(row->mod_revision);
-    answer.key("has_next").flag(more).key("tide").count(revision);
-    return packed_response(200, answer);
+        response.map(3).key("k").text(key).key("data").raw(row->data).key("stamp").count(row->mod_revision);
+    response.key("has_next").flag(more).key("tide").count(revision);
+    return packed_response(200, response);
 }
 
 Response FakeStore::read(const std::string& key) {
-    MsgpackWriter answer;
+    MsgpackWriter response;
     auto found = rows.find(key);
     if (found == rows.end()) {
-        answer.map(1).key("tide").count(revision);
-        return packed_response(404, answer);
+        response.map(1).key("tide").count(revision);
+        return packed_response(404, response);
     }
     const Row& row = found->second;
-    answer.map(4).key("k").text(key).key("data").raw(row.data);
-    answer.key("stamp").count(row.mod_revision).key("mooring").count(row.lease);
-    return packed_response(200, answer);
+    response.map(4).key("k").text(key).key("data").raw(row.data);
+    response.key("stamp").count(row.mod_revision).key("mooring").count(row.lease);
+    return packed_response(200, response);
 }
 
 }  // namespace hareshore::test
--- a/tests/standins/store.h
+++ b/tests/standins/store.h
@@ -1,5 +1,5 @@
-// A stand-in for the consensus-backed key-value store: transactions, leases, lists and watches, as its
-// protocol has them. It runs in the test's own loop, on its clock.
+// A stand-in for the consensus-backed key-value store with its protocol's transactions, leases, lists and
+// watches. It runs on the test's event loop and clock.
 #pragma once
 #include <climits>
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace hareshore::test {
 
-// What a test sets and reads.
+// The part of the state that tests set and read.
 struct StoreControls {
     struct Row {
         std::string data;
@@ -23,19 +23,20 @@
     std::map<std::string, Row> rows;
     uint64_t revision = 1;
 
-    bool down = false;                   // every request gets 503
-    bool unresponsive = false;           // requests get no answer, as behind a cut
-    std::set<int> refused_nodes;         // controllers that alone get 503; their watches wait
-    uint64_t compacted_revision = 0;     // watches from before this revision get 410
-    size_t list_page_size = 1000;        // most items of a list
-    int transactions_to_rate_limit = 0;  // so many transactions to come exceed the rate and get 429
+    bool down = false;                   // every request is answered 503
+    bool unresponsive = false;           // requests are never answered, as in a network partition
+    std::set<int> refused_nodes;         // only these controllers get 503; their watches wait
+    uint64_t compacted_revision = 0;     // watches that start before this revision get 410
+    size_t list_page_size = 1000;        // maximum number of rows in a list response
+    int transactions_to_rate_limit = 0;  // number of following transactions answered 429
 
-    // Called with each transaction's body before it is carried out; false: neither the transaction nor its
-    // answer arrives, and its body is kept in `held_transactions` instead.
+    // Called with the body of each transaction before it is applied. If it returns false, the transaction is
+    // not applied and gets no response; its body is appended to `held_transactions`.
     std::function<bool(const std::string&)> transaction_filter;
     std::vector<std::string> held_transactions;
 
-    // The limits, by the JSON text of a value; what exceeds them gets 400 and counts as invalid.
+    // Limits, where value sizes are those of the JSON form. Transactions that exceed them get 400 and are
+    // counted in `invalid_transactions`.
     size_t value_bytes = SIZE_MAX, txn_ops = SIZE_MAX;
     int invalid_transactions = 0;
 };
@@ -44,16 +45,17 @@
   public:
     explicit FakeStore(Loop& loop) : loop_(loop), changed_(loop) {}
 
-    // Listens for one controller, so that it alone can be refused.
+    // Listens on an address of its own for each controller, so that single controllers can be refused.
     void listen_for(int node, Address at);
     void stop();
 
-    // Also for proxies that stand before it. `node`: the controller that asks, if it is known.
+    // Handles a request, also for proxies in front of the store. `node` is the controller that sent it, if
+    // known.
     Task<Response> handle(Request request, int node = kAnyNode);
-    // Carries out a packed transaction.
+    // Applies a packed transaction.
     Response apply(const std::string& body);
     void expire_lease(uint64_t id);
-    // All leases have their full time again, as after an outage.
+    // Extends all leases to their full time-to-live, as the store does after an outage.
     void renew_all_leases();
 
   private:
@@ -65,14 +67,14 @@
         uint64_t mod_revision = 0;
     };
     struct Lease {
-        Seconds ttl = 0, end = 0;
+        Seconds ttl = 0, expires_at = 0;
     };
 
     [[nodiscard]] bool refuses(int node) const { return down || refused_nodes.contains(node); }
     void expire_leases();
-    // The keys whose modification revision is not the one that the transaction expects.
+    // Returns the keys whose modification revision differs from the one that the transaction expects.
     std::vector<std::string> failed_conditions(const MsgpackValue& conditions);
-    // Whether the transaction exceeds a limit or names a lease that has ended.
+    // Returns whether the transaction exceeds a limit or refers to an expired lease.
     bool invalid(const std::string& body, const MsgpackValue& conditions, const MsgpackValue& writes);
     void write(const MsgpackValue& writes);
 
--- a/tests/standins/unwind.cc
+++ b/tests/standins/unwind.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr int kTurns = 30;  // more than the deepest nesting of routines
+constexpr int kTurns = 30;  // more than the deepest nesting of coroutines
 
 }  // namespace
 
--- a/tests/standins/unwind.h
+++ b/tests/standins/unwind.h
@@ -1,10 +1,10 @@
-// Ending routines of the event loop.
+// Completes the cancellation of coroutines on an event loop.
 #pragma once
 #include "loop/loop.h"
 
 namespace hareshore::test {
 
-// Turns the loop until routines that were cancelled have unwound.
+// Runs enough turns of the loop for all cancelled coroutines to unwind.
 void unwind(Loop& loop);
 
 }  // namespace hareshore::test
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Seconds kReportTimeout_s = 4;
+constexpr Seconds kHeartbeatTimeout_s = 4;
 
-// The words of the wire, in the order of TaskPhase and of ExitCause.
+// Wire names, in the order of TaskPhase and of ExitCause.
 constexpr std::array kPhases{"pulling", "gathering", "running", "saving", "exited"};
 constexpr std::array kCauses{"",      "done",    "stopped", "mates_gone", "incomplete",
                              "error", "no_room", "busy",    "unknown"};
@@ -45,34 +45,34 @@
     auto message = MsgpackDocument::parse(body);
     ASSERT_TRUE(message);
     uint64_t command_fencing_token = message->root()["epoch"].count_or(0);
-    if (command_fencing_token < fencing_token) return;  // dropped
+    if (command_fencing_token < fencing_token) return;  // from a former leader
     fencing_token = command_fencing_token;
     MsgpackValue commands = message->root()["orders"];
     for (size_t i = 0; i < commands.size(); ++i) {
         std::string verb = *commands.at(i)["verb"].text();
         auto task_name = *TaskName::parse(*commands.at(i)["piece"].text());
         uint64_t attempt = *commands.at(i)["try"].count();
-        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& here) {
-            return here.name == task_name && here.attempt == attempt;
+        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& status) {
+            return status.name == task_name && status.attempt == attempt;
         });
-        bool here = task != tasks.end();
-        if (verb == "launch" && !here)
+        bool present = task != tasks.end();
+        if (verb == "launch" && !present)
             tasks.push_back({task_name, attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-        if (verb == "halt" && here) exit_task(*task, ExitCause::kStopped);
-        if (verb == "forget" && here && task->phase == TaskPhase::kExited) tasks.erase(task);
+        if (verb == "halt" && present) exit_task(*task, ExitCause::kStopped);
+        if (verb == "forget" && present && task->phase == TaskPhase::kExited) tasks.erase(task);
     }
 }
 
 Task<int> FakeWorker::send_heartbeat(Loop& loop, Address node) {
     HttpClient http(loop, node, 1);
-    CallResult answer = co_await http.call("POST", "/hello", next_heartbeat(), kReportTimeout_s);
-    if (answer.status == 200 && !loses_responses) execute_commands(answer.body);
-    co_return answer.status;
+    CallResult response = co_await http.call("POST", "/hello", next_heartbeat(), kHeartbeatTimeout_s);
+    if (response.status == 200 && !loses_responses) execute_commands(response.body);
+    co_return response.status;
 }
 
 TaskStatus* FakeWorker::find(const std::string& task) {
-    for (auto& here : tasks)
-        if (here.name.text() == task) return &here;
+    for (auto& status : tasks)
+        if (status.name.text() == task) return &status;
     return nullptr;
 }
 
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -1,5 +1,5 @@
-// A stand-in for a worker: it reports, and carries out the commands in the answers. Its tasks run until a
-// test changes their phase.
+// A stand-in for a worker, which sends heartbeats and executes the commands in the responses. Its tasks run
+// until a test changes their phase.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,17 +16,17 @@
     uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
     std::vector<TaskStatus> tasks;
     std::optional<double> notice_s;  // spot notice
-    bool loses_responses = false;    // its reports arrive, the answers to them do not
+    bool loses_responses = false;    // heartbeats arrive, but their responses are lost
 
-    // The body of its next report.
+    // Returns the body of the next heartbeat.
     std::string next_heartbeat();
-    // Sends a report to a controller and carries out what that answers; the status.
+    // Sends a heartbeat to a controller and executes the commands in the response. Returns its status.
     Task<int> send_heartbeat(Loop& loop, Address node);
-    // Carries out the commands of an answer or of a direct command, unless they are of an earlier epoch.
+    // Executes the commands in a response or in a direct request, unless their fencing token is out of date.
     void execute_commands(const std::string& body);
-    // The task "JOB/NUMBER"; null if it is not here.
+    // Returns the task named "JOB/NUMBER", or null if the worker does not have it.
     TaskStatus* find(const std::string& task);
-    // Tasks that have not exited.
+    // Returns the number of tasks that have not exited.
     [[nodiscard]] size_t live_tasks() const;
 };
 
