--- a/.ci/expect.sh
+++ b/.ci/expect.sh
@@ -1,25 +1,25 @@
-# For the self-tests of the scripts in this folder, which source it. It goes to an empty temporary folder, which is
-# removed at the end of the self-test. A self-test sets `command` (an array), calls `expect` for each case, and ends
-# with `all_as_expected`.
+# Functions for the self-tests of the scripts in this folder, which source this file. It changes to an empty temporary
+# folder and removes it when the self-test exits. A self-test sets `command` (an array), calls `expect` for each case,
+# and ends with `all_passed`.
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 cd "$folder"
 failures=0
 
-# Runs the command and compares its exit status and one part of its output.
+# Runs the command and checks its exit status and that one line of its output contains a text.
 expect() {  # CASE STATUS OUTPUT_PART
     local status=0
     "${command[@]}" >"$folder/output" 2>&1 || status=$?
     if [ "$status" -eq "$2" ] && grep -Fq -- "$3" "$folder/output"; then
         echo "ok: $1"
     else
-        echo "FAILED: $1: status $status, expected $2 and the line '$3'; output:"
+        echo "FAILED: $1: status $status, expected $2 and a line with '$3'; output:"
         cat "$folder/output"
         failures=$((failures + 1))
     fi
 }
 
-# Writes a file, and the folders it is in, from standard input or from the lines given.
+# Writes a file from the given lines or from standard input, and creates its parent folders.
 write() {  # PATH [LINE...]
     mkdir -p "$(dirname "$1")"
     if [ $# -gt 1 ]; then
@@ -29,4 +29,4 @@
     fi
 }
 
-all_as_expected() { [ "$failures" -eq 0 ]; }
+all_passed() { [ "$failures" -eq 0 ]; }
