--- a/tests/standins/scheduling_fixture.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr uint64_t kModRevision = 5;          // of each loaded record
-constexpr uint64_t kAttemptAfterOthers = 10;  // above all attempts that tests use
+constexpr uint64_t kModRevision = 5;   // of each loaded record
+constexpr uint64_t kNextAttempt = 10;  // higher than the attempts of all placements in the tests
 
 }  // namespace
 
@@ -49,7 +49,7 @@
     JobRecord record;
     record.spec = std::move(spec);
     record.live = std::move(live);
-    record.next_attempt = record.live.empty() ? 1 : kAttemptAfterOthers;
+    record.next_attempt = record.live.empty() ? 1 : kNextAttempt;
     Job& job = jobs.load(record, kModRevision, now, {0});
     job.accepted = now;
     for (const auto& [task, placement] : record.live)
@@ -67,7 +67,7 @@
     machine.machine_type = kind.machine_type;
     machine.spot = kind.spot;
     machine.heartbeat_received = machine.has_current_token = true;
-    report(machine, {});
+    apply_heartbeat(machine, {});
     return machine;
 }
 
@@ -88,11 +88,11 @@
     return {{job, task}, attempt, phase, cause, false};
 }
 
-void SchedulingTest::report(Machine& machine, std::vector<TaskStatus> tasks) {
+void SchedulingTest::apply_heartbeat(Machine& machine, std::vector<TaskStatus> tasks) {
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, std::move(tasks)), Absence::kProven, now);
 }
 
-void SchedulingTest::hear_all_machines() {
+void SchedulingTest::refresh_heartbeat_times() {
     for (auto& [name, machine] : cluster.machines) machine->last_heartbeat = now;
 }
 
@@ -101,7 +101,7 @@
 }
 
 std::vector<Binding> SchedulingTest::schedule_for(std::vector<Machine*> requesting_machines) {
-    hear_all_machines();
+    refresh_heartbeat_times();
     recount_resources();
     return schedule(cluster, jobs,
                     {config, settings, now, std::move(requesting_machines), kNewestRecordFormat});
@@ -112,13 +112,14 @@
 }
 
 ScalingPlan SchedulingTest::plan() {
-    hear_all_machines();
+    refresh_heartbeat_times();
     recount_resources();
     return plan_scaling(cluster, jobs, scaling_input());
 }
 
 void SchedulingTest::delete_machine(const std::string& name) {
-    auto machine = cluster.machines.find(name);  // the name may be its own
+    // Found before the erasure: `name` may be a reference to the machine's own name.
+    auto machine = cluster.machines.find(name);
     jobs.machine_deleted(name, now);
     cluster.machines.erase(machine);
 }
@@ -131,7 +132,7 @@
 
 size_t SchedulingTest::count_stopping(const Job& job) {
     return static_cast<size_t>(std::count_if(job.live.begin(), job.live.end(),
-                                             [](const auto& live) { return live.second.stopping; }));
+                                             [](const auto& entry) { return entry.second.stopping; }));
 }
 
 ServiceTest::ServiceTest() {
@@ -165,35 +166,35 @@
     return add_machine(name, MachineKind{"g2", "a", true});
 }
 
-void ServiceTest::report_tasks(Machine& machine) {
-    report(machine, tasks_on[machine.name]);
+void ServiceTest::apply_next_heartbeat(Machine& machine) {
+    apply_heartbeat(machine, tasks_on[machine.name]);
 }
 
 size_t ServiceTest::start_on(const std::vector<Machine*>& requesting_machines) {
     size_t bound = schedule_for(requesting_machines).size();
-    for (auto& [name, machine] : cluster.machines) carry_out_commands(*machine);
+    for (auto& [name, machine] : cluster.machines) execute_commands(*machine);
     return bound;
 }
 
-void ServiceTest::carry_out_commands(Machine& machine) {
+void ServiceTest::execute_commands(Machine& machine) {
     for (const auto& [id, job] : jobs.all()) mark_committed(*job);
     auto& tasks = tasks_on[machine.name];
     for (const Command& command : jobs.commands(machine, LaunchCommands::kInclude)) {
-        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& here) {
-            return here.name == command.name && here.attempt == command.attempt;
+        auto task = std::find_if(tasks.begin(), tasks.end(), [&](const TaskStatus& status) {
+            return status.name == command.name && status.attempt == command.attempt;
         });
-        bool here = task != tasks.end();
-        if (command.kind == CommandKind::kLaunch && !here)
+        bool present = task != tasks.end();
+        if (command.kind == CommandKind::kLaunch && !present)
             tasks.push_back({command.name, command.attempt, TaskPhase::kRunning, ExitCause::kNone, false});
-        if (command.kind == CommandKind::kStop && here) exit_task(*task, ExitCause::kStopped);
-        if (command.kind == CommandKind::kForget && here) tasks.erase(task);
+        if (command.kind == CommandKind::kStop && present) exit_task(*task, ExitCause::kStopped);
+        if (command.kind == CommandKind::kForget && present) tasks.erase(task);
     }
-    report_tasks(machine);
+    apply_next_heartbeat(machine);
 }
 
 void ServiceTest::exit_all(Machine& machine, ExitCause cause) {
     for (auto& task : tasks_on[machine.name]) exit_task(task, cause);
-    report_tasks(machine);
+    apply_next_heartbeat(machine);
 }
 
 std::map<std::string, int> ServiceTest::placements_by(const Job& job, std::string Placement::*field) {
