--- a/src/users/job_reader.cc
+++ b/src/users/job_reader.cc
@@ -13,29 +13,29 @@
     return contact && loop_.now() - *contact > constants::kStoreUnavailable_s;
 }
 
-Task<JobStateResult> JobReader::read(std::string id, Seconds until) {
-    JobStateResult read = co_await read_records(id, until);
-    co_return history_.no_older_than_answered(id, std::move(read));
+Task<JobStateResult> JobReader::read(std::string id, Seconds deadline) {
+    JobStateResult read = co_await read_records(id, deadline);
+    co_return history_.ensure_monotonic(id, std::move(read));
 }
 
-// A record moves only from the key of unfinished jobs to that of ended ones, so reading them in this order
-// cannot miss it.
-Task<JobStateResult> JobReader::read_records(std::string id, Seconds until) {
-    if (const FinalRecord* final = history_.final_record(id)) co_return JobState::of_final(*final);
+// A record moves only from the key for unfinished jobs to the key for ended ones, so reading the keys in this
+// order cannot miss it.
+Task<JobStateResult> JobReader::read_records(std::string id, Seconds deadline) {
+    if (const FinalRecord* final = history_.final_record(id)) co_return JobState::from_final_record(*final);
     if (store_unavailable()) co_return tl::unexpected(JobReadError::kUnavailable);
-    GetResult live = co_await records_.read(id, until);
+    GetResult live = co_await records_.read(id, deadline);
     if (live.status == StoreStatus::kOk) co_return parse_live_record(id, live.entry);
-    if (live.status != StoreStatus::kNotFound || loop_.now() >= until)
+    if (live.status != StoreStatus::kNotFound || loop_.now() >= deadline)
         co_return tl::unexpected(JobReadError::kUnavailable);
-    co_return co_await read_final_record(std::move(id), until);
+    co_return co_await read_final_record(std::move(id), deadline);
 }
 
 JobStateResult JobReader::parse_live_record(const std::string& id, const Entry& entry) {
     std::optional<JobRecord> record = JobRecord::unpack(entry.data);
     if (!record) {
-        bool log_it = logged_unreadable_.size() < constants::kFinalStateCacheSize &&
-                      logged_unreadable_.insert(id).second;
-        if (log_it) {
+        bool should_log = logged_unreadable_.size() < constants::kFinalStateCacheSize &&
+                          logged_unreadable_.insert(id).second;
+        if (should_log) {
             log::error("record_unreadable",
                        {{"key", entry.key},
                         {"reason", newer_record_format(entry.data) ? "newer_format" : "malformed"}});
@@ -51,14 +51,14 @@
     return state;
 }
 
-Task<JobStateResult> JobReader::read_final_record(std::string id, Seconds until) {
-    GetResult result = co_await store_.get(final_key(id), until - loop_.now());
+Task<JobStateResult> JobReader::read_final_record(std::string id, Seconds deadline) {
+    GetResult result = co_await store_.get(final_key(id), deadline - loop_.now());
     if (result.status == StoreStatus::kNotFound) co_return tl::unexpected(JobReadError::kUnknownJob);
     if (result.status != StoreStatus::kOk) co_return tl::unexpected(JobReadError::kUnavailable);
     std::optional<FinalRecord> final = FinalRecord::unpack(result.entry.data);
     if (!final) co_return tl::unexpected(JobReadError::kUnavailable);
     history_.add_final(id, *final);
-    co_return JobState::of_final(*final);
+    co_return JobState::from_final_record(*final);
 }
 
 }  // namespace hareshore
--- a/src/users/job_requests.cc
+++ b/src/users/job_requests.cc
@@ -16,11 +16,11 @@
     return retry_response(RetryCause::kFailure);
 }
 
-// The packed record; empty if it exceeds the key-value store's limit.
+// The packed record; none if it exceeds the key-value store's value limit.
 std::optional<std::string> pack_within_limit(JobRecord& record, const Config& config, uint64_t format) {
     std::string packed = record.pack(format);
     if (json_size(packed) <= config.value_limit(format)) return packed;
-    // Nothing of a cancelled job starts again: which of its tasks are done is not needed any more.
+    // No task of a cancelled job starts again, so the set of completed tasks is not needed any more.
     record.done = {};
     packed = record.pack(format);
     if (json_size(packed) <= config.value_limit(format)) return packed;
@@ -36,9 +36,9 @@
 }
 
 Task<Response> JobRequestHandler::cancel(std::string id) {
-    Seconds until = loop_.now() + constants::kUserWriteTimeout_s;
-    while (loop_.now() < until) {
-        JobStateResult state = co_await reader_.read(id, until);
+    Seconds deadline = loop_.now() + constants::kUserWriteTimeout_s;
+    while (loop_.now() < deadline) {
+        JobStateResult state = co_await reader_.read(id, deadline);
         if (!state) co_return response_for(state.error());
         if (state->final || state->record.cancelled)
             co_return responder_.respond(id, *state, JobDetail::kPhase);
@@ -55,7 +55,7 @@
             case CancelOutcome::kFailed:
                 co_return retry_response(RetryCause::kFailure);
             case CancelOutcome::kConflict:
-                break;  // the leader wrote in between: read again
+                break;  // The leader has written the record since the read: read it again.
         }
     }
     co_return retry_response(RetryCause::kFailure);
--- a/src/users/job_requests.h
+++ b/src/users/job_requests.h
@@ -1,4 +1,4 @@
-// Users' requests about accepted jobs: their state and their cancellation.
+// Handles users' requests about accepted jobs: polls and cancellations.
 #pragma once
 #include <string>
 
@@ -21,9 +21,10 @@
           reader_(reader),
           responder_(responder) {}
 
-    // The job's phase and numbers of tasks.
+    // Returns the job's phase and its numbers of completed and running tasks.
     Task<Response> query(std::string id);
-    // Cancels the job. Status 200 once that is committed, or if the job had ended or been cancelled before.
+    // Cancels the job. Responds with status 200 once the cancellation is committed, or if the job had already
+    // ended or been cancelled.
     Task<Response> cancel(std::string id);
 
   private:
--- a/src/users/job_state.h
+++ b/src/users/job_state.h
@@ -1,4 +1,4 @@
-// The state of a job as users see it.
+// The state of a job as reported to users.
 #pragma once
 #include <cstdint>
 #include <tl/expected.hpp>
@@ -7,22 +7,22 @@
 
 namespace hareshore {
 
-// A job's state at some moment, as its record or this controller's history of answers shows it.
+// A job's state at some point in time, from its record or from this controller's history of responses.
 struct JobState {
     JobPhase phase = JobPhase::kPending;
     uint32_t done = 0;          // tasks
     uint32_t running = 0;       // tasks
-    bool final = false;         // the job has ended: its state does not change any more
+    bool final = false;         // the job has ended, and its state does not change any more
     JobRecord record;           // unless final
     uint64_t mod_revision = 0;  // of the record, unless final
 
-    static JobState of_final(const FinalRecord& final);
+    static JobState from_final_record(const FinalRecord& final);
 };
 
 // Why a job's state could not be read.
 enum class JobReadError : uint8_t {
-    kUnknownJob,   // no such job was accepted
-    kUnavailable,  // the store did not answer in time, or the record's format is not known
+    kUnknownJob,   // No job with this id has been accepted.
+    kUnavailable,  // The store did not respond in time, or the record is malformed or of an unknown format.
 };
 
 using JobStateResult = tl::expected<JobState, JobReadError>;
--- a/src/users/answer_history.h
+++ b/src/users/response_history.h
@@ -1,4 +1,5 @@
-// What this controller has answered about jobs, so that a later answer never takes an earlier one back.
+// What this controller's responses have said about jobs, so that users' reads are monotonic: a later response
+// never contradicts an earlier one.
 #pragma once
 #include <deque>
 #include <string>
@@ -8,7 +9,7 @@
 
 namespace hareshore {
 
-// A map of at most `capacity` entries by job id that drops the one inserted first.
+// A map by job id of at most `capacity` entries; when full, it evicts the oldest insertion.
 template <class Value>
 class FifoCache {
   public:
@@ -19,7 +20,7 @@
         auto entry = entries_.find(id);
         return entry == entries_.end() ? nullptr : &entry->second;
     }
-    // The entry of `id`, which is `initial` if there was none.
+    // The entry of `id`, inserted as `initial` if there is none.
     Value& insert(const std::string& id, const Value& initial) {
         auto [entry, inserted] = entries_.try_emplace(id, initial);
         if (!inserted) return entry->second;
@@ -37,29 +38,29 @@
     std::deque<std::string> order_;  // ids, in the order of insertion
 };
 
-// Reads of the store may overlap, and a slow one may return a state from before one that was answered
-// meanwhile.
-class AnswerHistory {
+// Keeps reads monotonic although reads of the store overlap: a slow read may return an older state than one
+// that a response has contained in the meantime.
+class ResponseHistory {
   public:
-    AnswerHistory();
+    ResponseHistory();
 
-    // Records that the job has ended. Its state is answered from memory from then on.
+    // Records that the job has ended. Later reads of its state are served from memory.
     void add_final(const std::string& id, const FinalRecord& final);
-    // Records that a user was told the job's phase: it is accepted, and maybe cancelled.
-    void add_answer(const std::string& id, JobPhase phase);
+    // Records that a response contains the phase of the job, which is thus accepted and possibly cancelled.
+    void add_response(const std::string& id, JobPhase phase);
 
     // The record of an ended job; null if it is not in memory. Valid until the next addition.
     [[nodiscard]] const FinalRecord* final_record(const std::string& id) const { return finals_.find(id); }
-    // `read`, or what was answered meanwhile if that is newer.
-    [[nodiscard]] JobStateResult no_older_than_answered(const std::string& id, JobStateResult read) const;
+    // `read`, or the state that a response has contained in the meantime if that is newer.
+    [[nodiscard]] JobStateResult ensure_monotonic(const std::string& id, JobStateResult read) const;
 
   private:
-    struct CallResult {
+    struct SentResponse {
         bool cancelled = false;
     };
 
     FifoCache<FinalRecord> finals_;
-    FifoCache<CallResult> answers_;
+    FifoCache<SentResponse> responses_;
 };
 
 }  // namespace hareshore
--- a/src/users/responses.cc
+++ b/src/users/responses.cc
@@ -17,7 +17,7 @@
 }
 
 Response JobResponder::respond(const std::string& id, const JobState& state, JobDetail detail) {
-    history_.add_answer(id, state.phase);
+    history_.add_response(id, state.phase);
     if (state.phase == JobPhase::kCancelled) {
         last_cancellation_ = loop_.now();
         on_cancellation_(id);
--- a/src/users/submission.cc
+++ b/src/users/submission.cc
@@ -11,7 +11,7 @@
 SubmissionHandler::SubmissionHandler(Loop& loop, const Config& config, StoreClient& store,
                                      const std::vector<MachineType>& machine_types,
                                      const RecordFormat& record_format, JobReader& reader,
-                                     AnswerHistory& history, JobResponder& responder)
+                                     ResponseHistory& history, JobResponder& responder)
     : loop_(loop),
       config_(config),
       store_(store),
@@ -28,30 +28,31 @@
         log::info("submission_refused", {{"reason", reason}});
         co_return error_response(400, reason);
     }
-    Seconds until = loop_.now() + constants::kUserWriteTimeout_s;
-    if (record_format_.newer())
-        co_return retry_response(RetryCause::kFailure);  // records are not ours to write
+    Seconds deadline = loop_.now() + constants::kUserWriteTimeout_s;
+    // This version must not write records of a newer format.
+    if (record_format_.newer()) co_return retry_response(RetryCause::kFailure);
     JobRecord record;
     record.spec = std::move(*job);
     record.accepted_wall = loop_.wall();
-    if (machine_types_.empty()) co_return co_await answer_unless_accepted(record.spec, std::nullopt, until);
-    std::optional<JobRefusal> refusal = never_runnable(record.spec, config_, machine_types_);
-    if (!refusal) refusal = never_recordable(record, config_, record_format_);
-    if (refusal) co_return co_await answer_unless_accepted(record.spec, refusal, until);
+    if (machine_types_.empty())
+        co_return co_await reject_unless_accepted(record.spec, std::nullopt, deadline);
+    std::optional<JobRefusal> refusal = check_runnable(record.spec, config_, machine_types_);
+    if (!refusal) refusal = check_record_size(record, config_, record_format_);
+    if (refusal) co_return co_await reject_unless_accepted(record.spec, refusal, deadline);
     if (reader_.store_unavailable()) co_return retry_response(RetryCause::kStoreOutage);
-    co_return co_await commit(std::move(record), until);
+    co_return co_await commit(std::move(record), deadline);
 }
 
-Task<Response> SubmissionHandler::answer_unless_accepted(JobSpec job, std::optional<JobRefusal> refusal,
-                                                         Seconds until) {
-    JobStateResult state = co_await reader_.read(job.id, until);
+Task<Response> SubmissionHandler::reject_unless_accepted(JobSpec job, std::optional<JobRefusal> refusal,
+                                                         Seconds deadline) {
+    JobStateResult state = co_await reader_.read(job.id, deadline);
     if (state) co_return responder_.respond(job.id, *state, JobDetail::kPhase);
-    bool certain = refusal && state.error() == JobReadError::kUnknownJob;
-    if (!certain) co_return retry_response(RetryCause::kFailure);
+    bool refused = refusal && state.error() == JobReadError::kUnknownJob;
+    if (!refused) co_return retry_response(RetryCause::kFailure);
     co_return error_response(status_of(*refusal), describe(*refusal, job));
 }
 
-Task<Response> SubmissionHandler::commit(JobRecord record, Seconds until) {
+Task<Response> SubmissionHandler::commit(JobRecord record, Seconds deadline) {
     const JobSpec& job = record.spec;
     Transaction transaction;
     transaction.expect_absent(live_key(job.id)).expect_absent(final_key(job.id));
@@ -64,18 +65,18 @@
                                         {"tasks", job.tasks},
                                         {"image", job.image},
                                         {"team", job.team}});
-            // The commit's response may have been slow, and the job may have been cancelled meanwhile.
-            JobStateResult state = history_.no_older_than_answered(job.id, JobState{});
+            // The job may have been cancelled while the response to the commit was delayed.
+            JobStateResult state = history_.ensure_monotonic(job.id, JobState{});
             Response response = responder_.respond(job.id, *state, JobDetail::kPhase);
             response.status = 201;
             co_return response;
         }
         case StoreStatus::kConflict: {
-            JobStateResult state = co_await reader_.read(job.id, until);
+            JobStateResult state = co_await reader_.read(job.id, deadline);
             if (state) co_return responder_.respond(job.id, *state, JobDetail::kPhase);
             co_return retry_response(RetryCause::kFailure);
         }
-        // The user is told at once when to come back, rather than held.
+        // Responds at once with the time to retry after, rather than delaying the response.
         case StoreStatus::kRateLimited:
             co_return retry_response(RetryCause::kOverload);
         case StoreStatus::kNotExecuted:
--- a/src/users/submission.h
+++ b/src/users/submission.h
@@ -1,4 +1,4 @@
-// Accepts jobs: checks a submission and writes the job's first record.
+// Accepts jobs: validates a submission and writes the job's initial record.
 #pragma once
 #include <optional>
 #include <string>
@@ -15,17 +15,17 @@
     // All must outlive the handler. `machine_types` is empty while they are unknown.
     SubmissionHandler(Loop& loop, const Config& config, StoreClient& store,
                       const std::vector<MachineType>& machine_types, const RecordFormat& record_format,
-                      JobReader& reader, AnswerHistory& history, JobResponder& responder);
+                      JobReader& reader, ResponseHistory& history, JobResponder& responder);
 
-    // Status 201 once the job is committed, 200 if it was accepted before, 4xx if it is refused for good,
-    // else a request to retry. Idempotent: a job's id is its key.
+    // Responds with status 201 once the job is committed, 200 if it was accepted before, 4xx if it is refused
+    // permanently, and otherwise asks the user to retry. Idempotent: the job's id is the idempotency key.
     Task<Response> submit(std::string body);
 
   private:
-    // Refuses the job, or asks for a retry if it cannot be decided yet (no `refusal`). But a job that was
-    // accepted once stays accepted, whatever the machine types and limits are by now.
-    Task<Response> answer_unless_accepted(JobSpec job, std::optional<JobRefusal> refusal, Seconds until);
-    Task<Response> commit(JobRecord record, Seconds until);
+    // Refuses the job, or asks the user to retry if that cannot be decided yet (no `refusal`). A job that has
+    // been accepted stays accepted, even if the machine types or limits have changed since.
+    Task<Response> reject_unless_accepted(JobSpec job, std::optional<JobRefusal> refusal, Seconds deadline);
+    Task<Response> commit(JobRecord record, Seconds deadline);
 
     Loop& loop_;
     const Config& config_;
@@ -33,7 +33,7 @@
     const std::vector<MachineType>& machine_types_;
     const RecordFormat& record_format_;
     JobReader& reader_;
-    AnswerHistory& history_;
+    ResponseHistory& history_;
     JobResponder& responder_;
 };
 
--- a/src/users/submission_check.cc
+++ b/src/users/submission_check.cc
@@ -9,19 +9,19 @@
 
 namespace {
 
-bool names_type(const JobSpec& job, const MachineType& type) {
+bool allows_machine_type(const JobSpec& job, const MachineType& type) {
     return job.machine_types.empty() || std::find(job.machine_types.begin(), job.machine_types.end(),
                                                   type.name) != job.machine_types.end();
 }
 
 }  // namespace
 
-std::optional<JobRefusal> never_runnable(const JobSpec& job, const Config& config,
+std::optional<JobRefusal> check_runnable(const JobSpec& job, const Config& config,
                                          const std::vector<MachineType>& machine_types) {
     const Team* team = config.team(job.team);
     if (!team) return JobRefusal::kUnknownTeam;
     bool fits = std::any_of(machine_types.begin(), machine_types.end(), [&](const MachineType& type) {
-        return type.fits(job.cpus, job.gpus, job.memory_gb) && names_type(job, type);
+        return type.fits(job.cpus, job.gpus, job.memory_gb) && allows_machine_type(job, type);
     });
     if (!fits) return JobRefusal::kNoMachineTypeFits;
     double tasks_at_once = job.gang() || job.service() ? job.tasks : 1;
@@ -32,10 +32,10 @@
     return std::nullopt;
 }
 
-std::optional<JobRefusal> never_recordable(const JobRecord& record, const Config& config,
-                                           const RecordFormat& record_format) {
-    // All tasks of a gang are in its record at once. An array's or a service's start as its record has room,
-    // one at a time if need be.
+std::optional<JobRefusal> check_record_size(const JobRecord& record, const Config& config,
+                                            const RecordFormat& record_format) {
+    // The record of a gang holds the placements of all its tasks at once. Tasks of arrays and services start
+    // as far as their record has room, one at a time if necessary.
     size_t reserve = constants::kRecordReserveBytes;
     if (record.spec.gang()) reserve += (record.spec.tasks - 1) * constants::kMinPlacementBytes;
     for (uint64_t format = record_format.in_force(); format <= kNewestRecordFormat; ++format)
--- a/src/users/user_service.cc
+++ b/src/users/user_service.cc
@@ -10,14 +10,15 @@
 
 namespace {
 
-// As many requests as this controller's share of the store's rate limit answers while users wait for a read.
+// The number of reads that this controller's share of the store's rate limit allows within the timeout of a
+// user's read; further requests would only wait until they time out.
 size_t max_requests(const Config& config) {
     auto controllers = static_cast<double>(config.peers.size() + 1);
-    double answered = config.state_rps * constants::kUserReadTimeout_s / controllers;
-    return std::max(constants::kMinConcurrentUserRequests, static_cast<size_t>(answered));
+    double reads_per_timeout = config.state_rps * constants::kUserReadTimeout_s / controllers;
+    return std::max(constants::kMinConcurrentUserRequests, static_cast<size_t>(reads_per_timeout));
 }
 
-// Counts a request as in progress for its lifetime.
+// Counts a request as in progress during the lifetime of this object.
 class InProgress {
   public:
     explicit InProgress(size_t& count) : count_(count) { ++count_; }
@@ -29,8 +30,9 @@
     size_t& count_;
 };
 
-// Requests for paths that cost nothing are refused however many others are in progress.
-bool refused_under_any_load(RouteError error) {
+// Whether the request is refused before the limit on requests in progress applies, since refusing it costs
+// nothing.
+bool exempt_from_request_limit(RouteError error) {
     return error == RouteError::kUnknownPath || error == RouteError::kSubmitNeedsPost;
 }
 
@@ -51,7 +53,7 @@
 
 Task<Response> UserService::handle(const Request& request) {
     tl::expected<UserRoute, RouteError> route = parse_route(request.method, request.path);
-    if (!route && refused_under_any_load(route.error())) co_return refusal(route.error());
+    if (!route && exempt_from_request_limit(route.error())) co_return refusal(route.error());
     if (in_progress_ >= max_in_progress_) co_return retry_response(RetryCause::kOverload);
     if (!route) co_return refusal(route.error());
     InProgress counted(in_progress_);
--- a/src/users/user_wire.cc
+++ b/src/users/user_wire.cc
@@ -17,9 +17,9 @@
 
 constexpr size_t kJobIdLimit = 64;       // bytes of a job id
 constexpr size_t kNameLimit = 128;       // bytes of any other name
-constexpr size_t kEnumeratorLimit = 16;  // bytes of a text with enumerated values
+constexpr size_t kEnumeratorLimit = 16;  // bytes of an enumerator's text
 constexpr size_t kNameListLimit = 64;    // names in a list
-constexpr double kLargestAmount = 1e12;  // far above any machine or duration, far below overflow
+constexpr double kMaxAmount = 1e12;      // far above any valid amount, and far below overflow
 
 const char* phase_name(JobPhase phase) {
     switch (phase) {
@@ -50,7 +50,7 @@
     return std::nullopt;
 }
 
-// Reads a map's fields one after the other and remembers the first that is missing or invalid.
+// Reads the fields of a map and records the first one that is missing or invalid.
 class FieldReader {
   public:
     explicit FieldReader(MsgpackValue map) : map_(map) {}
@@ -67,7 +67,7 @@
     }
     double amount(const char* field) {
         std::optional<double> value = map_[field].number();
-        if (!value || *value < 0 || *value > kLargestAmount) mark_invalid(field);
+        if (!value || *value < 0 || *value > kMaxAmount) mark_invalid(field);
         return value.value_or(0);
     }
     std::optional<double> optional_amount(const char* field) {
@@ -79,9 +79,9 @@
         if (!value) mark_invalid(field);
         return value.value_or(false);
     }
-    uint64_t count(const char* field, uint64_t least, uint64_t most) {
+    uint64_t count(const char* field, uint64_t min, uint64_t max) {
         std::optional<uint64_t> value = map_[field].count();
-        if (!value || *value < least || *value > most) mark_invalid(field);
+        if (!value || *value < min || *value > max) mark_invalid(field);
         return value.value_or(0);
     }
     std::vector<std::string> optional_names(const char* field) {
@@ -100,10 +100,10 @@
         return names;
     }
     template <class Enum>
-    Enum enumerator(const char* field, std::optional<Enum> (*parse)(std::string_view), Enum otherwise) {
+    Enum enumerator(const char* field, std::optional<Enum> (*parse)(std::string_view), Enum fallback) {
         std::optional<Enum> value = parse(text(field, kEnumeratorLimit));
         if (!value) mark_invalid(field);
-        return value.value_or(otherwise);
+        return value.value_or(fallback);
     }
     void mark_invalid(const char* field) {
         if (first_invalid_.empty()) first_invalid_ = field;
--- a/tests/users/service_submission_test.cc
+++ b/tests/users/service_submission_test.cc
@@ -17,12 +17,12 @@
 TEST_F(ServiceSubmission, IsRefusedIfItsReplicasCannotAllRun) {
     config.teams[0].cpus_max = 6;
     JobSpec spec = service_spec("job-1", 6);
-    EXPECT_EQ(never_runnable(spec, config, cluster.machine_types), std::nullopt);
+    EXPECT_EQ(check_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 7;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
+    EXPECT_NE(check_runnable(spec, config, cluster.machine_types), std::nullopt);
     spec.tasks = 1;
     spec.cpus = 17;
-    EXPECT_NE(never_runnable(spec, config, cluster.machine_types), std::nullopt);
+    EXPECT_NE(check_runnable(spec, config, cluster.machine_types), std::nullopt);
 }
 
 // All replicas run at once, so that all of them count; of an array's tasks one is enough.
