--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -9,63 +9,63 @@
 
 namespace {
 
-// Connections for watches: a controller watches the leadership key, and its leader the records.
+// Every controller watches the leadership key, and the leader watches the job records as well.
 constexpr size_t kWatchConnections = 4;
 
 }  // namespace
 
-StoreClient::StoreClient(Loop& loop, Address store, size_t answer_limit)
+StoreClient::StoreClient(Loop& loop, Address store, size_t response_limit)
     : loop_(loop),
-      http_(loop, store, constants::kConnectionPoolSize, answer_limit),
+      http_(loop, store, constants::kConnectionPoolSize, response_limit),
       leases_(loop, store, constants::kLeaseConnectionPoolSize, constants::kResponseLimit),
-      watches_(loop, store, kWatchConnections, answer_limit) {}
+      watches_(loop, store, kWatchConnections, response_limit) {}
 
 Task<CallResult> StoreClient::call(HttpClient& connections, std::string method, std::string path,
                                    std::string body, Seconds timeout) {
-    CallResult answer =
+    CallResult response =
         co_await connections.call(std::move(method), std::move(path), std::move(body), timeout);
-    if (shows_store_available(answer)) last_contact_ = loop_.now();
-    co_return answer;
+    if (shows_store_available(response)) last_contact_ = loop_.now();
+    co_return response;
 }
 
 Task<GetResult> StoreClient::get(std::string key, Seconds timeout) {
-    CallResult answer = co_await call(http_, "GET", get_path(key), "", timeout);
-    co_return decode_get(answer, std::move(key));
+    CallResult response = co_await call(http_, "GET", get_path(key), "", timeout);
+    co_return decode_get(response, std::move(key));
 }
 
 Task<ListResult> StoreClient::list(std::string prefix, std::string after, size_t page_size, Seconds timeout) {
     std::string path = list_path(prefix, after, page_size);
-    CallResult answer = co_await call(http_, "GET", std::move(path), "", timeout);
-    co_return decode_list(answer);
+    CallResult response = co_await call(http_, "GET", std::move(path), "", timeout);
+    co_return decode_list(response);
 }
 
 Task<TransactionResult> StoreClient::commit(Transaction transaction, Seconds timeout) {
     std::string body = encode_transaction(transaction);
-    CallResult answer = co_await call(http_, "POST", transactions_path(), std::move(body), timeout);
-    co_return decode_transaction(answer);
+    CallResult response = co_await call(http_, "POST", transactions_path(), std::move(body), timeout);
+    co_return decode_transaction(response);
 }
 
 Task<LeaseResult> StoreClient::grant_lease(Seconds ttl, Seconds timeout) {
-    CallResult answer = co_await call(leases_, "POST", leases_path(), encode_lease_request(ttl), timeout);
-    co_return decode_lease(answer);
+    CallResult response = co_await call(leases_, "POST", leases_path(), encode_lease_request(ttl), timeout);
+    co_return decode_lease(response);
 }
 
 Task<StoreStatus> StoreClient::renew_lease(LeaseId lease, Seconds timeout) {
-    CallResult answer = co_await call(leases_, "POST", lease_renewal_path(lease), "", timeout);
-    co_return decode_status(answer);
+    CallResult response = co_await call(leases_, "POST", lease_renewal_path(lease), "", timeout);
+    co_return decode_status(response);
 }
 
 Task<StoreStatus> StoreClient::revoke_lease(LeaseId lease, Seconds timeout) {
-    CallResult answer = co_await call(leases_, "DELETE", lease_path(lease), "", timeout);
-    co_return decode_status(answer);
+    CallResult response = co_await call(leases_, "DELETE", lease_path(lease), "", timeout);
+    co_return decode_status(response);
 }
 
 Task<WatchResult> StoreClient::watch(std::string prefix, Revision after, Seconds wait) {
     std::string path = watch_path(prefix, after, wait);
-    CallResult answer =
+    CallResult response =
         co_await watches_.call("GET", std::move(path), "", wait + constants::kStoreCallTimeout_s);
-    if (watch_shows_store_available(answer)) last_contact_ = loop_.now();
-    co_return decode_watch(answer);
+    if (watch_shows_store_available(response)) last_contact_ = loop_.now();
+    co_return decode_watch(response);
 }
 
 }  // namespace hareshore
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -1,8 +1,7 @@
 // A client of the consensus-backed key-value store: reads, compare-and-swap transactions, leases and watches.
 //
-// It sends each call once: whether and when to repeat one is the caller's decision, by the status of its
-// result. Each call fails after its timeout at the latest, as kNotExecuted if it was not sent and as kUnknown
-// otherwise.
+// Each request is sent once: the caller decides by the status of the result whether and when to retry. A
+// request that times out fails with kNotExecuted if it was not sent, and with kUnknown otherwise.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,28 +13,28 @@
 
 class StoreClient {
   public:
-    // An answer of more than answer_limit bytes is not read to its end and counts as none. The loop must
-    // outlive the client, and the client its calls.
-    StoreClient(Loop& loop, Address store, size_t answer_limit);
+    // A response of more than response_limit bytes is not read to its end and counts as no response. The loop
+    // must outlive the client, and the client its calls.
+    StoreClient(Loop& loop, Address store, size_t response_limit);
 
     [[nodiscard]] Task<GetResult> get(std::string key, Seconds timeout);
-    // Keys after `after` that begin with the prefix, at most page_size of them; an empty `after` begins at
-    // the first.
+    // One page of the keys with the prefix: at most page_size keys that follow `after`, or the first page if
+    // `after` is empty.
     [[nodiscard]] Task<ListResult> list(std::string prefix, std::string after, size_t page_size,
                                         Seconds timeout);
     [[nodiscard]] Task<TransactionResult> commit(Transaction transaction, Seconds timeout);
 
     [[nodiscard]] Task<LeaseResult> grant_lease(Seconds ttl, Seconds timeout);
-    // Prolongs the lease by its time to live; kNotFound: it has expired.
+    // Renews the lease for its time to live; kNotFound: it has expired.
     [[nodiscard]] Task<StoreStatus> renew_lease(LeaseId lease, Seconds timeout);
-    // Ends the lease at once, which deletes its keys.
+    // Revokes the lease at once, which deletes its keys.
     [[nodiscard]] Task<StoreStatus> revoke_lease(LeaseId lease, Seconds timeout);
 
-    // Changes after the revision to keys that begin with the prefix. Returns with the first ones, or with
-    // none after the wait.
+    // Changes after the revision to keys with the prefix. Returns as soon as there are any, or without
+    // changes after `wait`.
     [[nodiscard]] Task<WatchResult> watch(std::string prefix, Revision after, Seconds wait);
 
-    // When the store last executed a request of this client, on the loop's clock; none: it never has.
+    // When the store last executed a request of this client, on the loop's clock; none if it never has.
     [[nodiscard]] std::optional<Seconds> last_contact() const { return last_contact_; }
 
   private:
@@ -44,8 +43,8 @@
                           Seconds timeout);
 
     Loop& loop_;
-    // Reads and transactions, lease calls and watches use connections of their own: a lease must not wait for
-    // a large listing, nor anything for a watch.
+    // Separate connection pools for reads and transactions, for leases and for watches: a lease renewal must
+    // not wait for a large listing, and no request for a watch.
     HttpClient http_;
     HttpClient leases_;
     HttpClient watches_;
--- a/src/state/store_types.h
+++ b/src/state/store_types.h
@@ -1,7 +1,7 @@
 // Requests to and results of the consensus-backed key-value store (see store_client.h).
 //
-// Results are structs with a status, not values or errors: a status other than kOk may carry data too (a
-// conflict names the keys that caused it), and callers treat nearly every status in a way of its own.
+// Results are structs with a status rather than tl::expected: a status other than kOk may carry data too (a
+// conflict lists the keys that caused it), and callers handle nearly every status differently.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -15,16 +15,16 @@
     kOk,
     kNotFound,     // The key or the lease does not exist.
     kConflict,     // A condition of the transaction failed; nothing was written.
-    kNotExecuted,  // The request was certainly not executed: not sent, or refused by an unavailable store.
-    kRateLimited,  // Not executed: the request rate is exceeded.
-    kInvalid,      // Not executed: the request is invalid, so repeating it is of no use.
-    kUnknown,      // The request may have been executed, or may still be; or its answer is malformed.
+    kNotExecuted,  // The request was definitely not executed: not sent, or refused by an unavailable store.
+    kRateLimited,  // Not executed: the rate limit is exceeded.
+    kInvalid,      // Not executed: the request is invalid, so a retry would fail too.
+    kUnknown,      // The request may have been or may yet be executed, or its response is malformed.
 };
 
-// A position in the store's history; each transaction that writes has a greater one than those before.
+// A position in the store's history; it increases with each transaction that writes.
 using Revision = uint64_t;
 
-// The mod revision by which the store denotes a key that does not exist.
+// The mod revision of a key that does not exist.
 inline constexpr Revision kAbsentRevision = 0;
 
 using LeaseId = uint64_t;
@@ -60,9 +60,9 @@
 
 // The outcome of a watch.
 enum class WatchStatus : uint8_t {
-    kOk,         // The changes, if any, are complete up to the result's revision.
-    kCompacted,  // The store no longer keeps the changes asked for, or they are too many: list the keys anew.
-    kFailed,     // No usable answer: watch again later, from the same revision.
+    kOk,         // The result contains all changes up to its revision, possibly none.
+    kCompacted,  // The requested changes have been compacted or are too many for a response: relist the keys.
+    kFailed,     // No usable response: retry later, from the same revision.
 };
 
 struct WatchResult {
@@ -71,9 +71,9 @@
     Revision revision = kAbsentRevision;  // from which to watch next
 };
 
-// A compare-and-swap transaction: all its writes are applied at once, if all its conditions hold.
+// A compare-and-swap transaction: applies all its writes atomically if all its conditions are met.
 struct Transaction {
-    // The key's mod revision must be this one; kAbsentRevision: the key must not exist.
+    // Requires the key to have this mod revision; kAbsentRevision: not to exist.
     struct Condition {
         std::string key;
         Revision mod_revision = kAbsentRevision;
--- a/src/state/store_wire.cc
+++ b/src/state/store_wire.cc
@@ -1,4 +1,4 @@
-// The only file with the field names of the store's protocol.
+// The only file with the field names of the store's wire format.
 #include "state/store_wire.h"
 
 #include <utility>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The HTTP statuses that the store answers with.
-constexpr int kNoAnswer = 0;
+// The HTTP statuses of the store's responses, and 0 for a call without a response.
+constexpr int kNoResponse = 0;
 constexpr int kHttpOk = 200;
 constexpr int kHttpBadRequest = 400;
 constexpr int kHttpNotFound = 404;
@@ -19,7 +19,7 @@
 constexpr int kHttpTooManyRequests = 429;
 constexpr int kHttpUnavailable = 503;
 
-// A value's bytes, packed anew: the decoded message that it is part of is not kept.
+// Repacks a value, since the decoded message that contains it is not kept.
 std::string repack(const MsgpackValue& value) {
     msgpack::sbuffer buffer;
     if (value.raw()) msgpack::pack(buffer, *value.raw());
@@ -56,10 +56,10 @@
     return decoded;
 }
 
-// Whether the changes asked for have been compacted, or the answer exceeds the size limit. Repeating the
-// watch would bring the same large answer again, whereas a listing comes in pages.
-bool must_list_anew(const CallResult& answer) {
-    return answer.status == kHttpGone || answer.response_too_large;
+// Whether the requested changes have been compacted or the response exceeds the size limit. A repeated watch
+// would get the same oversized response again, whereas a listing is paginated.
+bool needs_relist(const CallResult& response) {
+    return response.status == kHttpGone || response.response_too_large;
 }
 
 }  // namespace
@@ -113,8 +113,8 @@
     return packer.take();
 }
 
-StoreStatus decode_status(const CallResult& answer) {
-    switch (answer.status) {
+StoreStatus decode_status(const CallResult& response) {
+    switch (response.status) {
         case kHttpOk:
             return StoreStatus::kOk;
         case kHttpNotFound:
@@ -127,18 +127,18 @@
             return StoreStatus::kInvalid;
         case kHttpUnavailable:
             return StoreStatus::kNotExecuted;
-        case kNoAnswer:
-            return answer.maybe_executed ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
+        case kNoResponse:
+            return response.maybe_executed ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
         default:
             return StoreStatus::kUnknown;
     }
 }
 
-GetResult decode_get(const CallResult& answer, std::string key) {
+GetResult decode_get(const CallResult& response, std::string key) {
     GetResult result;
-    result.status = decode_status(answer);
+    result.status = decode_status(response);
     if (result.status != StoreStatus::kOk && result.status != StoreStatus::kNotFound) return result;
-    auto message = MsgpackDocument::parse(answer.body);
+    auto message = MsgpackDocument::parse(response.body);
     if (!message || !message->root().is_map()) {
         result.status = StoreStatus::kUnknown;
         return result;
@@ -147,20 +147,20 @@
     MsgpackValue root = message->root();
     result.entry.key = std::move(key);
     result.entry.mod_revision = root["stamp"].count_or(kAbsentRevision);
-    // The protocol's lease 0 is none.
+    // On the wire, lease 0 means no lease.
     if (uint64_t lease = root["mooring"].count_or(0); lease != 0) result.entry.lease = lease;
     result.entry.data = repack(root["data"]);
     if (result.entry.mod_revision == kAbsentRevision) result.status = StoreStatus::kUnknown;
     return result;
 }
 
-ListResult decode_list(const CallResult& answer) {
+ListResult decode_list(const CallResult& response) {
     ListResult result;
-    result.status = decode_status(answer);
+    result.status = decode_status(response);
     if (result.status == StoreStatus::kNotFound || result.status == StoreStatus::kConflict)
         result.status = StoreStatus::kUnknown;  // A listing has no such outcome.
     if (result.status != StoreStatus::kOk) return result;
-    auto message = MsgpackDocument::parse(answer.body);
+    auto message = MsgpackDocument::parse(response.body);
     MsgpackValue root = message ? message->root() : MsgpackValue();
     auto more = root["has_next"].flag();
     auto revision = root["tide"].count();
@@ -176,11 +176,11 @@
     return result;
 }
 
-TransactionResult decode_transaction(const CallResult& answer) {
+TransactionResult decode_transaction(const CallResult& response) {
     TransactionResult result;
-    result.status = decode_status(answer);
+    result.status = decode_status(response);
     if (result.status != StoreStatus::kOk && result.status != StoreStatus::kConflict) return result;
-    auto message = MsgpackDocument::parse(answer.body);
+    auto message = MsgpackDocument::parse(response.body);
     auto revision = message ? message->root()["tide"].count() : std::nullopt;
     if (!revision) {
         result.status = StoreStatus::kUnknown;
@@ -192,24 +192,24 @@
     return result;
 }
 
-LeaseResult decode_lease(const CallResult& answer) {
+LeaseResult decode_lease(const CallResult& response) {
     LeaseResult result;
-    result.status = decode_status(answer);
+    result.status = decode_status(response);
     if (result.status != StoreStatus::kOk) return result;
-    auto message = MsgpackDocument::parse(answer.body);
+    auto message = MsgpackDocument::parse(response.body);
     result.lease = message ? message->root()["mooring"].count_or(0) : 0;
     if (result.lease == 0) result.status = StoreStatus::kUnknown;
     return result;
 }
 
-WatchResult decode_watch(const CallResult& answer) {
+WatchResult decode_watch(const CallResult& response) {
     WatchResult result;
-    if (must_list_anew(answer)) {
+    if (needs_relist(response)) {
         result.status = WatchStatus::kCompacted;
         return result;
     }
-    if (answer.status != kHttpOk) return result;
-    auto message = MsgpackDocument::parse(answer.body);
+    if (response.status != kHttpOk) return result;
+    auto message = MsgpackDocument::parse(response.body);
     MsgpackValue root = message ? message->root() : MsgpackValue();
     auto revision = root["tide"].count();
     if (!revision) return result;
@@ -221,12 +221,12 @@
     return result;
 }
 
-bool shows_store_available(const CallResult& answer) {
-    return answer.status == kHttpOk || answer.status == kHttpNotFound || answer.status == kHttpConflict;
+bool shows_store_available(const CallResult& response) {
+    return response.status == kHttpOk || response.status == kHttpNotFound || response.status == kHttpConflict;
 }
 
-bool watch_shows_store_available(const CallResult& answer) {
-    return answer.status == kHttpOk || must_list_anew(answer);
+bool watch_shows_store_available(const CallResult& response) {
+    return response.status == kHttpOk || needs_relist(response);
 }
 
 }  // namespace hareshore
--- a/src/state/store_wire.h
+++ b/src/state/store_wire.h
@@ -1,7 +1,7 @@
-// The store's wire format: the paths and bodies of requests, and the decoding of answers. Performs no I/O.
+// The store's wire format: encodes the paths and bodies of requests and decodes responses. Performs no I/O.
 //
-// A decoder takes the whole answer, since its HTTP status and its body together make up the result. An answer
-// that should carry a body but whose body is malformed decodes to kUnknown (a watch: kFailed).
+// A decoder takes the whole response, since the result depends on both its HTTP status and its body. A
+// response that should have a body but whose body is malformed decodes to kUnknown (a watch: to kFailed).
 #pragma once
 #include <string>
 
@@ -13,10 +13,10 @@
 
 // --- requests ---------------------------------------------------------------------------------------
 [[nodiscard]] std::string get_path(const std::string& key);
-// Keys after `after` that begin with the prefix, at most page_size of them; an empty `after` begins at the
-// first.
+// One page of the keys with the prefix: at most page_size keys that follow `after`, or the first page if
+// `after` is empty.
 [[nodiscard]] std::string list_path(const std::string& prefix, const std::string& after, size_t page_size);
-// Changes after the revision to keys that begin with the prefix; the store waits so long for the first one.
+// Changes after the revision to keys with the prefix; the store waits up to `wait` for the first one.
 [[nodiscard]] std::string watch_path(const std::string& prefix, Revision after, Seconds wait);
 [[nodiscard]] std::string transactions_path();
 [[nodiscard]] std::string leases_path();
@@ -25,18 +25,18 @@
 [[nodiscard]] std::string encode_transaction(const Transaction& transaction);
 [[nodiscard]] std::string encode_lease_request(Seconds ttl);
 
-// --- answers ----------------------------------------------------------------------------------------
-// From the HTTP status alone, for answers whose body is of no interest.
-[[nodiscard]] StoreStatus decode_status(const CallResult& answer);
-[[nodiscard]] GetResult decode_get(const CallResult& answer, std::string key);
-[[nodiscard]] ListResult decode_list(const CallResult& answer);
-[[nodiscard]] TransactionResult decode_transaction(const CallResult& answer);
-[[nodiscard]] LeaseResult decode_lease(const CallResult& answer);
-[[nodiscard]] WatchResult decode_watch(const CallResult& answer);
+// --- responses --------------------------------------------------------------------------------------
+// The status from the HTTP status alone, for responses whose body is not needed.
+[[nodiscard]] StoreStatus decode_status(const CallResult& response);
+[[nodiscard]] GetResult decode_get(const CallResult& response, std::string key);
+[[nodiscard]] ListResult decode_list(const CallResult& response);
+[[nodiscard]] TransactionResult decode_transaction(const CallResult& response);
+[[nodiscard]] LeaseResult decode_lease(const CallResult& response);
+[[nodiscard]] WatchResult decode_watch(const CallResult& response);
 
-// Whether the store executed the request, with whatever result, so that it is available to this client.
-[[nodiscard]] bool shows_store_available(const CallResult& answer);
-// The same for a watch, whose answers have other statuses.
-[[nodiscard]] bool watch_shows_store_available(const CallResult& answer);
+// Whether the store executed the request, whatever the result, and so is available to this client.
+[[nodiscard]] bool shows_store_available(const CallResult& response);
+// The same for a watch, whose responses have other statuses.
+[[nodiscard]] bool watch_shows_store_available(const CallResult& response);
 
 }  // namespace hareshore
