--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,7 +1,7 @@
-// A client of the cloud: the machine types on offer, the machines that exist, their creation and deletion.
+// A client of the cloud: lists machine types and machines, creates and deletes machines.
 //
-// Each call waits for the client's share of the cloud's rate limit, which all controllers share, and is then
-// sent once: whether to repeat it is the caller's decision, by its outcome.
+// Each request waits for this client's share of the cloud's rate limit, which all controllers share, and is
+// then sent once: the caller decides by the outcome whether to retry.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,22 +16,23 @@
 
 class CloudClient {
   public:
-    // The cloud takes rate_limit requests per second from all controllers together. The loop must outlive the
-    // client, and the client its calls.
+    // rate_limit: requests per second that the cloud accepts from all controllers together. The loop must
+    // outlive the client, and the client its calls.
     CloudClient(Loop& loop, Address cloud, double rate_limit, size_t controllers);
 
-    // None if the request failed or the answer is malformed.
+    // None if the request failed or the response is malformed.
     [[nodiscard]] Task<std::optional<std::vector<MachineType>>> machine_types();
-    // All machines, page by page; none if any of the pages could not be read.
+    // All machines, read page by page; none if any page could not be read.
     [[nodiscard]] Task<std::optional<std::vector<ListedMachine>>> list_machines();
-    // Idempotent by the request's key. The request is to be a named object: GCC 12 destroys a braced list in
-    // a co_await expression twice.
+    // Idempotent by the request's key. Pass a named object: GCC 12 destroys a braced list in a co_await
+    // expression twice.
     [[nodiscard]] Task<CreateMachinesResult> create_machines(CreateMachinesRequest request);
-    // At most constants::kMachinesPerDeletion names. Idempotent: a machine that is gone counts as deleted.
+    // At most constants::kMachinesPerDeletion names. Idempotent: a machine that no longer exists counts as
+    // deleted.
     [[nodiscard]] Task<DeleteOutcome> delete_machines(std::vector<std::string> names);
 
   private:
-    // Sends a request as soon as the rate limit allows.
+    // Sends a request as soon as the rate limit allows it.
     Task<CallResult> call(std::string method, std::string path, std::string body);
 
     Loop& loop_;
--- a/src/cloud/cloud_types.h
+++ b/src/cloud/cloud_types.h
@@ -6,11 +6,11 @@
 
 namespace hareshore {
 
-// A request to create machines of one kind.
+// A request to create machines of one type, in one zone.
 struct CreateMachinesRequest {
-    // Makes the request idempotent: once it has been executed, the cloud answers any copy of it with the same
-    // machines and creates no others. So a request whose outcome is unknown is repeated with its key, and
-    // another request, also one of another controller, must never have the same one.
+    // Makes the request idempotent: once the cloud has executed it, a retry with the same key returns the
+    // same machines and creates no others. A request whose outcome is unknown is therefore retried with its
+    // key, and no other request, of this or another controller, may reuse the key.
     std::string idempotency_key;
     std::string machine_type;
     std::string zone;
@@ -19,10 +19,10 @@
 };
 
 enum class CreateOutcome : uint8_t {
-    kCreated,      // executed: as many as there was capacity for, maybe fewer than asked for
-    kNoCapacity,   // not executed: no machine of this kind is available at present
-    kNotExecuted,  // certainly not executed, for another reason: not sent, or refused
-    kUnknown,      // may have been executed, or may still be
+    kCreated,      // executed: as many machines as there was capacity for, possibly fewer than requested
+    kNoCapacity,   // not executed: no such machine is available at present
+    kNotExecuted,  // definitely not executed, for another reason: not sent, or refused
+    kUnknown,      // may have been or may yet be executed
 };
 
 struct CreateMachinesResult {
@@ -31,9 +31,9 @@
 };
 
 enum class DeleteOutcome : uint8_t {
-    kDeleted,      // executed: the machines do not exist any more
-    kNotExecuted,  // certainly not executed: not sent, or refused
-    kUnknown,      // may have been executed, or may still be
+    kDeleted,      // executed: the machines no longer exist
+    kNotExecuted,  // definitely not executed: not sent, or refused
+    kUnknown,      // may have been or may yet be executed
 };
 
 }  // namespace hareshore
--- a/src/cloud/cloud_wire.cc
+++ b/src/cloud/cloud_wire.cc
@@ -1,4 +1,4 @@
-// The only file with the field names of the cloud's protocol.
+// The only file with the field names of the cloud's wire format.
 #include "cloud/cloud_wire.h"
 
 #include <utility>
@@ -8,22 +8,22 @@
 
 namespace hareshore {
 
-// Also the name of the types' list within the value.
+// Also the field of the stored value that holds the list.
 const std::string kMachineTypesKey = "flavors";
 
 namespace {
 
-// The HTTP statuses that the cloud refuses with.
-constexpr int kNoAnswer = 0;
+// The HTTP statuses of refused requests, and 0 for a call without a response.
+constexpr int kNoResponse = 0;
 constexpr int kHttpTooManyRequests = 429;
 constexpr int kHttpUnavailable = 503;
 
-constexpr Seconds kDefaultBoot_s = 60;  // for a type without a boot time
+constexpr Seconds kDefaultBoot_s = 60;  // for a machine type without a boot time
 
-// Whether the request was certainly not executed, and will not be.
-bool not_executed(const CallResult& answer) {
-    return answer.status == kHttpTooManyRequests || answer.status == kHttpUnavailable ||
-           (answer.status == kNoAnswer && !answer.maybe_executed);
+// Whether the request definitely was not and will not be executed.
+bool not_executed(const CallResult& response) {
+    return response.status == kHttpTooManyRequests || response.status == kHttpUnavailable ||
+           (response.status == kNoResponse && !response.maybe_executed);
 }
 
 void pack_machine_type(MsgpackWriter& packer, const MachineType& type) {
@@ -108,9 +108,9 @@
     return path;
 }
 
-std::optional<MachinePage> decode_machine_page(const CallResult& answer) {
-    if (!answer.ok()) return std::nullopt;
-    auto message = MsgpackDocument::parse(answer.body);
+std::optional<MachinePage> decode_machine_page(const CallResult& response) {
+    if (!response.ok()) return std::nullopt;
+    auto message = MsgpackDocument::parse(response.body);
     if (!message) return std::nullopt;
     MsgpackValue rows = message->root()["hosts"];
     if (!rows.is_list()) return std::nullopt;
@@ -136,17 +136,17 @@
     return packer.take();
 }
 
-CreateMachinesResult decode_create_answer(const CallResult& answer) {
+CreateMachinesResult decode_create_response(const CallResult& response) {
     CreateMachinesResult result;
-    auto message = MsgpackDocument::parse(answer.body);
+    auto message = MsgpackDocument::parse(response.body);
     MsgpackValue root = message ? message->root() : MsgpackValue();
     MsgpackValue machines = root["hosts"];
-    if (answer.ok() && machines.is_list()) {
+    if (response.ok() && machines.is_list()) {
         result.outcome = CreateOutcome::kCreated;
         for (size_t i = 0; i < machines.size(); ++i) result.machines.push_back(machines.at(i).text_or(""));
-    } else if (answer.status == kHttpUnavailable && root["error"].text_or("") == "no capacity") {
+    } else if (response.status == kHttpUnavailable && root["error"].text_or("") == "no capacity") {
         result.outcome = CreateOutcome::kNoCapacity;
-    } else if (not_executed(answer)) {
+    } else if (not_executed(response)) {
         result.outcome = CreateOutcome::kNotExecuted;
     }
     return result;
@@ -163,9 +163,9 @@
     return packer.take();
 }
 
-DeleteOutcome decode_delete_answer(const CallResult& answer) {
-    if (answer.ok()) return DeleteOutcome::kDeleted;
-    return not_executed(answer) ? DeleteOutcome::kNotExecuted : DeleteOutcome::kUnknown;
+DeleteOutcome decode_delete_response(const CallResult& response) {
+    if (response.ok()) return DeleteOutcome::kDeleted;
+    return not_executed(response) ? DeleteOutcome::kNotExecuted : DeleteOutcome::kUnknown;
 }
 
 }  // namespace hareshore
--- a/src/cloud/cloud_wire.h
+++ b/src/cloud/cloud_wire.h
@@ -1,4 +1,4 @@
-// The cloud's wire format: the paths and bodies of requests, and the decoding of answers. Performs no I/O.
+// The cloud's wire format: encodes the paths and bodies of requests and decodes responses. Performs no I/O.
 // The machine types are stored in the key-value store in the same format.
 #pragma once
 #include <optional>
@@ -12,8 +12,8 @@
 
 namespace hareshore {
 
-// The key under which the leader stores the machine types, for controllers that start while the
-// cloud is unavailable.
+// The store key of the machine types, which the leader writes for controllers that start while the cloud is
+// unavailable.
 extern const std::string kMachineTypesKey;
 
 // One page of the list of machines.
@@ -24,20 +24,20 @@
 
 [[nodiscard]] std::string machine_types_path();
 [[nodiscard]] std::string encode_machine_types(const std::vector<MachineType>& machine_types);
-// None if the bytes are malformed or hold no machine type.
+// None if the bytes are malformed or contain no machine type.
 [[nodiscard]] std::optional<std::vector<MachineType>> decode_machine_types(std::string_view packed);
 
-// The machines after the one of this name; all, if it is empty.
+// The page of machines that follow the one named `after`; the first page if it is empty.
 [[nodiscard]] std::string machine_page_path(const std::string& after);
 // None if the request failed or the body is malformed.
-[[nodiscard]] std::optional<MachinePage> decode_machine_page(const CallResult& answer);
+[[nodiscard]] std::optional<MachinePage> decode_machine_page(const CallResult& response);
 
 [[nodiscard]] std::string creation_path();
 [[nodiscard]] std::string encode_create_request(const CreateMachinesRequest& request);
-[[nodiscard]] CreateMachinesResult decode_create_answer(const CallResult& answer);
+[[nodiscard]] CreateMachinesResult decode_create_response(const CallResult& response);
 
 [[nodiscard]] std::string deletion_path();
 [[nodiscard]] std::string encode_delete_request(const std::vector<std::string>& machines);
-[[nodiscard]] DeleteOutcome decode_delete_answer(const CallResult& answer);
+[[nodiscard]] DeleteOutcome decode_delete_response(const CallResult& response);
 
 }  // namespace hareshore
--- a/src/cloud/machine_type.h
+++ b/src/cloud/machine_type.h
@@ -1,4 +1,4 @@
-// What the cloud offers and lists: machine types, and the machines that exist.
+// The machine types that the cloud offers, and the machines in its list.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -21,19 +21,19 @@
     Seconds boot_s = 0;
     std::vector<std::string> zones;
 
-    // Whether an empty machine of this type has room for a task that needs so much.
+    // Whether a task with these resource requirements fits an empty machine of this type.
     [[nodiscard]] bool fits(double task_cpus, double task_gpus, double task_memory_gb) const {
         return task_cpus <= cpus && task_gpus <= gpus && task_memory_gb <= memory_gb;
     }
 };
 
-// In the order in which a machine passes them; it does not return to an earlier one.
+// In the order of a machine's life cycle; a machine never returns to an earlier phase.
 enum class MachinePhase : uint8_t { kBooting, kRunning, kFailed };
 
-// A machine in the cloud's list, which may lag behind by some seconds.
+// A machine in the cloud's list, which may be some seconds out of date.
 struct ListedMachine {
     std::string name;
-    std::string addr;  // of its worker's server, empty while it boots
+    std::string addr;  // of the worker's server; empty while the machine boots
     std::string machine_type;
     std::string zone;
     bool spot = false;
--- a/src/workers/command.h
+++ b/src/workers/command.h
@@ -11,18 +11,18 @@
 enum class CommandKind : uint8_t {
     kLaunch,
     kStop,
-    kForget,  // drop an exited task from the heartbeats
+    kForget,  // remove an exited task from the heartbeats
 };
 
-// Its name in logs.
+// The command's name in logs.
 [[nodiscard]] std::string_view command_name(CommandKind kind);
 
-// A command for one attempt at a task. Commands are idempotent: a worker may get one any number of times.
+// A command for one attempt of a task. Commands are idempotent: a worker may receive one several times.
 struct Command {
     CommandKind kind = CommandKind::kLaunch;
     TaskName name;
     uint64_t attempt = 0;
-    Seconds grace_s = 0;  // with kStop: the time to save a checkpoint
+    Seconds grace_s = 0;  // with kStop: the grace period for saving a checkpoint
 };
 
 }  // namespace hareshore
--- a/src/workers/worker_client.h
+++ b/src/workers/worker_client.h
@@ -1,4 +1,4 @@
-// Direct requests to workers.
+// Sends commands directly to workers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,9 +10,10 @@
 
 namespace hareshore {
 
-// Sends commands to the worker without waiting for its next heartbeat, once. The result is the worker's
-// heartbeat after them if its answer came in time; none: they may have been executed or not. A worker that
-// refuses them, since the fencing token or its incarnation is another, answers with its heartbeat too.
+// Sends commands to the worker, once, without waiting for its next heartbeat. Returns the worker's heartbeat
+// after the commands, or none if there was no usable response in time: the commands may or may not have been
+// executed. A worker that refuses them because of the fencing token or the incarnation responds with its
+// heartbeat too.
 [[nodiscard]] Task<std::optional<WorkerHeartbeat>> send_commands(Loop& loop, Address worker,
                                                                  uint64_t fencing_token, uint64_t incarnation,
                                                                  std::vector<Command> commands);
--- a/src/workers/worker_wire.cc
+++ b/src/workers/worker_wire.cc
@@ -1,4 +1,4 @@
-// The only file with the field names of the workers' protocol.
+// The only file with the field names of the workers' wire format.
 #include "workers/worker_wire.h"
 
 #include <utility>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr size_t kMachineNameLimit = 128;  // bytes; the protocol's limit
+constexpr size_t kMachineNameLimit = 128;  // bytes, the limit of the protocol
 
 std::optional<TaskPhase> decode_phase(const std::string& text) {
     if (text == "pulling") return TaskPhase::kFetching;
@@ -33,12 +33,12 @@
     return ExitCause::kError;
 }
 
-// The name becomes part of records and of lines of text, whose fields spaces separate.
+// Spaces are not allowed since names become fields of records and text lines that are separated by spaces.
 bool valid_machine_name(const std::string& name) {
     return !name.empty() && name.size() <= kMachineNameLimit && name.find(' ') == std::string::npos;
 }
 
-// Whether the header is well-formed.
+// Decodes the header; false if it is malformed.
 bool decode_header(const MsgpackValue& root, HeartbeatHeader& header) {
     auto machine = root["host"].text();
     auto incarnation = root["tenure"].count();
@@ -58,7 +58,7 @@
     return true;
 }
 
-// Whether the task is well-formed.
+// Decodes the status of a task; false if it is malformed.
 bool decode_task(const MsgpackValue& task, TaskStatus& status) {
     auto name = TaskName::parse(task["piece"].text_or(""));
     auto attempt = task["try"].count();
@@ -100,7 +100,7 @@
     auto message = MsgpackDocument::parse(body);
     if (!message || !message->root().is_map()) return std::nullopt;
     MsgpackValue root = message->root();
-    std::optional<WorkerHeartbeat> heartbeat(std::in_place);  // filled in place: nothing is copied
+    std::optional<WorkerHeartbeat> heartbeat(std::in_place);  // filled in place to avoid a copy
     if (!decode_header(root, *heartbeat)) return std::nullopt;
     MsgpackValue tasks = root["pieces"];
     if (!tasks.null() && !tasks.is_list()) return std::nullopt;
--- a/src/workers/worker_wire.h
+++ b/src/workers/worker_wire.h
@@ -1,5 +1,5 @@
-// The workers' wire format: decodes heartbeats, encodes the answers to them and direct commands. Performs no
-// I/O.
+// The workers' wire format: decodes heartbeats, encodes the responses to them and direct commands. Performs
+// no I/O.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,18 +11,18 @@
 
 namespace hareshore {
 
-// None if the heartbeat is malformed, whatever is wrong with it: its sender gets the same answer.
+// None if the heartbeat is malformed; the response is the same for every cause.
 [[nodiscard]] std::optional<WorkerHeartbeat> decode_heartbeat(std::string_view body);
 
-// The answer to a heartbeat from the leader with this fencing token.
+// The leader's response to a heartbeat; `fencing_token` is the leader's.
 [[nodiscard]] std::string encode_heartbeat_answer(uint64_t fencing_token,
                                                   const std::vector<Command>& commands);
 
-// The answer to a heartbeat from another controller: the label of the leader to turn to, if one is to be
-// named.
+// The response of any other controller to a heartbeat: redirects the worker to the leader with this label, if
+// given.
 [[nodiscard]] std::string encode_redirect(std::optional<std::string_view> leader);
 
-// The path and the body of a direct request to a worker. A worker of another incarnation does not execute it.
+// The path and body of direct commands to a worker. A worker of another incarnation does not execute them.
 [[nodiscard]] std::string commands_path();
 [[nodiscard]] std::string encode_commands(uint64_t fencing_token, uint64_t incarnation,
                                           const std::vector<Command>& commands);
--- a/tests/cloud/cloud_wire_test.cc
+++ b/tests/cloud/cloud_wire_test.cc
@@ -157,11 +157,11 @@
 
 TEST(CloudWire, TheOutcomesOfACreation) {
     std::string machines = MsgpackWriter().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take();
-    CreateMachinesResult created = decode_create_answer(answer_of(200, machines));
+    CreateMachinesResult created = decode_create_response(answer_of(200, machines));
     EXPECT_EQ(created.outcome, CreateOutcome::kCreated);
     EXPECT_EQ(created.machines, (std::vector<std::string>{"vm-1", "vm-2"}));
 
-    auto outcome = [](const CallResult& answer) { return decode_create_answer(answer).outcome; };
+    auto outcome = [](const CallResult& answer) { return decode_create_response(answer).outcome; };
     std::string no_capacity = MsgpackWriter().map(1).key("error").text("no capacity").take();
     std::string trouble = MsgpackWriter().map(1).key("error").text("trouble").take();
     EXPECT_EQ(outcome(answer_of(503, no_capacity)), CreateOutcome::kNoCapacity);
@@ -180,12 +180,12 @@
 }
 
 TEST(CloudWire, TheOutcomesOfADeletion) {
-    EXPECT_EQ(decode_delete_answer(answer_of(200)), DeleteOutcome::kDeleted);
-    EXPECT_EQ(decode_delete_answer(answer_of(429)), DeleteOutcome::kNotExecuted);
-    EXPECT_EQ(decode_delete_answer(answer_of(503)), DeleteOutcome::kNotExecuted);
-    EXPECT_EQ(decode_delete_answer(answer_of(500)), DeleteOutcome::kUnknown);
-    EXPECT_EQ(decode_delete_answer({0, false, false, ""}), DeleteOutcome::kNotExecuted) << "it was not sent";
-    EXPECT_EQ(decode_delete_answer({0, true, false, ""}), DeleteOutcome::kUnknown) << "it was sent";
+    EXPECT_EQ(decode_delete_response(answer_of(200)), DeleteOutcome::kDeleted);
+    EXPECT_EQ(decode_delete_response(answer_of(429)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_response(answer_of(503)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_response(answer_of(500)), DeleteOutcome::kUnknown);
+    EXPECT_EQ(decode_delete_response({0, false, false, ""}), DeleteOutcome::kNotExecuted) << "it was not sent";
+    EXPECT_EQ(decode_delete_response({0, true, false, ""}), DeleteOutcome::kUnknown) << "it was sent";
 }
 
 }  // namespace
