--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -155,7 +155,7 @@
                                     {"attempt", command.attempt},
                                     {"machine", machine.name}});
     Response response;
-    response.body = encode_heartbeat_answer(parts_.fencing_token, commands);
+    response.body = encode_heartbeat_response(parts_.fencing_token, commands);
     // A command on its way numbers a heartbeat as well, so that the next one's number would show nothing.
     const bool next_number_known = !parts_.connections.of(machine.name).command_in_flight;
     machine.answered(route == HeartbeatRoute::kDirect && next_number_known, parts_.loop.now());
--- a/src/workers/worker_wire.cc
+++ b/src/workers/worker_wire.cc
@@ -111,7 +111,7 @@
     return heartbeat;
 }
 
-std::string encode_heartbeat_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_response(uint64_t fencing_token, const std::vector<Command>& commands) {
     MsgpackWriter packer;
     packer.map(2).key("epoch").count(fencing_token);
     pack_commands(packer, commands);
--- a/src/workers/worker_wire.h
+++ b/src/workers/worker_wire.h
@@ -15,8 +15,8 @@
 [[nodiscard]] std::optional<WorkerHeartbeat> decode_heartbeat(std::string_view body);
 
 // The leader's response to a heartbeat; `fencing_token` is the leader's.
-[[nodiscard]] std::string encode_heartbeat_answer(uint64_t fencing_token,
-                                                  const std::vector<Command>& commands);
+[[nodiscard]] std::string encode_heartbeat_response(uint64_t fencing_token,
+                                                    const std::vector<Command>& commands);
 
 // The response of any other controller to a heartbeat: redirects the worker to the leader with this label, if
 // given.
--- a/tests/workers/worker_wire_test.cc
+++ b/tests/workers/worker_wire_test.cc
@@ -225,11 +225,11 @@
     MsgpackWriter expected;
     expected.map(2).key("epoch").count(41);
     pack_expected_commands(expected);
-    EXPECT_EQ(encode_heartbeat_answer(41, one_command_of_each_kind()), expected.take());
+    EXPECT_EQ(encode_heartbeat_response(41, one_command_of_each_kind()), expected.take());
 
     MsgpackWriter empty;
     empty.map(2).key("epoch").count(41).key("orders").list(0);
-    EXPECT_EQ(encode_heartbeat_answer(41, {}), empty.take());
+    EXPECT_EQ(encode_heartbeat_response(41, {}), empty.take());
 }
 
 TEST(WorkerWire, DirectCommandsCarryTheIncarnationToo) {
