--- a/tests/cloud/cloud_client_test.cc
+++ b/tests/cloud/cloud_client_test.cc
@@ -1,4 +1,4 @@
-// The cloud's client against stand-ins for the cloud.
+// The cloud client with fakes of the cloud.
 #include "cloud/cloud_client.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr double kAmpleRate = 1000;  // requests per second
 
-std::string name_of(size_t number) {
+std::string machine_name(size_t number) {
     std::string digits = std::to_string(number);
     return "vm-" + std::string(6 - digits.size(), '0') + digits;
 }
@@ -32,10 +32,11 @@
     CloudClient client{loop, at, kAmpleRate, 3};
 };
 
-// A cloud that answers every request with the same.
+// A cloud that sends the same response to every request.
 struct ConstantCloud {
-    ConstantCloud(Loop& loop, Address at, Response answer)
-        : response(std::move(answer)), server(loop, at, 4, [this](const Request&) { return handle(); }) {}
+    ConstantCloud(Loop& loop, Address at, Response constant_response)
+        : response(std::move(constant_response)),
+          server(loop, at, 4, [this](const Request&) { return handle(); }) {}
     Task<Response> handle() {
         ++requests;
         co_return response;
@@ -46,7 +47,7 @@
     HttpServer server;
 };
 
-TEST_F(CloudClientTest, ReadsTheMachineTypes) {
+TEST_F(CloudClientTest, ReadsMachineTypes) {
     cloud.machine_types = {test::small_machine_type()};
     auto types = test::await(loop, client.machine_types());
     ASSERT_TRUE(types);
@@ -56,26 +57,26 @@
     EXPECT_FALSE(test::await(loop, client.machine_types()));
 }
 
-TEST_F(CloudClientTest, ListsTheMachinesOfAllPages) {
+TEST_F(CloudClientTest, ListsMachinesOfAllPages) {
     size_t number = 2 * constants::kMachineListPageSize + 1;
-    for (size_t i = 0; i < number; ++i) cloud.machines[name_of(i)] = {};
+    for (size_t i = 0; i < number; ++i) cloud.machines[machine_name(i)] = {};
     auto machines = test::await(loop, client.list_machines());
     ASSERT_TRUE(machines);
     ASSERT_EQ(machines->size(), number);
-    for (size_t i = 0; i < number; ++i) ASSERT_EQ((*machines)[i].name, name_of(i));
+    for (size_t i = 0; i < number; ++i) ASSERT_EQ((*machines)[i].name, machine_name(i));
     cloud.down = true;
     EXPECT_FALSE(test::await(loop, client.list_machines()));
 }
 
-TEST_F(CloudClientTest, APageThatLeadsNoFurtherEndsTheList) {
+TEST_F(CloudClientTest, PageWithoutProgressEndsListing) {
     MsgpackWriter page;
     page.map(2).key("hosts").list(1).map(1).key("ref").text("vm-1").key("has_next").flag(true);
-    Address there = test::address(5, 7101);
-    ConstantCloud looping(loop, there, {200, page.take()});
-    CloudClient to_looping(loop, there, kAmpleRate, 3);
-    EXPECT_TRUE(test::await(loop, to_looping.list_machines()));
-    EXPECT_EQ(looping.requests, 2);
-    looping.server.stop();
+    Address other_address = test::address(5, 7101);
+    ConstantCloud repeating_cloud(loop, other_address, {200, page.take()});
+    CloudClient other_client(loop, other_address, kAmpleRate, 3);
+    EXPECT_TRUE(test::await(loop, other_client.list_machines()));
+    EXPECT_EQ(repeating_cloud.requests, 2);
+    repeating_cloud.server.stop();
     test::unwind(loop);
 }
 
@@ -95,26 +96,26 @@
     EXPECT_EQ(test::await(loop, client.delete_machines({"vm-3"})), DeleteOutcome::kNotExecuted);
 }
 
-TEST_F(CloudClientTest, KeepsToItsShareOfTheRate) {
+TEST_F(CloudClientTest, RespectsItsShareOfRateLimit) {
     constexpr double kRate = 1;
-    CloudClient slow(loop, at, kRate, 1);
-    Seconds began = loop.now();
-    for (int i = 0; i < 2; ++i) test::await(loop, slow.machine_types());
-    EXPECT_EQ(loop.now(), began) << "a burst of two seconds' worth";
-    test::await(loop, slow.machine_types());
-    EXPECT_NEAR(loop.now() - began, 1 / (kRate * constants::kCloudRateShare), 0.1);
+    CloudClient limited_client(loop, at, kRate, 1);
+    Seconds start = loop.now();
+    for (int i = 0; i < 2; ++i) test::await(loop, limited_client.machine_types());
+    EXPECT_EQ(loop.now(), start) << "the burst is two seconds' worth of requests";
+    test::await(loop, limited_client.machine_types());
+    EXPECT_NEAR(loop.now() - start, 1 / (kRate * constants::kCloudRateShare), 0.1);
 }
 
-TEST_F(CloudClientTest, WaitsAfterTheRateWasExceeded) {
-    Address there = test::address(5, 7101);
-    ConstantCloud refusing(loop, there, {429, ""});
-    CloudClient refused(loop, there, 1, 1);
-    Seconds began = loop.now();
-    EXPECT_EQ(test::await(loop, refused.delete_machines({"vm-1"})), DeleteOutcome::kNotExecuted);
-    EXPECT_EQ(loop.now(), began);
-    EXPECT_EQ(test::await(loop, refused.delete_machines({"vm-1"})), DeleteOutcome::kNotExecuted);
-    EXPECT_GE(loop.now() - began, 1) << "what was left of the burst does not count";
-    refusing.server.stop();
+TEST_F(CloudClientTest, WaitsAfterRateLimitResponse) {
+    Address other_address = test::address(5, 7101);
+    ConstantCloud refusing_cloud(loop, other_address, {429, ""});
+    CloudClient limited_client(loop, other_address, 1, 1);
+    Seconds start = loop.now();
+    EXPECT_EQ(test::await(loop, limited_client.delete_machines({"vm-1"})), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(loop.now(), start);
+    EXPECT_EQ(test::await(loop, limited_client.delete_machines({"vm-1"})), DeleteOutcome::kNotExecuted);
+    EXPECT_GE(loop.now() - start, 1) << "the rest of the burst is discarded";
+    refusing_cloud.server.stop();
     test::unwind(loop);
 }
 
--- a/tests/cloud/cloud_wire_test.cc
+++ b/tests/cloud/cloud_wire_test.cc
@@ -1,4 +1,4 @@
-// The cloud's wire format: the bytes of requests, and the decoding of answers of every status and of
+// The cloud's wire format: the bytes of requests, and the decoding of responses of every status and of
 // malformed ones.
 #include "cloud/cloud_wire.h"
 
@@ -9,22 +9,22 @@
 namespace hareshore {
 namespace {
 
-CallResult answer_of(int status, std::string body = "") {
+CallResult response_of(int status, std::string body = "") {
     return {status, true, false, std::move(body)};
 }
 
-// Bodies that hold nothing a decoder could use.
+// Bodies without anything that a decoder can use.
 std::vector<std::string> malformed_bodies() {
     MsgpackWriter list;
     list.list(1).text("x");
     MsgpackWriter wrong_types;
     wrong_types.map(2).key("flavors").text("g8").key("hosts").count(1);
-    std::string cut = MsgpackWriter().map(1).key("hosts").list(0).take();
-    cut.pop_back();
-    return {"", "\xc1", "plain text", cut, list.take(), wrong_types.take()};
+    std::string truncated = MsgpackWriter().map(1).key("hosts").list(0).take();
+    truncated.pop_back();
+    return {"", "\xc1", "plain text", truncated, list.take(), wrong_types.take()};
 }
 
-// One machine of a listing, with only the fields that it must have.
+// One machine of a listing, with the required field only.
 std::string machine_row(const std::string& name) {
     return MsgpackWriter().map(1).key("ref").text(name).take();
 }
@@ -36,7 +36,7 @@
     return packer.key("has_next").flag(more).take();
 }
 
-TEST(CloudWire, PathsOfRequests) {
+TEST(CloudWire, RequestPaths) {
     EXPECT_EQ(machine_types_path(), "/flavors");
     EXPECT_EQ(machine_page_path(""), "/hosts?page=500");
     EXPECT_EQ(machine_page_path("vm-000230"), "/hosts?page=500&from=vm-000230");
@@ -44,7 +44,7 @@
     EXPECT_EQ(deletion_path(), "/hosts/delete");
 }
 
-TEST(CloudWire, MachineTypesAreReadAsTheyWereWritten) {
+TEST(CloudWire, MachineTypesRoundTrip) {
     std::vector<MachineType> written = {{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, 45, {"a", "b"}},
                                         {"c1", 4, 0, 16, 20, 0.5, 0.2, 0.1, 30, {"a"}}};
     auto read = decode_machine_types(encode_machine_types(written));
@@ -64,7 +64,7 @@
     EXPECT_EQ(read->back().name, "c1");
 }
 
-TEST(CloudWire, TheStoredBytesOfMachineTypes) {
+TEST(CloudWire, StoredBytesOfMachineTypes) {
     EXPECT_EQ(kMachineTypesKey, "flavors");
     MsgpackWriter expected;
     expected.map(1).key("flavors").list(1);
@@ -75,25 +75,25 @@
     EXPECT_EQ(encode_machine_types({{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, 45, {"a"}}}), expected.take());
 }
 
-TEST(CloudWire, AMachineTypeOfNoSpotPriceAndNoBootTime) {
+TEST(CloudWire, MachineTypeDefaults) {
     MsgpackWriter packer;
     packer.map(1).key("flavors").list(1).map(2).key("name").text("g8").key("price").number(12);
     auto types = decode_machine_types(packer.take());
     ASSERT_TRUE(types);
-    EXPECT_EQ(types->front().spot_price, 12) << "no more than an ordinary machine's";
+    EXPECT_EQ(types->front().spot_price, 12) << "defaults to the on-demand price";
     EXPECT_EQ(types->front().boot_s, 60);
     EXPECT_TRUE(types->front().zones.empty());
 }
 
-TEST(CloudWire, MalformedMachineTypesAreRefused) {
+TEST(CloudWire, RejectsMalformedMachineTypes) {
     for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_types(body));
     EXPECT_FALSE(decode_machine_types(MsgpackWriter().map(1).key("flavors").list(0).take()))
-        << "there is none";
+        << "no machine type";
     EXPECT_FALSE(decode_machine_types(MsgpackWriter().map(1).key("flavors").list(1).map(0).take()))
         << "no name";
 }
 
-TEST(CloudWire, AMachineTypeHasRoomForWhatItCanHold) {
+TEST(CloudWire, MachineTypeFitsTaskWithinCapacity) {
     MachineType type;
     type.cpus = 16;
     type.gpus = 2;
@@ -104,12 +104,12 @@
     EXPECT_FALSE(type.fits(16, 2, 65));
 }
 
-TEST(CloudWire, APageOfMachines) {
+TEST(CloudWire, DecodesMachinePage) {
     MsgpackWriter row;
     row.map(7).key("ref").text("vm-1").key("addr").text("10.1.0.1:9000").key("flavor").text("g8");
     row.key("cove").text("a").key("driftwood").flag(true).key("phase").text("running");
     row.key("age_s").number(61.5);
-    auto page = decode_machine_page(answer_of(200, machine_page({row.take(), machine_row("vm-2")}, true)));
+    auto page = decode_machine_page(response_of(200, machine_page({row.take(), machine_row("vm-2")}, true)));
     ASSERT_TRUE(page);
     EXPECT_TRUE(page->more);
     ASSERT_EQ(page->machines.size(), 2U);
@@ -126,10 +126,10 @@
     EXPECT_EQ(page->machines[1].phase, MachinePhase::kBooting);
 }
 
-TEST(CloudWire, EachPhaseOfAMachine) {
+TEST(CloudWire, DecodesMachinePhases) {
     auto phase_of = [](const std::string& text) {
         std::string row = MsgpackWriter().map(2).key("ref").text("vm-1").key("phase").text(text).take();
-        return decode_machine_page(answer_of(200, machine_page({row}, false)))->machines.at(0).phase;
+        return decode_machine_page(response_of(200, machine_page({row}, false)))->machines.at(0).phase;
     };
     EXPECT_EQ(phase_of("booting"), MachinePhase::kBooting);
     EXPECT_EQ(phase_of("running"), MachinePhase::kRunning);
@@ -137,55 +137,56 @@
     EXPECT_EQ(phase_of("of a later version"), MachinePhase::kBooting);
 }
 
-TEST(CloudWire, APageThatIsNotUsableIsRefusedAsAWhole) {
-    for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_page(answer_of(200, body)));
+TEST(CloudWire, RejectsPageWithAnyInvalidMachine) {
+    for (const auto& body : malformed_bodies()) EXPECT_FALSE(decode_machine_page(response_of(200, body)));
     std::string good = machine_row("vm-1");
-    EXPECT_TRUE(decode_machine_page(answer_of(200, machine_page({good}, false))));
+    EXPECT_TRUE(decode_machine_page(response_of(200, machine_page({good}, false))));
     for (const char* name : {"", "vm 2"})
-        EXPECT_FALSE(decode_machine_page(answer_of(200, machine_page({good, machine_row(name)}, false))))
+        EXPECT_FALSE(decode_machine_page(response_of(200, machine_page({good, machine_row(name)}, false))))
             << name;
     for (int status : {0, 400, 429, 500, 503})
-        EXPECT_FALSE(decode_machine_page(answer_of(status, machine_page({good}, false)))) << status;
+        EXPECT_FALSE(decode_machine_page(response_of(status, machine_page({good}, false)))) << status;
 }
 
-TEST(CloudWire, ARequestToCreateMachines) {
+TEST(CloudWire, EncodesCreateRequest) {
     MsgpackWriter expected;
     expected.map(5).key("claim").text("r-3-17").key("flavor").text("g8").key("cove").text("a");
     expected.key("driftwood").flag(true).key("number").count(12);
     EXPECT_EQ(encode_create_request({"r-3-17", "g8", "a", true, 12}), expected.take());
 }
 
-TEST(CloudWire, TheOutcomesOfACreation) {
+TEST(CloudWire, DecodesCreateOutcomes) {
     std::string machines = MsgpackWriter().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take();
-    CreateMachinesResult created = decode_create_response(answer_of(200, machines));
+    CreateMachinesResult created = decode_create_response(response_of(200, machines));
     EXPECT_EQ(created.outcome, CreateOutcome::kCreated);
     EXPECT_EQ(created.machines, (std::vector<std::string>{"vm-1", "vm-2"}));
 
-    auto outcome = [](const CallResult& answer) { return decode_create_response(answer).outcome; };
+    auto outcome = [](const CallResult& response) { return decode_create_response(response).outcome; };
     std::string no_capacity = MsgpackWriter().map(1).key("error").text("no capacity").take();
-    std::string trouble = MsgpackWriter().map(1).key("error").text("trouble").take();
-    EXPECT_EQ(outcome(answer_of(503, no_capacity)), CreateOutcome::kNoCapacity);
-    EXPECT_EQ(outcome(answer_of(503, trouble)), CreateOutcome::kNotExecuted);
-    EXPECT_EQ(outcome(answer_of(429)), CreateOutcome::kNotExecuted);
-    EXPECT_EQ(outcome({0, false, false, ""}), CreateOutcome::kNotExecuted) << "it was not sent";
-    EXPECT_EQ(outcome({0, true, false, ""}), CreateOutcome::kUnknown) << "it was sent";
-    EXPECT_EQ(outcome(answer_of(500, no_capacity)), CreateOutcome::kUnknown);
+    std::string other_error = MsgpackWriter().map(1).key("error").text("trouble").take();
+    EXPECT_EQ(outcome(response_of(503, no_capacity)), CreateOutcome::kNoCapacity);
+    EXPECT_EQ(outcome(response_of(503, other_error)), CreateOutcome::kNotExecuted);
+    EXPECT_EQ(outcome(response_of(429)), CreateOutcome::kNotExecuted);
+    EXPECT_EQ(outcome({0, false, false, ""}), CreateOutcome::kNotExecuted) << "not sent";
+    EXPECT_EQ(outcome({0, true, false, ""}), CreateOutcome::kUnknown) << "sent";
+    EXPECT_EQ(outcome(response_of(500, no_capacity)), CreateOutcome::kUnknown);
     for (const auto& body : malformed_bodies())
-        EXPECT_EQ(outcome(answer_of(200, body)), CreateOutcome::kUnknown) << "machines of unknown names";
+        EXPECT_EQ(outcome(response_of(200, body)), CreateOutcome::kUnknown)
+            << "the names of the machines are unknown";
 }
 
-TEST(CloudWire, ARequestToDeleteMachines) {
+TEST(CloudWire, EncodesDeleteRequest) {
     EXPECT_EQ(encode_delete_request({"vm-1", "vm-2"}),
               MsgpackWriter().map(1).key("hosts").list(2).text("vm-1").text("vm-2").take());
 }
 
-TEST(CloudWire, TheOutcomesOfADeletion) {
-    EXPECT_EQ(decode_delete_response(answer_of(200)), DeleteOutcome::kDeleted);
-    EXPECT_EQ(decode_delete_response(answer_of(429)), DeleteOutcome::kNotExecuted);
-    EXPECT_EQ(decode_delete_response(answer_of(503)), DeleteOutcome::kNotExecuted);
-    EXPECT_EQ(decode_delete_response(answer_of(500)), DeleteOutcome::kUnknown);
-    EXPECT_EQ(decode_delete_response({0, false, false, ""}), DeleteOutcome::kNotExecuted) << "it was not sent";
-    EXPECT_EQ(decode_delete_response({0, true, false, ""}), DeleteOutcome::kUnknown) << "it was sent";
+TEST(CloudWire, DecodesDeleteOutcomes) {
+    EXPECT_EQ(decode_delete_response(response_of(200)), DeleteOutcome::kDeleted);
+    EXPECT_EQ(decode_delete_response(response_of(429)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_response(response_of(503)), DeleteOutcome::kNotExecuted);
+    EXPECT_EQ(decode_delete_response(response_of(500)), DeleteOutcome::kUnknown);
+    EXPECT_EQ(decode_delete_response({0, false, false, ""}), DeleteOutcome::kNotExecuted) << "not sent";
+    EXPECT_EQ(decode_delete_response({0, true, false, ""}), DeleteOutcome::kUnknown) << "sent";
 }
 
 }  // namespace
--- a/tests/state/store_client_test.cc
+++ b/tests/state/store_client_test.cc
@@ -1,4 +1,4 @@
-// The store's client against a stand-in for the store.
+// The store client with a fake store.
 #include "state/store_client.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
     StoreClient client{loop, at, constants::kResponseLimit};
 };
 
-TEST_F(StoreClientTest, ReadsWhatWasCommitted) {
+TEST_F(StoreClientTest, ReadsCommittedValue) {
     TransactionResult committed = put("a", "x");
     ASSERT_EQ(committed.status, StoreStatus::kOk);
     GetResult read = get("a");
@@ -47,7 +47,7 @@
     EXPECT_EQ(get("b").status, StoreStatus::kNotFound);
 }
 
-TEST_F(StoreClientTest, ATransactionWhoseConditionFailsWritesNothing) {
+TEST_F(StoreClientTest, FailedConditionPreventsAllWrites) {
     uint64_t revision = put("a", "x").revision;
     Transaction transaction;
     transaction.expect_absent("a").expect_revision("b", kAbsentRevision).put("b", store.rows["a"].data);
@@ -62,9 +62,9 @@
     EXPECT_EQ(get("a").status, StoreStatus::kNotFound);
 }
 
-TEST_F(StoreClientTest, ListsAPrefixPageByPage) {
+TEST_F(StoreClientTest, ListsPrefixInPages) {
     for (const char* key : {"j/1", "j/2", "j/3", "k/1"}) put(key, "x");
-    store.list_page_size = 2;  // The stand-in has pages of this size, whatever size is asked for.
+    store.list_page_size = 2;  // The fake store ignores the requested page size and uses this one.
     ListResult first = test::await(loop, client.list("j/", "", 2, kTimeout_s));
     ASSERT_EQ(first.status, StoreStatus::kOk);
     ASSERT_EQ(first.entries.size(), 2U);
@@ -76,7 +76,7 @@
     EXPECT_EQ(second.revision, store.revision);
 }
 
-TEST_F(StoreClientTest, AKeyEndsWithItsLease) {
+TEST_F(StoreClientTest, RevokedLeaseDeletesItsKeys) {
     LeaseResult granted = test::await(loop, client.grant_lease(3, kTimeout_s));
     ASSERT_EQ(granted.status, StoreStatus::kOk);
     Transaction transaction;
@@ -89,7 +89,7 @@
     EXPECT_EQ(test::await(loop, client.renew_lease(granted.lease, kTimeout_s)), StoreStatus::kNotFound);
 }
 
-TEST_F(StoreClientTest, AWatchReturnsTheChangesAfterItsRevision) {
+TEST_F(StoreClientTest, WatchReturnsChangesAfterRevision) {
     uint64_t revision = put("j/1", "x").revision;
     put("j/2", "y");
     put("k/1", "z");
@@ -99,43 +99,43 @@
     EXPECT_EQ(changes.changes[0].key, "j/2");
     EXPECT_EQ(changes.revision, store.revision);
 
-    Seconds began = loop.now();
+    Seconds start = loop.now();
     WatchResult none = test::await(loop, client.watch("j/", changes.revision, 1));
     EXPECT_EQ(none.status, WatchStatus::kOk);
     EXPECT_TRUE(none.changes.empty());
-    EXPECT_GE(loop.now() - began, 1) << "it waits for changes";
+    EXPECT_GE(loop.now() - start, 1) << "the watch waits for changes";
 
     store.compacted_revision = store.revision;
     EXPECT_EQ(test::await(loop, client.watch("j/", revision, 1)).status, WatchStatus::kCompacted);
 }
 
-TEST_F(StoreClientTest, RemembersItsLastContact) {
+TEST_F(StoreClientTest, RecordsLastContact) {
     EXPECT_EQ(client.last_contact(), std::nullopt);
     store.down = true;
     EXPECT_EQ(get("a").status, StoreStatus::kNotExecuted);
-    EXPECT_EQ(client.last_contact(), std::nullopt) << "refused";
+    EXPECT_EQ(client.last_contact(), std::nullopt) << "a refusal is no contact";
     store.down = false;
     get("a");
-    EXPECT_EQ(client.last_contact(), loop.now()) << "the absence of a key is an answer";
+    EXPECT_EQ(client.last_contact(), loop.now()) << "a response that the key does not exist is a contact";
     clock.advance(5);
     test::await(loop, client.watch("a", store.revision, 1));
     EXPECT_EQ(client.last_contact(), loop.now());
 }
 
-TEST_F(StoreClientTest, ACallThatWasNotSentIsNotExecutedAndOneWithoutAnswerUnknown) {
-    StoreClient nowhere(loop, test::address(5, 7001), constants::kResponseLimit);
-    EXPECT_EQ(test::await(loop, nowhere.get("a", kTimeout_s)).status, StoreStatus::kNotExecuted);
+TEST_F(StoreClientTest, DistinguishesUnsentFromUnansweredRequests) {
+    StoreClient unreachable_client(loop, test::address(5, 7001), constants::kResponseLimit);
+    EXPECT_EQ(test::await(loop, unreachable_client.get("a", kTimeout_s)).status, StoreStatus::kNotExecuted);
     store.silent = true;
     EXPECT_EQ(put("a", "x").status, StoreStatus::kUnknown);
 }
 
-TEST_F(StoreClientTest, AnAnswerOverTheLimitIsNotRead) {
-    uint64_t before = store.revision;
+TEST_F(StoreClientTest, OversizedResponseIsDiscarded) {
+    uint64_t revision = store.revision;
     put("a", std::string(4096, 'x'));
     StoreClient limited(loop, at, 1024);
     EXPECT_EQ(test::await(loop, limited.list("a", "", 10, kTimeout_s)).status, StoreStatus::kUnknown);
-    EXPECT_EQ(test::await(loop, limited.watch("a", before, 1)).status, WatchStatus::kCompacted)
-        << "it would come again and again";
+    EXPECT_EQ(test::await(loop, limited.watch("a", revision, 1)).status, WatchStatus::kCompacted)
+        << "a repeated watch would get the same oversized response";
 }
 
 }  // namespace
--- a/tests/users/submission_test.cc
+++ b/tests/users/submission_test.cc
@@ -1,4 +1,4 @@
-// Submissions: what is refused and how, and what is recognized as accepted.
+// Submissions: which are refused and with which status, and when an accepted job is recognized.
 #include <gtest/gtest.h>
 
 #include "standins/deployment.h"
@@ -8,20 +8,20 @@
 
 namespace {
 
-const char* const kNeeded[] = {"ref",   "jobclass",  "owner",     "shape",      "rank",    "pieces",
-                               "vcpus", "cards",     "memory_gb", "bundle",     "size_gb", "one_zone",
-                               "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
-const char* const kOptional[] = {"flavors", "cove", "due_s"};
+const char* const kRequiredFields[] = {"ref",   "jobclass",  "owner",     "shape",      "rank",    "pieces",
+                                       "vcpus", "cards",     "memory_gb", "bundle",     "size_gb", "one_zone",
+                                       "apart", "driftwood", "expect_s",  "snapshot_s", "flush_s"};
+const char* const kOptionalFields[] = {"flavors", "cove", "due_s"};
 
-void shape(JobFields& fields, const char* name) {
+void set_shape(JobFields& fields, const char* name) {
     fields["shape"] = packed_text(name);
 }
 
 }  // namespace
 
-// Whatever its shape: no field that is needed may be missing, null or of another type; those that may be null
-// may be missing.
-TEST(Submissions, SubmissionsNeedAllTheirFields) {
+// For every kind of job, required fields must not be missing, null or of another type; optional fields may be
+// null but must not be of another type.
+TEST(Submissions, RequiredFieldsMustBePresentAndValid) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -30,34 +30,34 @@
     };
     int accepted = 0;
     for (const char* name : {"sweep", "ensemble", "standing"}) {
-        for (const char* field : kNeeded) {
-            auto with = [&](std::string value) {
+        for (const char* field : kRequiredFields) {
+            auto submit_with = [&](std::string value) {
                 return submit("job-1", [&](auto& fields) {
-                    shape(fields, name);
+                    set_shape(fields, name);
                     fields[field] = std::move(value);
                 });
             };
             EXPECT_EQ(submit("job-1",
                              [&](auto& fields) {
-                                 shape(fields, name);
+                                 set_shape(fields, name);
                                  fields.erase(field);
                              }),
                       400)
                 << name << ' ' << field;
-            EXPECT_EQ(with(packed_null()), 400) << name << ' ' << field;
-            EXPECT_EQ(with(MsgpackWriter().list(0).take()), 400) << name << ' ' << field;
+            EXPECT_EQ(submit_with(packed_null()), 400) << name << ' ' << field;
+            EXPECT_EQ(submit_with(MsgpackWriter().list(0).take()), 400) << name << ' ' << field;
         }
-        for (const char* field : kOptional) {
+        for (const char* field : kOptionalFields) {
             EXPECT_EQ(submit("job-1",
                              [&](auto& fields) {
-                                 shape(fields, name);
+                                 set_shape(fields, name);
                                  fields[field] = packed_flag(true);
                              }),
                       400)
                 << name << ' ' << field;
             EXPECT_EQ(submit("job-" + std::to_string(100 + accepted++),
                              [&](auto& fields) {
-                                 shape(fields, name);
+                                 set_shape(fields, name);
                                  fields[field] = packed_null();
                              }),
                       201)
@@ -67,8 +67,8 @@
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
 }
 
-// One task that is too large for each machine that its job allows.
-TEST(Submissions, SubmissionsThatFitNoMachineAreRefusedForGood) {
+// A task is too large for every machine type that its job allows.
+TEST(Submissions, TaskThatFitsNoMachineTypeIsRefused) {
     Deployment deployment;
     MachineType large = small_machine_type();
     large.name = "g8";
@@ -93,13 +93,13 @@
     EXPECT_EQ(submit("job-1", "vcpus", 65), 422);
     EXPECT_EQ(submit("job-1", "cards", 9), 422);
     EXPECT_EQ(submit("job-1", "memory_gb", 65), 422);
-    EXPECT_EQ(submit("job-1", "cards", 3, "g2"), 422) << "only the larger type has as many";
+    EXPECT_EQ(submit("job-1", "cards", 3, "g2"), 422) << "only the larger type has 3 GPUs";
     EXPECT_EQ(submit("job-1", "cards", 1, "g99"), 422) << "no such type";
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(submit("job-2", "cards", 3, "g8"), 201);
     EXPECT_EQ(submit("job-3", "cards", 3), 201);
-    EXPECT_EQ(submit("job-2", "cards", 3, "g2"), 200) << "known already";
-    // Types that are not known yet decide nothing; what is malformed stays so.
+    EXPECT_EQ(submit("job-2", "cards", 3, "g2"), 200) << "already accepted";
+    // While the machine types are unknown, a job is not refused because of them, but a malformed one is.
     deployment.kill(0);
     deployment.store.rows.erase("flavors");
     deployment.cloud.down = true;
@@ -110,14 +110,14 @@
     EXPECT_EQ(submit("job-2", "cards", 9), 200);
     deployment.cloud.down = false;
     int status = 0;
-    // The fake clock stands still while requests are under way, so that time has to pass between them.
+    // The fake clock does not advance during requests, so it has to advance between them.
     for (Seconds end = deployment.loop.now() + 10; status != 422 && deployment.loop.now() < end;
          deployment.run(0.5))
         status = submit("job-4", "cards", 9);
     EXPECT_EQ(status, 422);
 }
 
-TEST(Submissions, RefusesInvalidRequestsWithTheirStatus) {
+TEST(Submissions, InvalidRequestsAreRefusedWithTheirStatus) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -167,14 +167,15 @@
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs").status, 405);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs/job-1").status, 405);
     EXPECT_EQ(deployment.call(0, "GET", "/nothing").status, 404);
-    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404) << "nothing of all this was accepted";
+    EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404)
+        << "no invalid submission was accepted";
     EXPECT_EQ(deployment.call(0, "POST", "/hello", "\x81").status, 400);
-    EXPECT_EQ(submit({}), 201) << "and the connection and the process are unharmed";
+    EXPECT_EQ(submit({}), 201) << "a valid submission is still accepted";
 }
 
-// Whoever asks again about an accepted job is told so, whatever else has changed; what is new waits until the
-// machine types are known.
-TEST(Submissions, RecognizesAnAcceptedJobWhateverHasChangedSince) {
+// Repeated submissions of an accepted job get status 200 even if limits or machine types have changed since;
+// new jobs get 503 until the machine types are known.
+TEST(Submissions, AcceptedJobIsRecognizedAfterLimitsChange) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
     deployment.run(1);
@@ -196,6 +197,6 @@
     deployment.start(0);
     deployment.run(3);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 200)
-        << "its team's limit is lower now";
+        << "the limit of its team is lower now";
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-2")).status, 422);
 }
--- a/tests/users/write_rate_test.cc
+++ b/tests/users/write_rate_test.cc
@@ -1,4 +1,4 @@
-// Submissions when the leader and users together write as much as the store allows.
+// Submissions while the writes of the leader and of users together reach the store's write rate limit.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,129 +17,135 @@
 struct Submission {
     std::string id;
     int node = 0;
-    std::string answer;  // with its headers
-    Seconds took = -1;
+    std::string response;  // with status line and headers
+    Seconds duration = -1;
     bool accepted() const {
-        return answer.rfind("HTTP/1.1 201", 0) == 0 || answer.rfind("HTTP/1.1 200", 0) == 0;
+        return response.rfind("HTTP/1.1 201", 0) == 0 || response.rfind("HTTP/1.1 200", 0) == 0;
     }
-    bool asked_to_return() const {
-        return answer.rfind("HTTP/1.1 429", 0) == 0 && answer.find("\r\nRetry-After: ") != std::string::npos;
+    bool told_to_retry() const {
+        return response.rfind("HTTP/1.1 429", 0) == 0 &&
+               response.find("\r\nRetry-After: ") != std::string::npos;
     }
 };
 
-Task<void> submit(Deployment& deployment, Submission& submission, size_t& answered) {
-    Seconds began = deployment.loop.now(), until = began + 5;
+Task<void> submit(Deployment& deployment, Submission& submission, size_t& completed) {
+    Seconds start = deployment.loop.now(), deadline = start + 5;
     std::string body = job_body(submission.id, [](auto& fields) {
         fields["vcpus"] = fields["cards"] = fields["memory_gb"] = packed_number(0.01);
     });
-    submission.answer.clear();
-    auto stream = co_await connect_to(deployment.loop, deployment.config(submission.node).listen, until);
+    submission.response.clear();
+    auto stream = co_await connect_to(deployment.loop, deployment.config(submission.node).listen, deadline);
     if (stream) {
         std::string request =
             "POST /v2/runs HTTP/1.1\r\nHost: n\r\nContent-Length: " + std::to_string(body.size()) +
             "\r\n\r\n" + body;
-        bool sent = co_await stream->write(request, until);
-        while (sent && submission.answer.find("\r\n\r\n") == std::string::npos) {
-            Stream::Read got = co_await stream->read(until);
+        bool sent = co_await stream->write(request, deadline);
+        while (sent && submission.response.find("\r\n\r\n") == std::string::npos) {
+            Stream::Read got = co_await stream->read(deadline);
             if (!got.ok()) break;
-            submission.answer.append(got.bytes);
+            submission.response.append(got.bytes);
         }
     }
-    submission.took = deployment.loop.now() - began;
-    ++answered;
+    submission.duration = deployment.loop.now() - start;
+    ++completed;
 }
 
-void submit_all(Deployment& deployment, std::vector<Submission*> list) {
+void submit_all(Deployment& deployment, std::vector<Submission*> submissions) {
     TaskGroup scope(deployment.loop);
-    size_t answered = 0;
-    for (auto* x : list) scope.spawn(submit(deployment, *x, answered), "submission");
-    ASSERT_TRUE(deployment.until([&] { return answered == list.size(); }, 10));
+    size_t completed = 0;
+    for (auto* submission : submissions)
+        scope.spawn(submit(deployment, *submission, completed), "submission");
+    ASSERT_TRUE(deployment.until([&] { return completed == submissions.size(); }, 10));
 }
 
-Task<void> report(Deployment& deployment, FakeWorker& worker, int node, size_t& answered) {
+Task<void> send_heartbeat(Deployment& deployment, FakeWorker& worker, int node, size_t& completed) {
     co_await worker.send_report(deployment.loop, deployment.config(node).listen);
-    ++answered;
+    ++completed;
 }
 
 }  // namespace
 
-// The leader has more to write than the rate allows. Users' accepts find their share of it all the same; a
-// burst beyond it is told at once when to come back, and in the end all are accepted and none is lost.
-TEST(WriteRate, ABurstAtTheWriteRateLetsNoUserWait) {
-    constexpr Seconds kAtOnce_s = 0.3;
+// The leader has more to write than the rate limit allows. Submissions still get a share of the rate; a burst
+// above it is told at once when to retry, and in the end every job is accepted and none is lost.
+TEST(WriteRate, BurstAboveRateGetsImmediateResponses) {
+    constexpr Seconds kMaxLatency_s = 0.3;
     Deployment deployment(2);
     announce_limits(deployment);
     deployment.start(0);
     deployment.start(1);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     enforce_limits(deployment);
-    int lead = deployment.leader();
+    int leader = deployment.leader();
     deployment.run(1);
     FakeWorker worker;
     deployment.settle(worker);
-    std::vector<Submission> before(60);
-    for (size_t i = 0; i < before.size(); ++i) {
-        before[i].id = "job-" + std::to_string(1000 + i);
-        submit_all(deployment, {&before[i]});
-        ASSERT_TRUE(before[i].accepted());
+    std::vector<Submission> earlier(60);
+    for (size_t i = 0; i < earlier.size(); ++i) {
+        earlier[i].id = "job-" + std::to_string(1000 + i);
+        submit_all(deployment, {&earlier[i]});
+        ASSERT_TRUE(earlier[i].accepted());
     }
-    for (int i = 0; i < 12; ++i) deployment.send_report(worker, lead);
-    ASSERT_EQ(worker.tasks.size(), before.size());
-    // From here on the service keeps to the rate.
+    for (int i = 0; i < 12; ++i) deployment.send_report(worker, leader);
+    ASSERT_EQ(worker.tasks.size(), earlier.size());
+    // From here on, the store enforces the rate limit.
     TokenBucket rate(kLowerWriteRate, kLowerWriteRate);
     deployment.store.let_through = [&](const std::string& txn) {
-        auto m = MsgpackDocument::parse(txn);
+        auto message = MsgpackDocument::parse(txn);
         deployment.store.transactions_to_limit =
-            rate.take(static_cast<double>(m->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
+            rate.take(static_cast<double>(message->root()["writes"].size()), deployment.loop.now()) ? 0 : 1;
         return true;
     };
-    rate.take(kLowerWriteRate, deployment.loop.now());  // the burst is used up
+    rate.take(kLowerWriteRate, deployment.loop.now());  // exhausts the burst
     for (auto& task : worker.tasks) exit_task(task, ExitCause::kDone);
-    deployment.send_report(worker, lead);
+    deployment.send_report(worker, leader);
     std::vector<Submission> steady(15);
     for (size_t i = 0; i < steady.size(); ++i) {
         deployment.run(0.35);
         steady[i].id = "job-" + std::to_string(2000 + i);
         steady[i].node = static_cast<int>(i % 2);
         submit_all(deployment, {&steady[i]});
-        EXPECT_TRUE(steady[i].accepted()) << i << ' ' << steady[i].answer;
-        EXPECT_LT(steady[i].took, kAtOnce_s);
+        EXPECT_TRUE(steady[i].accepted()) << i << ' ' << steady[i].response;
+        EXPECT_LT(steady[i].duration, kMaxLatency_s);
     }
-    EXPECT_LT(std::count_if(before.begin(), before.end(),
-                            [&](const auto& x) { return deployment.store.rows.contains("f/" + x.id); }),
+    EXPECT_LT(std::count_if(earlier.begin(), earlier.end(),
+                            [&](const auto& submission) {
+                                return deployment.store.rows.contains("f/" + submission.id);
+                            }),
               60)
-        << "the leader was writing all the while";
+        << "the leader must still have records to write";
 
     std::vector<Submission> burst(60);
-    std::vector<Submission*> open;
+    std::vector<Submission*> pending;
     for (size_t i = 0; i < burst.size(); ++i) {
         burst[i].id = "job-" + std::to_string(3000 + i);
         burst[i].node = static_cast<int>(i % 2);
-        open.push_back(&burst[i]);
+        pending.push_back(&burst[i]);
     }
-    size_t returned = 0;
-    Seconds began = deployment.loop.now();
-    while (!open.empty() && deployment.loop.now() - began < 60) {
-        submit_all(deployment, open);
-        for (auto* x : open) {
-            EXPECT_TRUE(x->accepted() || x->asked_to_return()) << x->answer;
-            EXPECT_LT(x->took, kAtOnce_s);
+    size_t retries = 0;
+    Seconds start = deployment.loop.now();
+    while (!pending.empty() && deployment.loop.now() - start < 60) {
+        submit_all(deployment, pending);
+        for (auto* submission : pending) {
+            EXPECT_TRUE(submission->accepted() || submission->told_to_retry()) << submission->response;
+            EXPECT_LT(submission->duration, kMaxLatency_s);
         }
-        std::erase_if(open, [](const auto* x) { return x->accepted(); });
-        returned += open.size();
+        std::erase_if(pending, [](const auto* submission) { return submission->accepted(); });
+        retries += pending.size();
         deployment.run(1);
     }
-    EXPECT_TRUE(open.empty()) << open.size() << " users gave up";
-    EXPECT_GT(returned, 0U) << "it was more than the rate";
-    for (const auto& x : burst) EXPECT_EQ(deployment.store.rows.count("j/" + x.id), 1U) << x.id;
+    EXPECT_TRUE(pending.empty()) << pending.size() << " submissions were not accepted";
+    EXPECT_GT(retries, 0U) << "the burst must exceed the rate limit";
+    for (const auto& submission : burst)
+        EXPECT_EQ(deployment.store.rows.count("j/" + submission.id), 1U) << submission.id;
     ASSERT_TRUE(deployment.until([&] {
-        return std::all_of(before.begin(), before.end(),
-                           [&](const auto& x) { return deployment.store.rows.count("f/" + x.id) == 1; });
-    })) << "and the leader's writes are through";
+        return std::all_of(earlier.begin(), earlier.end(), [&](const auto& submission) {
+            return deployment.store.rows.count("f/" + submission.id) == 1;
+        });
+    })) << "the leader's writes must complete";
 }
 
-// A write of the leader that gets no answer is nothing that a user's accept waits for.
-TEST(WriteRate, AnAcceptDoesNotWaitForTheLeadersTransaction) {
+// A transaction of the leader that gets no response must not delay a user's submission.
+TEST(WriteRate, SubmissionDoesNotWaitForLeaderTransaction) {
     Deployment deployment;
     announce_limits(deployment);
     deployment.start(0);
@@ -149,38 +155,38 @@
     FakeWorker worker;
     deployment.settle(worker);
     ASSERT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    auto hangs = [&](const std::string& txn) { return writes_key(txn, "j/job-1"); };
-    deployment.store.let_through = [&](const std::string& txn) { return !hangs(txn); };
+    auto is_blocked = [&](const std::string& txn) { return writes_key(txn, "j/job-1"); };
+    deployment.store.let_through = [&](const std::string& txn) { return !is_blocked(txn); };
     TaskGroup scope(deployment.loop);
-    size_t answered = 0;
-    scope.spawn(report(deployment, worker, 0, answered), "report");
+    size_t completed = 0;
+    scope.spawn(send_heartbeat(deployment, worker, 0, completed), "heartbeat");
     ASSERT_TRUE(deployment.until([&] { return !deployment.store.held_transactions.empty(); }));
     Submission submission{"job-2", 0, "", -1};
     submit_all(deployment, {&submission});
-    EXPECT_TRUE(submission.accepted()) << submission.answer;
-    EXPECT_LT(submission.took, 0.3);
-    ASSERT_TRUE(deployment.until([&] { return answered == 1; }));
+    EXPECT_TRUE(submission.accepted()) << submission.response;
+    EXPECT_LT(submission.duration, 0.3);
+    ASSERT_TRUE(deployment.until([&] { return completed == 1; }));
 }
 
-// Users' writes and the leader's share the rate. A submission that can't be taken now is answered at once,
-// never held until its user gives up.
-TEST(WriteRate, AUsersWriteBeyondTheRateIsAnsweredAtOnce) {
+// Users' writes and the leader's share the rate limit. A write above it gets status 429 at once rather than a
+// response after the user's timeout.
+TEST(WriteRate, RateLimitedWriteIsRefusedImmediately) {
     Deployment deployment;
     deployment.start(0);
     ASSERT_TRUE(deployment.until([&] { return deployment.store.rows.count("form") == 1; }));
     deployment.run(1);
-    auto refused = [&](const std::string& path, const std::string& body) {
+    auto expect_rate_limited = [&](const std::string& path, const std::string& body) {
         deployment.store.transactions_to_limit = 1;
-        Seconds began = deployment.loop.now();
-        CallResult answer = deployment.call(0, "POST", path, body);
-        EXPECT_EQ(answer.status, 429) << path;
-        EXPECT_LT(deployment.loop.now() - began, 0.3) << path;
+        Seconds start = deployment.loop.now();
+        CallResult response = deployment.call(0, "POST", path, body);
+        EXPECT_EQ(response.status, 429) << path;
+        EXPECT_LT(deployment.loop.now() - start, 0.3) << path;
         EXPECT_EQ(deployment.store.transactions_to_limit, 0) << "sent once";
     };
-    refused("/v2/runs", job_body("job-1"));
+    expect_rate_limited("/v2/runs", job_body("job-1"));
     EXPECT_EQ(deployment.call(0, "GET", "/v2/runs/job-1").status, 404);
     EXPECT_EQ(deployment.call(0, "POST", "/v2/runs", job_body("job-1")).status, 201);
-    refused("/v2/runs/job-1/withdraw", "");
+    expect_rate_limited("/v2/runs/job-1/withdraw", "");
     EXPECT_EQ(phase_of(deployment.call(0, "GET", "/v2/runs/job-1")), "pending");
     EXPECT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-1/withdraw")), "withdrawn");
 }
--- a/tests/workers/worker_client_test.cc
+++ b/tests/workers/worker_client_test.cc
@@ -1,4 +1,4 @@
-// Direct commands against a stand-in for a worker.
+// Sends direct commands to a fake worker.
 #include "workers/worker_client.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
     HttpServer server{loop, at, 4, [this](Request request) { return handle(std::move(request)); }};
 };
 
-TEST_F(WorkerClientTest, TheAnswerShowsWhatTheCommandsHaveDone) {
+TEST_F(WorkerClientTest, ResponseReflectsExecutedCommands) {
     auto launched = send({{CommandKind::kLaunch, {"job-1", 0}, 2, 0}});
     ASSERT_TRUE(launched);
     EXPECT_EQ(paths, std::vector<std::string>{"/orders"});
@@ -57,7 +57,7 @@
     EXPECT_TRUE(forgotten->tasks.empty());
 }
 
-TEST_F(WorkerClientTest, ARefusalCarriesAHeartbeatToo) {
+TEST_F(WorkerClientTest, RefusalContainsHeartbeat) {
     status = 409;
     auto refused = send({{CommandKind::kLaunch, {"job-1", 0}, 2, 0}});
     ASSERT_TRUE(refused);
@@ -65,17 +65,17 @@
     EXPECT_EQ(refused->incarnation, worker.incarnation);
 }
 
-TEST_F(WorkerClientTest, OtherAnswersCarryNone) {
-    for (int other : {400, 500, 503}) {
-        status = other;
-        EXPECT_FALSE(send({})) << other;
+TEST_F(WorkerClientTest, OtherResponsesContainNoHeartbeat) {
+    for (int other_status : {400, 500, 503}) {
+        status = other_status;
+        EXPECT_FALSE(send({})) << other_status;
     }
     status = 200;
     malformed = true;
-    worker.fencing_token = 42;  // The commands are of an earlier one.
+    worker.fencing_token = 42;  // The commands have a lower fencing token.
     EXPECT_FALSE(send({}));
     EXPECT_FALSE(test::await(loop, send_commands(loop, test::address(5, 7201), 41, 1, {})))
-        << "there is no such worker";
+        << "no worker listens at this address";
 }
 
 }  // namespace
--- a/tests/workers/worker_wire_test.cc
+++ b/tests/workers/worker_wire_test.cc
@@ -1,4 +1,5 @@
-// The workers' wire format: heartbeats, malformed ones included, and the bytes of answers and commands.
+// The workers' wire format: decodes valid and malformed heartbeats, and checks the bytes of responses and
+// commands.
 #include "workers/worker_wire.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
     return packer.count(count).take();
 }
 
-// The fields of a message by name, each a packed value.
+// The packed values of a message's fields, by field name.
 using Fields = std::map<std::string, std::string>;
 
 std::string pack_fields(const Fields& fields) {
@@ -58,7 +59,7 @@
     return pack_fields(fields);
 }
 
-TEST(WorkerWire, AHeartbeatsHeader) {
+TEST(WorkerWire, DecodesHeartbeatHeader) {
     Fields fields = header_fields();
     fields["addr"] = packed_text("10.1.0.232:9000");
     fields["flavor"] = packed_text("g8");
@@ -79,7 +80,7 @@
     EXPECT_TRUE(heartbeat->tasks.empty());
 }
 
-TEST(WorkerWire, FieldsThatAHeartbeatMayLack) {
+TEST(WorkerWire, OptionalHeartbeatFields) {
     Fields fields = header_fields();
     fields["warning_s"] = MsgpackWriter().null().take();
     fields["pieces"] = MsgpackWriter().null().take();
@@ -92,7 +93,7 @@
     EXPECT_TRUE(decode_heartbeat(pack_fields(header_fields())));
 }
 
-TEST(WorkerWire, EachPhaseOfATask) {
+TEST(WorkerWire, DecodesTaskPhases) {
     const std::map<std::string, TaskPhase> phases = {{"pulling", TaskPhase::kFetching},
                                                      {"gathering", TaskPhase::kWaiting},
                                                      {"running", TaskPhase::kRunning},
@@ -110,7 +111,7 @@
     EXPECT_FALSE(decode_heartbeat(heartbeat_with(task_fields("sleeping"))));
 }
 
-TEST(WorkerWire, EachCauseOfAnExit) {
+TEST(WorkerWire, DecodesExitCauses) {
     const std::map<std::string, ExitCause> causes = {{"done", ExitCause::kDone},
                                                      {"stopped", ExitCause::kStopped},
                                                      {"mates_gone", ExitCause::kPeersGone},
@@ -131,7 +132,7 @@
     }
 }
 
-TEST(WorkerWire, ATaskThatHasNotExitedHasNoCause) {
+TEST(WorkerWire, UnfinishedTaskHasNoExitCause) {
     Fields task = task_fields("running");
     task["cause"] = packed_text("done");
     auto heartbeat = decode_heartbeat(heartbeat_with(task));
@@ -139,7 +140,7 @@
     EXPECT_EQ(heartbeat->tasks.at(0).cause, ExitCause::kNone);
 }
 
-TEST(WorkerWire, AHeartbeatWithoutAWholeHeaderIsRefused) {
+TEST(WorkerWire, RejectsIncompleteHeader) {
     for (const auto& [name, value] : header_fields()) {
         Fields fields = header_fields();
         fields.erase(name);
@@ -149,7 +150,7 @@
     }
 }
 
-TEST(WorkerWire, AMachinesNameIsShortAndWithoutSpaces) {
+TEST(WorkerWire, ValidatesMachineName) {
     auto accepted = [](const std::string& name) {
         Fields fields = header_fields();
         fields["host"] = packed_text(name);
@@ -161,7 +162,7 @@
     EXPECT_FALSE(accepted("vm 1"));
 }
 
-TEST(WorkerWire, AHeartbeatWithAMalformedTaskIsRefused) {
+TEST(WorkerWire, RejectsMalformedTask) {
     for (const auto& [name, value] : task_fields("running")) {
         Fields task = task_fields("running");
         task.erase(name);
@@ -177,7 +178,7 @@
     EXPECT_FALSE(decode_heartbeat(pack_fields(fields)));
 }
 
-TEST(WorkerWire, AHeartbeatOfTooManyTasksIsRefused) {
+TEST(WorkerWire, RejectsTooManyTasks) {
     Fields fields = header_fields();
     std::vector<Fields> tasks(constants::kMaxTasksPerHeartbeat, task_fields("running"));
     fields["pieces"] = pack_list(tasks);
@@ -187,7 +188,7 @@
     EXPECT_FALSE(decode_heartbeat(pack_fields(fields)));
 }
 
-TEST(WorkerWire, BytesThatAreNoHeartbeatAreRefused) {
+TEST(WorkerWire, RejectsMalformedBytes) {
     std::string whole = pack_fields(header_fields());
     for (size_t size = 0; size < whole.size(); ++size)
         EXPECT_FALSE(decode_heartbeat(whole.substr(0, size))) << size;
@@ -195,7 +196,7 @@
     EXPECT_FALSE(decode_heartbeat(packed_text("heartbeat")));
 }
 
-TEST(WorkerWire, TheOrderOfHeartbeats) {
+TEST(WorkerWire, OrdersHeartbeatsByIncarnationAndSequence) {
     HeartbeatHeader header;
     header.incarnation = 2;
     header.sequence = 88;
@@ -205,7 +206,7 @@
     EXPECT_FALSE(header.newer_than(3, 1));
 }
 
-// The list of commands below, as the wire has it.
+// The encoded form of one_command_of_each_kind().
 void pack_expected_commands(MsgpackWriter& packer) {
     packer.key("orders").list(3);
     packer.map(3).key("verb").text("launch").key("piece").text("job-1/4").key("try").count(2);
@@ -221,7 +222,7 @@
     return commands;
 }
 
-TEST(WorkerWire, AnAnswerCarriesTheTokenAndTheCommands) {
+TEST(WorkerWire, HeartbeatResponseContainsTokenAndCommands) {
     MsgpackWriter expected;
     expected.map(2).key("epoch").count(41);
     pack_expected_commands(expected);
@@ -232,7 +233,7 @@
     EXPECT_EQ(encode_heartbeat_response(41, {}), empty.take());
 }
 
-TEST(WorkerWire, DirectCommandsCarryTheIncarnationToo) {
+TEST(WorkerWire, DirectCommandsContainIncarnation) {
     EXPECT_EQ(commands_path(), "/orders");
     MsgpackWriter expected;
     expected.map(3).key("epoch").count(41).key("tenure").count(2);
@@ -240,7 +241,7 @@
     EXPECT_EQ(encode_commands(41, 2, one_command_of_each_kind()), expected.take());
 }
 
-TEST(WorkerWire, ARedirectWithAndWithoutALeader) {
+TEST(WorkerWire, EncodesRedirectWithAndWithoutLeader) {
     EXPECT_EQ(encode_redirect("node-2"), MsgpackWriter().map(1).key("harbor").text("node-2").take());
     EXPECT_EQ(encode_redirect(std::nullopt), MsgpackWriter().map(0).take());
 }
