--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -158,7 +158,7 @@
                                     {"attempt", command.attempt},
                                     {"machine", machine.name}});
     Response response;
-    response.body = encode_heartbeat_answer(parts_.fencing_token, commands);
+    response.body = encode_heartbeat_response(parts_.fencing_token, commands);
     // A direct command in flight takes a sequence number as well, so the next heartbeat's number would not
     // show whether this response has arrived.
     const bool next_sequence_known = !parts_.connections.of(machine.name).command_in_flight;
