--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -167,7 +167,7 @@
 // Bytes that may wait to be sent to a peer for each socket: a relayed worker heartbeat.
 inline constexpr size_t kPeerSendQueueBytesPerSocket = 1024;
 // Workers that must return from a peer before their zone counts as partitioned.
-inline constexpr size_t kPartitionWitnesses = 2;
+inline constexpr size_t kPartitionMinWorkers = 2;
 // Bytes of a frame between controllers.
 inline constexpr size_t kPeerFrameLimit = size_t{128} * 1024;
 // Workers whose redirection is remembered.
@@ -251,7 +251,7 @@
 // Seconds added to that: the cloud's list lags.
 inline constexpr double kBootTimeoutExtra_s = 20.0;
 // Seconds without work after which an idle machine is returned in a calm: two heartbeats.
-inline constexpr double kCalmIdleReturn_s = 6.0;
+inline constexpr double kNoArrivalsIdleReturn_s = 6.0;
 // Seconds that a task must have run before it is moved to consolidate machines.
 inline constexpr double kConsolidationMinRun_s = 35.0;
 // Seconds that it must be expected to run on: else its machine is free soon without a move.
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -36,7 +36,7 @@
     Address listen;       // where workers, users and operators reach this controller
     Address peer_listen;  // where its peers do
     Address cloud;
-    Address state;                   // the key-value store
+    Address store;                   // the key-value store
     std::vector<PeerAddress> peers;  // the other controllers
     std::vector<std::string> zones;  // all of the deployment
     std::vector<Team> teams;
@@ -50,7 +50,7 @@
     Seconds gang_peer_s = 0;  // a gang's tasks must hear of another's end within this; checked only
     Seconds cancel_s = 0;     // a cancelled job's tasks must have stopped within this; above lease_s
 
-    double state_rps = 0;    // requests a second that the store allows all controllers together
+    double store_rps = 0;    // requests a second that the store allows all controllers together
     double write_rps = 0;    // writes a second, the smaller of today's and the announced limit
     size_t value_bytes = 0;  // JSON bytes of one value, today's limit
     size_t txn_ops = 0;      // conditions and writes of one transaction, the smaller of both limits
--- a/src/config/config_wire.cc
+++ b/src/config/config_wire.cc
@@ -98,7 +98,7 @@
         config_.listen = read_address(at("client_listen"), "client_listen");
         config_.peer_listen = read_address(at("back"), "back");
         config_.cloud = read_address(at("endpoints.cloud"), "endpoints.cloud");
-        config_.state = read_address(at("endpoints.state"), "endpoints.state");
+        config_.store = read_address(at("endpoints.state"), "endpoints.state");
     }
 
     void read_peers() {
@@ -175,7 +175,7 @@
     }
 
     void read_store() {
-        config_.state_rps = positive("facts.state.rps");
+        config_.store_rps = positive("facts.state.rps");
         config_.write_rps = positive("facts.state.write_rps");
         config_.value_bytes = static_cast<size_t>(positive("facts.state.value_kb") * kBytesPerKb);
         config_.txn_ops = transaction_operations("facts.state.txn_ops");
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -30,7 +30,7 @@
     : loop_(loop),
       config_(config),
       started_at_(loop.now()),
-      store_(loop, config.state, answer_limit(config)),
+      store_(loop, config.store, answer_limit(config)),
       cloud_(loop, config.cloud, config.cloud_rps, config.peers.size() + 1),
       election_(loop, store_, config.label, election_delay_share(config)),
       users_(loop, config, store_, machine_types_, record_format_,
--- a/src/controller/zone_partition.cc
+++ b/src/controller/zone_partition.cc
@@ -21,12 +21,12 @@
     // Stops at the first recent ones: this is asked for each heartbeat, and a look at all workers of a large
     // zone would cost the square of their number.
     size_t recent = 0;
-    for (auto it = returns.begin(); it != returns.end() && recent < constants::kPartitionWitnesses;) {
+    for (auto it = returns.begin(); it != returns.end() && recent < constants::kPartitionMinWorkers;) {
         const bool outdated = now - it->second > constants::kRelayAfterRedirection_s;
         if (!outdated) ++recent;
         it = outdated ? returns.erase(it) : std::next(it);
     }
-    return recent >= constants::kPartitionWitnesses;
+    return recent >= constants::kPartitionMinWorkers;
 }
 
 }  // namespace hareshore
--- a/src/controller/zone_partition.h
+++ b/src/controller/zone_partition.h
@@ -8,7 +8,7 @@
 namespace hareshore {
 
 // A worker that was redirected to the leader and returns could not reach it. One such worker may be at fault
-// itself; kPartitionWitnesses of a zone within kRelayAfterRedirection_s show that its other workers are cut
+// itself; kPartitionMinWorkers of a zone within kRelayAfterRedirection_s show that its other workers are cut
 // off, too.
 class ZonePartitionDetector {
   public:
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -63,7 +63,7 @@
 
 void scale_in_idle(PlanningContext& context, const FleetCapacity& capacity) {
     const ScalingInput& input = context.input;
-    Seconds idle_limit = context.calm() ? constants::kCalmIdleReturn_s : input.settings.idle_return_s;
+    Seconds idle_limit = context.calm() ? constants::kNoArrivalsIdleReturn_s : input.settings.idle_return_s;
     for (const auto& zone : input.config.zones) {
         auto idle = idle_in_zone(capacity, zone);
         int spare = std::min(static_cast<int>(idle.size()) - input.settings.min_idle_machines,
--- a/src/users/user_service.cc
+++ b/src/users/user_service.cc
@@ -13,7 +13,7 @@
 // As many requests as this controller's share of the store's rate limit answers while users wait for a read.
 size_t max_requests(const Config& config) {
     auto controllers = static_cast<double>(config.peers.size() + 1);
-    double answered = config.state_rps * constants::kUserReadTimeout_s / controllers;
+    double answered = config.store_rps * constants::kUserReadTimeout_s / controllers;
     return std::max(constants::kMinConcurrentUserRequests, static_cast<size_t>(answered));
 }
 
--- a/tests/controller/store_outage_test.cc
+++ b/tests/controller/store_outage_test.cc
@@ -112,7 +112,7 @@
     ASSERT_TRUE(deployment.until([&] { return deployment.leader() >= 0; }, 10));
     deployment.run(3);
     deployment.kill(1);
-    deployment.configs[1].state = address(1, 2);  // nobody is there
+    deployment.configs[1].store = address(1, 2);  // nobody is there
     deployment.start(1);
     deployment.run(4);
     EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 200);
--- a/tests/leader/large_fleet_test.cc
+++ b/tests/leader/large_fleet_test.cc
@@ -28,7 +28,7 @@
         for (Config& config : deployment.configs) {
             config.sockets = 2 * kMachines;
             config.teams[0].gpus_max = 0;
-            config.state_rps = 2000;
+            config.store_rps = 2000;
             config.write_rps = 1000;
             config.cloud_rps = 24;
         }
--- a/tests/scenario/fault_scenario.cc
+++ b/tests/scenario/fault_scenario.cc
@@ -58,8 +58,8 @@
 
 void FaultScenario::place_proxies(int node) {
     Config& config = deployment.config(node);
-    config.state = address(kFirstProxyHost + node, kStorePort);
-    store_proxies.push_back(std::make_unique<StoreProxy>(deployment.loop, deployment.store, config.state));
+    config.store = address(kFirstProxyHost + node, kStorePort);
+    store_proxies.push_back(std::make_unique<StoreProxy>(deployment.loop, deployment.store, config.store));
     for (auto& peer : config.peers) {
         int other = node_number(peer.label);
         Address at = address(kFirstLinkHost + kLinkHostsPerNode * node + other, kPeerPort);
--- a/tests/standins/deployment.cc
+++ b/tests/standins/deployment.cc
@@ -34,7 +34,7 @@
     config.listen = address(kFirstControllerHost + node, kUserPort);
     config.peer_listen = address(kFirstControllerHost + node, kPeerPort);
     config.cloud = address(kCloudHost, kCloudPort);
-    config.state = address(kFirstControllerHost + node, kStorePort);
+    config.store = address(kFirstControllerHost + node, kStorePort);
     config.zones = {"a", "b"};
     Team team;
     team.name = "team";
@@ -45,7 +45,7 @@
     config.gang_wait_s = 40;
     config.gang_peer_s = 4;
     config.cancel_s = 49;
-    config.state_rps = 200;
+    config.store_rps = 200;
     config.write_rps = 100;
     config.value_bytes = 8192;
     config.txn_ops = 12;
@@ -85,7 +85,7 @@
     cloud.machine_types = {small_machine_type()};
     for (int node = 0; node < controllers; ++node) {
         configs.push_back(controller_config(node, controllers));
-        store.listen_for(node, configs.back().state);
+        store.listen_for(node, configs.back().store);
     }
     nodes.resize(static_cast<size_t>(controllers));
 }
--- a/tests/users/poll_rate_test.cc
+++ b/tests/users/poll_rate_test.cc
@@ -40,8 +40,8 @@
     std::unique_ptr<RateLimitedState> limited;
 
     PollRate() {
-        deployment.configs[0].state = address(20, 2379);
-        deployment.configs[0].state_rps = kStateRps;
+        deployment.configs[0].store = address(20, 2379);
+        deployment.configs[0].store_rps = kStateRps;
         limited = std::make_unique<RateLimitedState>(deployment.loop, deployment.store, address(20, 2379));
         deployment.start(0);
         EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
--- a/tests/users/user_answers_test.cc
+++ b/tests/users/user_answers_test.cc
@@ -66,9 +66,9 @@
     TaskGroup users{deployment.loop};
 
     UserAnswers() {
-        deployment.configs[0].state = address(20, 2379);
+        deployment.configs[0].store = address(20, 2379);
         held_state =
-            std::make_unique<HeldState>(deployment.loop, deployment.store, deployment.configs[0].state);
+            std::make_unique<HeldState>(deployment.loop, deployment.store, deployment.configs[0].store);
         deployment.start(0);
         EXPECT_TRUE(deployment.until([&] { return deployment.leader() == 0; }));
         deployment.run(3);
