--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr double kLongestWait_ms = 60'000.0;  // the loop then turns without an event
-constexpr int kWaitWithoutDeadline_ms = 50;   // of the fake clock: no time passes for it
+constexpr double kMaxWait_ms = 60'000.0;  // the loop then runs a turn without an event
+// Real time that the fake clock waits without a deadline; the simulated time does not advance.
+constexpr int kWaitWithoutDeadline_ms = 50;
 
 }  // namespace
 
@@ -24,8 +25,8 @@
 }
 
 int SystemClock::wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) {
-    // Rounded up, so that a timer that is due in a fraction of a millisecond does not spin.
-    int ms = timeout < 0 ? -1 : static_cast<int>(std::min(kLongestWait_ms, std::ceil(timeout * 1000.0)));
+    // Rounded up, so that the loop does not spin until a timer that is due in less than a millisecond.
+    int ms = timeout < 0 ? -1 : static_cast<int>(std::min(kMaxWait_ms, std::ceil(timeout * 1000.0)));
     return epoll_wait(epoll_fd, events, max_events, ms);
 }
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// The two clocks of a controller. All decisions use the steady clock; the wall clock only dates records,
-// which outlive the process whose steady clock they could refer to.
+// The clocks of a controller. All decisions use the steady clock. The wall clock only provides timestamps of
+// records, which outlive the process and thus its steady clock.
 #pragma once
 #include <cstdint>
 
@@ -7,10 +7,10 @@
 
 namespace hareshore {
 
-// A duration, or a point on the steady clock of this process.
+// A duration, or a point in time of this process's steady clock.
 using Seconds = double;
 
-// A point on the wall clock. A type of its own, so that it cannot be mixed up with steady time.
+// A point in time of the wall clock. A separate type, so that it cannot be confused with steady time.
 struct WallTime {
     Seconds since_epoch = 0;
 
@@ -18,20 +18,20 @@
     bool operator==(const WallTime&) const = default;
 };
 
-// The time, and waiting for it to pass.
+// Source of the time and of timed waits.
 class Clock {
   public:
     virtual ~Clock() = default;
-    // The steady clock: never goes back; its zero means nothing.
+    // The steady clock, which never goes back. Its epoch is arbitrary.
     [[nodiscard]] virtual Seconds now() const = 0;
     [[nodiscard]] virtual WallTime wall() const = 0;
-    // Waits for events of `epoll_fd` for up to `timeout` seconds (negative: without limit). Returns, like
-    // epoll_wait(2), how many it wrote to `events`, which holds `max_events`; -1 on an error, among them an
-    // interrupt.
+    // Waits for events of `epoll_fd` for up to `timeout` seconds (negative: without limit). Like
+    // epoll_wait(2), returns the number of events written to `events`, which has room for `max_events`, or -1
+    // on an error, including an interrupt.
     virtual int wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) = 0;
 };
 
-// The clocks of the system.
+// The clocks of the operating system.
 class SystemClock : public Clock {
   public:
     [[nodiscard]] Seconds now() const override;
@@ -39,7 +39,7 @@
     int wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) override;
 };
 
-// For tests: time stands still while events arrive and jumps to the next deadline otherwise.
+// Simulated time for tests: it stands still while events arrive, and otherwise jumps to the next deadline.
 class FakeClock : public Clock {
   public:
     [[nodiscard]] Seconds now() const override { return now_; }
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -10,19 +10,19 @@
 bool setup_log(const char* level, const std::string& label) {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
     auto logger = std::make_shared<spdlog::logger>(label, std::move(sink));
-    std::string_view want = level ? level : "info";
-    bool known = true;
-    if (want == "error") {
+    std::string_view requested = level ? level : "info";
+    bool level_known = true;
+    if (requested == "error") {
         logger->set_level(spdlog::level::err);
-    } else if (want == "debug") {
+    } else if (requested == "debug") {
         logger->set_level(spdlog::level::debug);
     } else {
-        known = want == "info" || want.empty();
+        level_known = requested == "info" || requested.empty();
         logger->set_level(spdlog::level::info);
     }
     logger->set_pattern("%H:%M:%S.%e %n %L %v");
     spdlog::set_default_logger(std::move(logger));
-    return known;
+    return level_known;
 }
 
 namespace log {
@@ -33,7 +33,7 @@
     return text.empty() || text.find_first_of(" \"=\n\r\t") != std::string_view::npos;
 }
 
-// A text with spaces, quotes or line breaks is quoted, so that a line stays one line of separable fields.
+// Quotes text with spaces, quotes or line breaks, so that an event stays one line with separable fields.
 void append_text(fmt::memory_buffer& line, std::string_view text) {
     if (!needs_quotes(text)) {
         line.append(text);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,4 +1,4 @@
-// Structured logging: one event a line on standard error, an event name followed by key=value fields.
+// Structured logging to standard error: one event per line, an event name followed by key=value fields.
 #pragma once
 #include <concepts>
 #include <cstdint>
@@ -10,12 +10,12 @@
 namespace hareshore {
 
 // Sets up the process's log. `level` is the value of LOG_LEVEL (error, info or debug), null if it is unset;
-// `label` names the controller in each line. Returns false if the level is unknown; info is used then.
+// `label` identifies the controller in each line. Returns false and uses info if the level is unknown.
 bool setup_log(const char* level, const std::string& label);
 
 namespace log {
 
-// One key=value field of an event. Holds a view of a text: made in the call that logs it, never stored.
+// One key=value field of an event. Text is held as a view, so a Field must not outlive the logging call.
 class Field {
   public:
     using Value = std::variant<std::string_view, int64_t, uint64_t, double, bool>;
@@ -47,8 +47,8 @@
 };
 using Fields = std::initializer_list<Field>;
 
-// Each writes one event, if its level is enabled. `event` is a constant name in snake_case that
-// docs/on-call.md explains; keys that end in _s are seconds, in _pct percent.
+// Each function writes one event if its level is enabled. `event` is a constant name in snake_case, which
+// docs/on-call.md documents. Keys that end in _s are in seconds, those in _pct in percent.
 void debug(std::string_view event, Fields fields);
 void info(std::string_view event, Fields fields);
 void warn(std::string_view event, Fields fields);
--- a/src/base/ranges.cc
+++ b/src/base/ranges.cc
@@ -15,11 +15,11 @@
     Ranges ranges;
     const char* position = text.data();
     const char* end = position + text.size();
-    uint64_t least = 0;  // smallest number that may follow
+    uint64_t min_first = 0;  // the smallest number that may follow
     while (position != end) {
         uint32_t first = 0;
         auto parsed = std::from_chars(position, end, first);
-        if (parsed.ec != std::errc{} || first < least) return std::nullopt;
+        if (parsed.ec != std::errc{} || first < min_first) return std::nullopt;
         uint32_t last = first;
         position = parsed.ptr;
         if (position != end && *position == '-') {
@@ -29,7 +29,7 @@
         }
         if (last >= limit) return std::nullopt;
         ranges.append(first, last);
-        least = uint64_t{last} + 2;  // adjacent ranges are written as one
+        min_first = uint64_t{last} + 2;  // adjacent ranges are written as one
         if (position != end) {
             if (*position != ',' || position + 1 == end) return std::nullopt;
             ++position;
@@ -39,25 +39,25 @@
 }
 
 bool Ranges::has(uint32_t number) const {
-    auto behind = last_by_first_.upper_bound(number);
-    return behind != last_by_first_.begin() && std::prev(behind)->second >= number;
+    auto following = last_by_first_.upper_bound(number);
+    return following != last_by_first_.begin() && std::prev(following)->second >= number;
 }
 
 bool Ranges::add(uint32_t number) {
     if (has(number)) return false;
-    auto behind = last_by_first_.upper_bound(number);
+    auto following = last_by_first_.upper_bound(number);
     uint32_t first = number;
     uint32_t last = number;
-    if (behind != last_by_first_.begin()) {
-        auto before = std::prev(behind);
-        if (before->second + 1 == number) {
-            first = before->first;
-            last_by_first_.erase(before);
+    if (following != last_by_first_.begin()) {
+        auto preceding = std::prev(following);
+        if (preceding->second + 1 == number) {
+            first = preceding->first;
+            last_by_first_.erase(preceding);
         }
     }
-    if (behind != last_by_first_.end() && behind->first == number + 1) {
-        last = behind->second;
-        last_by_first_.erase(behind);
+    if (following != last_by_first_.end() && following->first == number + 1) {
+        last = following->second;
+        last_by_first_.erase(following);
     }
     last_by_first_[first] = last;
     ++size_;
@@ -65,9 +65,9 @@
 }
 
 bool Ranges::remove(uint32_t number) {
-    auto behind = last_by_first_.upper_bound(number);
-    if (behind == last_by_first_.begin()) return false;
-    auto containing = std::prev(behind);
+    auto following = last_by_first_.upper_bound(number);
+    if (following == last_by_first_.begin()) return false;
+    auto containing = std::prev(following);
     if (containing->second < number) return false;
     auto [first, last] = *containing;
     last_by_first_.erase(containing);
@@ -84,8 +84,8 @@
 
 bool Ranges::covers(const Ranges& other) const {
     for (const auto& [first, last] : other.last_by_first_) {
-        auto behind = last_by_first_.upper_bound(first);
-        if (behind == last_by_first_.begin() || std::prev(behind)->second < last) return false;
+        auto following = last_by_first_.upper_bound(first);
+        if (following == last_by_first_.begin() || std::prev(following)->second < last) return false;
     }
     return true;
 }
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket: how much of a rate limit is left.
+// A token bucket, which limits the rate of requests.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -8,11 +8,11 @@
 
 namespace hareshore {
 
-// Tokens are refilled at a constant rate up to a maximum. Every call takes the current time of the steady
+// Tokens are refilled at a constant rate up to a maximum. Every function takes the current time of the steady
 // clock, which must not go back.
 class TokenBucket {
   public:
-    // Starts full. `rate` is in tokens a second and above 0; `burst` is the most that it holds.
+    // Starts full. `rate` is in tokens per second and greater than 0; `burst` is the capacity.
     TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), available_(burst) {}
 
     // Tokens that can be taken now.
@@ -20,23 +20,23 @@
         refill(now);
         return available_;
     }
-    // Takes `tokens` if there are as many; else takes none and returns false. Who takes only what available()
-    // returned may ignore the result.
+    // Takes `tokens` if that many are available; otherwise takes none and returns false. Callers that take no
+    // more than available() returned may ignore the result.
     bool take(double tokens, Seconds now) {
         refill(now);
         if (available_ + constants::kTokenRoundingTolerance < tokens) return false;
         available_ -= tokens;
         return true;
     }
-    // Seconds until `tokens`, or the most that it holds, can be taken.
+    // Seconds until `tokens`, or the capacity if that is smaller, can be taken.
     [[nodiscard]] Seconds wait_time(double tokens, Seconds now) {
         refill(now);
         double needed = std::min(tokens, burst_);
-        // What rounding leaves out of a token is no reason to wait: so short a wait would not move the clock.
+        // A rounding error is not waited for: so short a wait would not advance the clock.
         if (available_ + constants::kTokenRoundingTolerance >= needed) return 0;
         return (needed - available_) / rate_;
     }
-    // The limit's owner reported that it is exceeded: there are no tokens left, whatever was assumed.
+    // Discards all tokens after the server reported that the rate limit is exceeded.
     void mark_exhausted(Seconds now) {
         refill(now);
         available_ = std::min(available_, 0.0);
--- a/src/config/config.cc
+++ b/src/config/config.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The first record format that no version older than the announced limits writes.
+// The first record format that is written only by versions that obey the announced limits.
 constexpr uint64_t kFirstFormatWithinNextLimit = 2;
 
 }  // namespace
--- a/src/config/config_wire.cc
+++ b/src/config/config_wire.cc
@@ -1,4 +1,4 @@
-// Reads the platform's settings file: the only file that has the names of its fields.
+// Reads the platform settings. Only this file contains the names of their fields.
 #include <toml++/toml.h>
 
 #include <algorithm>
@@ -16,47 +16,47 @@
 
 using View = toml::node_view<const toml::node>;
 
-// Upper bounds of the file's numbers: far above any deployment, far below overflow.
+// Bounds of numbers in the file. The upper ones are far above any deployment and far below overflow.
 constexpr double kMaxNumber = 1e9;
 constexpr double kMaxSkew_ms = 1e7;
 constexpr double kMaxListLag_s = 1e6;
-constexpr double kMinTransactionOperations = 2;  // a record is moved from one key to another at once
+constexpr double kMinTransactionOperations = 2;  // one transaction moves a record to another key
 constexpr double kMaxTransactionOperations = 1e6;
 constexpr double kMinSockets = 16;
 constexpr double kMaxSockets = 1e7;
 constexpr double kMaxMemoryMb = 1e7;
 constexpr double kBytesPerKb = 1024.0;
 
-[[noreturn]] void fail(const std::string& field, const std::string& what) {
-    throw ConfigError(ConfigError::Kind::kInvalidValue, "settings: " + field + ": " + what);
+[[noreturn]] void fail(const std::string& field, const std::string& problem) {
+    throw ConfigError(ConfigError::Kind::kInvalidValue, "settings: " + field + ": " + problem);
 }
 
 std::string read_text(View view, const std::string& field) {
     std::optional<std::string> text = view.value_exact<std::string>();
-    if (!text || text->empty()) fail(field, "a non-empty text is needed");
+    if (!text || text->empty()) fail(field, "expected a non-empty string");
     return *text;
 }
 
-double read_number(View view, const std::string& field, double least, double most) {
+double read_number(View view, const std::string& field, double min, double max) {
     std::optional<double> number = view.value<double>();
-    if (!number || !view.is_number()) fail(field, "a number is needed");
-    if (!std::isfinite(*number) || *number < least || *number > most) fail(field, "out of range");
+    if (!number || !view.is_number()) fail(field, "expected a number");
+    if (!std::isfinite(*number) || *number < min || *number > max) fail(field, "out of range");
     return *number;
 }
 
 double read_positive(View view, const std::string& field) {
     double number = read_number(view, field, 0, kMaxNumber);
-    if (number <= 0) fail(field, "must be above 0");
+    if (number <= 0) fail(field, "must be greater than 0");
     return number;
 }
 
 Address read_address(View view, const std::string& field) {
     std::optional<Address> address = Address::parse(read_text(view, field));
-    if (!address) fail(field, "an address like 10.0.0.1:8080 is needed");
+    if (!address) fail(field, "expected an IPv4 address and port such as 10.0.0.1:8080");
     return *address;
 }
 
-// The prefix in errors of the fields of a list's entry: "facts.teams[0].".
+// The prefix, in error messages, of the fields of a list entry: "facts.teams[0].".
 std::string entry_prefix(const char* list, size_t index) {
     std::string prefix = list;
     prefix += '[';
@@ -65,8 +65,7 @@
     return prefix;
 }
 
-// Reads the file's sections in order. Each function reads one, and throws ConfigError for its first invalid
-// field.
+// Reads the sections of the file in order, one per function. Throws ConfigError for the first invalid field.
 class ConfigReader {
   public:
     explicit ConfigReader(const toml::table& root) : root_(root) {}
@@ -88,8 +87,8 @@
   private:
     [[nodiscard]] View at(const char* path) const { return root_.at_path(path); }
     [[nodiscard]] double positive(const char* path) const { return read_positive(at(path), path); }
-    [[nodiscard]] double number(const char* path, double least, double most) const {
-        return read_number(at(path), path, least, most);
+    [[nodiscard]] double number(const char* path, double min, double max) const {
+        return read_number(at(path), path, min, max);
     }
 
     void read_addresses() {
@@ -117,14 +116,14 @@
 
     void read_zones() {
         const toml::array* zones = at("facts.zones").as_array();
-        if (!zones || zones->empty()) fail("facts.zones", "a list of zones is needed");
+        if (!zones || zones->empty()) fail("facts.zones", "expected a non-empty list of zones");
         for (const toml::node& zone : *zones) config_.zones.push_back(read_text(View(&zone), "facts.zones"));
         config_.skew_s = number("facts.skew_ms", 0, kMaxSkew_ms) / 1000.0;
     }
 
     void read_teams() {
         const toml::array* teams = at("facts.teams").as_array();
-        if (!teams) fail("facts.teams", "a list of teams is needed");
+        if (!teams) fail("facts.teams", "expected a list of teams");
         for (size_t i = 0; i < teams->size(); ++i) {
             View entry(teams->get(i));
             std::string prefix = entry_prefix("facts.teams", i);
@@ -167,7 +166,8 @@
         config_.gang_wait_s = positive("facts.workers.gang_wait_s");
         config_.gang_peer_s = positive("facts.workers.gang_peer_s");
         config_.cancel_s = positive("facts.workers.cancel_s");
-        if (config_.cancel_s <= config_.lease_s) fail("facts.workers.cancel_s", "must be above lease_s");
+        if (config_.cancel_s <= config_.lease_s)
+            fail("facts.workers.cancel_s", "must be greater than lease_s");
     }
 
     [[nodiscard]] size_t transaction_operations(const char* path) const {
@@ -184,10 +184,10 @@
     void read_announced_store_limits() {
         View next = at("facts.state.next");
         if (!next) return;
-        if (!next.is_table()) fail("facts.state.next", "a table is needed");
+        if (!next.is_table()) fail("facts.state.next", "expected a table");
         if (next["value_kb"]) {
-            constexpr double kLeast = constants::kSmallestValueLimit / kBytesPerKb;
-            double value_kb = number("facts.state.next.value_kb", kLeast, kMaxNumber);
+            constexpr double kMinValueKb = constants::kSmallestValueLimit / kBytesPerKb;
+            double value_kb = number("facts.state.next.value_kb", kMinValueKb, kMaxNumber);
             config_.next_value_bytes = static_cast<size_t>(value_kb * kBytesPerKb);
         }
         if (next["txn_ops"])
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -15,13 +15,13 @@
 
 namespace {
 
-enum class NumberKind : uint8_t { kDecimal, kWhole };
+enum class NumberKind : uint8_t { kDecimal, kInteger };
 
-// One setting: its name, its range and how it is set.
+// The name, range and setter of one setting.
 struct SettingRule {
     const char* name = nullptr;
-    double least = 0;
-    double most = 0;
+    double min = 0;
+    double max = 0;
     void (*set)(Settings&, double) = nullptr;
     NumberKind kind = NumberKind::kDecimal;
 };
@@ -32,11 +32,11 @@
     {"begin-bound-s", 0, 86400, [](Settings& s, double v) { s.begin_bound_s = v; }},
     {"age-bound-s", 0, 86400, [](Settings& s, double v) { s.age_bound_s = v; }},
     {"min-machines", 0, 10000, [](Settings& s, double v) { s.min_machines = static_cast<int>(v); },
-     NumberKind::kWhole},
+     NumberKind::kInteger},
     {"max-machines", 0, 10000, [](Settings& s, double v) { s.max_machines = static_cast<int>(v); },
-     NumberKind::kWhole},
+     NumberKind::kInteger},
     {"min-idle-machines", 0, 1000, [](Settings& s, double v) { s.min_idle_machines = static_cast<int>(v); },
-     NumberKind::kWhole},
+     NumberKind::kInteger},
     {"idle-return-s", 5, 86400, [](Settings& s, double v) { s.idle_return_s = v; }},
     {"calm-s", 0, 86400, [](Settings& s, double v) { s.calm_s = v; }},
     {"preempt-after-s", 0, 3600, [](Settings& s, double v) { s.preempt_after_s = v; }},
@@ -50,18 +50,18 @@
     throw ConfigError(ConfigError::Kind::kSyntax, at_line(line) + "expected (name value)");
 }
 
-// "(name value)" as it stands in the file.
+// The text of one "(name value)" in the file.
 struct Expression {
     std::string text;
-    size_t line = 1;  // where it begins
+    size_t line = 1;  // of its first character
 };
 
-// Cuts the file into its expressions, so that an error can name the line; a semicolon begins a comment.
+// Splits the file into expressions, so that errors can name the line. A semicolon starts a comment.
 class ExpressionScanner {
   public:
     explicit ExpressionScanner(const std::string& text) : text_(text) {}
 
-    // The next expression; empty at the end of the file. Throws ConfigError if anything else follows.
+    // Returns the next expression; empty at the end of the file. Throws ConfigError on any other input.
     std::optional<Expression> next() {
         skip_blanks_and_comments();
         if (position_ == text_.size()) return std::nullopt;
@@ -100,7 +100,7 @@
 };
 
 NameAndValue parse_expression(const Expression& expression) {
-    std::string text = expression.text;  // the parser wants it writable
+    std::string text = expression.text;  // the parser needs a writable buffer
     sexp_t* parsed = parse_sexp(text.data(), text.size());
     const sexp_t* name = parsed && parsed->ty == SEXP_LIST ? parsed->list : nullptr;
     const sexp_t* value = name && name->ty == SEXP_VALUE ? name->next : nullptr;
@@ -112,29 +112,30 @@
     return result;
 }
 
-double parse_value(const SettingRule& rule, const std::string& text, const std::string& where) {
-    auto fail = [&](const std::string& what) {
-        throw ConfigError(ConfigError::Kind::kInvalidValue, where + rule.name + ": " + what);
+double parse_value(const SettingRule& rule, const std::string& text, const std::string& location) {
+    auto fail = [&](const std::string& problem) {
+        throw ConfigError(ConfigError::Kind::kInvalidValue, location + rule.name + ": " + problem);
     };
     double value = 0;
     const char* end = text.data() + text.size();
     auto parsed = std::from_chars(text.data(), end, value);
-    if (parsed.ec != std::errc{} || parsed.ptr != end) fail("a number is needed");
-    bool whole = rule.kind == NumberKind::kWhole;
-    bool in_range = value >= rule.least && value <= rule.most;
-    if (!in_range || (whole && value != static_cast<int>(value)))
-        fail("must be from " + std::to_string(static_cast<int>(rule.least)) + " to " +
-             std::to_string(static_cast<int>(rule.most)) + (whole ? ", whole" : ""));
+    if (parsed.ec != std::errc{} || parsed.ptr != end) fail("expected a number");
+    bool integer = rule.kind == NumberKind::kInteger;
+    bool in_range = value >= rule.min && value <= rule.max;
+    if (!in_range || (integer && value != static_cast<int>(value)))
+        fail((integer ? "must be an integer from " : "must be from ") +
+             std::to_string(static_cast<int>(rule.min)) + " to " +
+             std::to_string(static_cast<int>(rule.max)));
     return value;
 }
 
-void apply(Settings& settings, const NameAndValue& setting, const std::string& where) {
+void apply(Settings& settings, const NameAndValue& setting, const std::string& location) {
     for (const SettingRule& rule : kSettingRules) {
         if (rule.name != setting.name) continue;
-        rule.set(settings, parse_value(rule, setting.value, where));
+        rule.set(settings, parse_value(rule, setting.value, location));
         return;
     }
-    throw ConfigError(ConfigError::Kind::kUnknownName, where + "unknown setting " + setting.name);
+    throw ConfigError(ConfigError::Kind::kUnknownName, location + "unknown setting " + setting.name);
 }
 
 }  // namespace
--- a/src/config/text_file.h
+++ b/src/config/text_file.h
@@ -4,7 +4,7 @@
 
 namespace hareshore {
 
-// The whole content of a file. Throws ConfigError if it cannot be read.
+// Returns the content of a file. Throws ConfigError if it cannot be read.
 [[nodiscard]] std::string read_text_file(const std::string& path);
 
 }  // namespace hareshore
--- a/src/config/toml_guard.cc
+++ b/src/config/toml_guard.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Follows strings, comments and lines byte by byte, as far as the check needs them.
+// Tracks strings, comments and lines byte by byte, as far as the check needs them.
 class TomlScanner {
   public:
     explicit TomlScanner(const std::string& text) : text_(text) {}
@@ -17,35 +17,35 @@
     void check() {
         while (position_ < text_.size()) {
             char c = text_[position_];
-            follow_quotes(c);
-            follow_lines(c);
+            scan_strings_and_comments(c);
+            scan_lines(c);
             ++position_;
         }
     }
 
   private:
-    static constexpr char kNone = 0;        // outside of strings and comments
-    static constexpr char kComment = '\n';  // ends with the line
+    static constexpr char kNone = 0;        // outside strings and comments
+    static constexpr char kComment = '\n';  // a comment ends with the line
 
     static bool is_ascii(char c) { return static_cast<unsigned char>(c) < 0x80; }
 
-    void follow_quotes(char c) {
+    void scan_strings_and_comments(char c) {
         if (c == '\n') {
-            quote_ = kNone;
-        } else if (quote_ != kNone) {
-            bool escaped = c == '\\' && quote_ == '"' && position_ + 1 < text_.size();
+            end_ = kNone;
+        } else if (end_ != kNone) {
+            bool escaped = c == '\\' && end_ == '"' && position_ + 1 < text_.size();
             if (escaped && text_[position_ + 1] != '\n') ++position_;
-            if (c == quote_) quote_ = kNone;
+            if (c == end_) end_ = kNone;
         } else if (c == '"' || c == '\'') {
-            quote_ = c;
+            end_ = c;
         } else if (c == '#') {
-            quote_ = kComment;
+            end_ = kComment;
         } else if (!is_ascii(c)) {
-            fail("a letter outside ASCII and of no text");
+            fail("non-ASCII character outside a string or comment");
         }
     }
 
-    void follow_lines(char c) {
+    void scan_lines(char c) {
         if (c == '\n') ++line_;
         if (c == '\n' || c == '\r' || c == '\v' || c == '\f') {
             only_blanks_ = true;
@@ -57,26 +57,26 @@
         }
     }
 
-    // The name begins with a letter, a digit, '_', '-' or a quote, after "[" or "[[" and blanks.
+    // After "[" or "[[" and blanks, the name must start with a letter, a digit, '_', '-' or a quote.
     void check_table_name() const {
         size_t name = position_ + 1;
         if (name < text_.size() && text_[name] == '[') ++name;
         while (name < text_.size() && (text_[name] == ' ' || text_[name] == '\t')) ++name;
         auto first = name < text_.size() ? static_cast<unsigned char>(text_[name]) : 0;
         bool alphanumeric = first < 0x80 && std::isalnum(first);
-        if (!alphanumeric && (first == 0 || !std::strchr("_-\"'", first))) fail("a table's name is needed");
+        if (!alphanumeric && (first == 0 || !std::strchr("_-\"'", first))) fail("expected a table name");
     }
 
-    [[noreturn]] void fail(const std::string& what) const {
+    [[noreturn]] void fail(const std::string& problem) const {
         throw ConfigError(ConfigError::Kind::kSyntax,
-                          "settings: line " + std::to_string(line_) + ": " + what);
+                          "settings: line " + std::to_string(line_) + ": " + problem);
     }
 
     const std::string& text_;
     size_t position_ = 0;
     size_t line_ = 1;
-    bool only_blanks_ = true;  // nothing but blanks so far on this line
-    char quote_ = kNone;       // what ends the string or comment that the current byte is in
+    bool only_blanks_ = true;  // on this line so far
+    char end_ = kNone;         // the character that ends the current string or comment
 };
 
 }  // namespace
--- a/tests/base/token_bucket_test.cc
+++ b/tests/base/token_bucket_test.cc
@@ -1,11 +1,11 @@
-// Rate limits.
+// The token bucket for rate limits.
 #include "base/token_bucket.h"
 
 #include <gtest/gtest.h>
 
 using namespace hareshore;
 
-TEST(TokenBucket, GivesTheRateAndTheBurst) {
+TEST(TokenBucket, AllowsBurstAndRate) {
     TokenBucket bucket(10, 5);
     EXPECT_TRUE(bucket.take(5, 1.0));
     EXPECT_FALSE(bucket.take(1, 1.0));
@@ -13,8 +13,9 @@
     EXPECT_TRUE(bucket.take(1, 1.11));
 }
 
-// Rounding left a wait too short to move the clock: whoever waited for two changes spun for ever.
-TEST(TokenBucket, NeverWaitsForLessThanTheClockTells) {
+// Rounding errors once left a wait time too short to advance the clock, so that a caller waiting for two
+// tokens looped forever.
+TEST(TokenBucket, WaitTimeAlwaysAdvancesTheClock) {
     TokenBucket bucket(11.25, 2);
     Seconds now = 1000.1;
     for (int i = 0; i < 100'000; ++i) {
@@ -22,7 +23,7 @@
         ASSERT_TRUE(wait == 0 || now + wait > now) << i;
         now += wait;
         if (wait == 0) {
-            ASSERT_TRUE(bucket.take(2, now)) << "what need not be waited for is there";
+            ASSERT_TRUE(bucket.take(2, now)) << "wait_time() was 0, but the tokens are not available";
         }
         now += (i % 7) * 0.013;
     }
--- a/tests/config/settings_test.cc
+++ b/tests/config/settings_test.cc
@@ -1,32 +1,32 @@
-// The operators' settings: their names, syntax and errors.
+// The operators' settings: names, syntax and errors.
 #include <gtest/gtest.h>
 
 #include "config/config.h"
 
 using namespace hareshore;
 
-TEST(OperatorSettings, AreSExpressionsWithPositionsInErrors) {
-    Settings settings_read = Settings::parse("; ours\n(hold-s 4.5)\n(min-idle-machines 2)\n");
-    EXPECT_EQ(settings_read.hold_s, 4.5);
-    EXPECT_EQ(settings_read.min_idle_machines, 2);
-    auto error = [](const char* text) {
+TEST(OperatorSettings, ParsesSExpressionsAndNamesTheLineOfErrors) {
+    Settings settings = Settings::parse("; comment\n(hold-s 4.5)\n(min-idle-machines 2)\n");
+    EXPECT_EQ(settings.hold_s, 4.5);
+    EXPECT_EQ(settings.min_idle_machines, 2);
+    auto parse_error = [](const char* text) {
         try {
             static_cast<void>(Settings::parse(text));
-        } catch (const ConfigError& e) {
-            return std::string(e.what());
+        } catch (const ConfigError& error) {
+            return std::string(error.what());
         }
         return std::string();
     };
-    EXPECT_EQ(error("(hold-s 1)\n(holds 2)").substr(0, 7), "line 2:");
-    EXPECT_EQ(error("\n\n(hold-s -1)").substr(0, 7), "line 3:");
-    EXPECT_EQ(error("(min-machines 1.5)").substr(0, 7), "line 1:");
-    for (const char* bad :
+    EXPECT_EQ(parse_error("(hold-s 1)\n(holds 2)").substr(0, 7), "line 2:");
+    EXPECT_EQ(parse_error("\n\n(hold-s -1)").substr(0, 7), "line 3:");
+    EXPECT_EQ(parse_error("(min-machines 1.5)").substr(0, 7), "line 1:");
+    for (const char* invalid :
          {"hold-s 3", "(hold-s)", "(hold-s 1 2)", "(hold-s (1))", "(hold-s 1", ")", "(hold-s nan)", "()"})
-        EXPECT_NE(error(bad), "") << bad;
+        EXPECT_NE(parse_error(invalid), "") << invalid;
 }
 
-// The names that README.md documents, each with what it sets.
-TEST(OperatorSettings, HaveTheDocumentedNames) {
+// Each name documented in README.md must set its member.
+TEST(OperatorSettings, HasTheDocumentedNames) {
     Settings settings = Settings::parse(
         "(hold-s 1)(similar-age-s 2)(age-bound-s 3)(begin-bound-s 4)(min-machines 5)(max-machines 6)"
         "(min-idle-machines 7)(idle-return-s 8)(calm-s 9)(preempt-after-s 11)");
@@ -42,7 +42,7 @@
     EXPECT_EQ(settings.preempt_after_s, 11);
 }
 
-TEST(OperatorSettings, RefuseUnknownNames) {
+TEST(OperatorSettings, RejectsUnknownNames) {
     for (const char* unknown : {"hold", "hold_s", "Hold-s", "hold-seconds", "max-machine", "preempt-after"}) {
         try {
             static_cast<void>(Settings::parse("(hold-s 1)\n(" + std::string(unknown) + " 2)"));
