--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Collects one response; http_parser calls back into it.
+// Parses one response with http_parser, whose callbacks collect it.
 class ResponseParser {
   public:
     explicit ResponseParser(size_t body_limit) : body_limit_(body_limit) {
@@ -19,10 +19,10 @@
         parser_.data = this;
         http_parser_settings_init(&callbacks_);
         callbacks_.on_body = [](http_parser* parser, const char* data, size_t size) {
-            return of(parser).append_body(data, size);
+            return self(parser).append_body(data, size);
         };
         callbacks_.on_message_complete = [](http_parser* parser) {
-            of(parser).complete_ = true;
+            self(parser).complete_ = true;
             http_parser_pause(parser, 1);
             return 0;
         };
@@ -30,8 +30,8 @@
     ResponseParser(const ResponseParser&) = delete;  // the parser points to it
     ResponseParser& operator=(const ResponseParser&) = delete;
 
-    // Takes received bytes; none mean the end of the stream, which completes a response without a length.
-    // False if they are not a response within the limit.
+    // Parses received bytes. Empty bytes mean the end of the stream, which completes a response without a
+    // length. Returns false if the bytes are no valid response within the limit.
     bool parse(std::string_view bytes) {
         http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
         auto error = HTTP_PARSER_ERRNO(&parser_);
@@ -44,7 +44,7 @@
     std::string take_body() { return std::move(body_); }
 
   private:
-    static ResponseParser& of(http_parser* parser) { return *static_cast<ResponseParser*>(parser->data); }
+    static ResponseParser& self(http_parser* parser) { return *static_cast<ResponseParser*>(parser->data); }
 
     int append_body(const char* data, size_t size) {
         too_large_ = body_.size() + size > body_limit_;
@@ -61,7 +61,7 @@
     bool too_large_ = false;
 };
 
-// Counts a call that waits for a connection, until it is destroyed or ended.
+// Counts a call that waits for a connection until end() or destruction.
 class WaitingCall {
   public:
     explicit WaitingCall(size_t& count) : count_(&count) { ++count; }
@@ -77,13 +77,13 @@
     size_t* count_;
 };
 
-// Counts a connection in use, whichever way the call ends.
-class OpenConnection {
+// Counts a connection in use until destruction, however the call ends.
+class ConnectionInUse {
   public:
-    OpenConnection(size_t& count, Condition& freed) : count_(count), freed_(freed) { ++count_; }
-    OpenConnection(const OpenConnection&) = delete;
-    OpenConnection& operator=(const OpenConnection&) = delete;
-    ~OpenConnection() {
+    ConnectionInUse(size_t& count, Condition& freed) : count_(count), freed_(freed) { ++count_; }
+    ConnectionInUse(const ConnectionInUse&) = delete;
+    ConnectionInUse& operator=(const ConnectionInUse&) = delete;
+    ~ConnectionInUse() {
         --count_;
         freed_.notify();
     }
@@ -105,27 +105,27 @@
 }  // namespace
 
 Task<HttpClient::Exchange> HttpClient::exchange(Stream& stream, const std::string& request,
-                                                Seconds until) const {
+                                                Seconds deadline) const {
     ResponseParser parser(response_limit_);
     Exchange failed;
     failed.result.maybe_executed = true;
-    if (!co_await stream.write(request, until)) co_return failed;
+    if (!co_await stream.write(request, deadline)) co_return failed;
     while (!parser.complete()) {
-        Stream::Read got = co_await stream.read(until);
-        bool ended = got.outcome == Stream::Read::Outcome::kEnd;
-        if (!got.ok() && !ended) co_return failed;
-        if (!parser.parse(got.bytes)) {
+        Stream::Read received = co_await stream.read(deadline);
+        bool ended = received.outcome == Stream::Read::Outcome::kEnd;
+        if (!received.ok() && !ended) co_return failed;
+        if (!parser.parse(received.bytes)) {
             failed.result.response_too_large = parser.too_large();
             co_return failed;
         }
         if (ended && !parser.complete()) co_return failed;
     }
-    Exchange done;
-    done.result.status = parser.status();
-    done.result.maybe_executed = true;
-    done.result.body = parser.take_body();
-    done.keep_alive = parser.keep_alive();
-    co_return done;
+    Exchange completed;
+    completed.result.status = parser.status();
+    completed.result.maybe_executed = true;
+    completed.result.body = parser.take_body();
+    completed.keep_alive = parser.keep_alive();
+    co_return completed;
 }
 
 std::unique_ptr<Stream> HttpClient::take_idle_connection() {
@@ -138,24 +138,24 @@
 }
 
 Task<CallResult> HttpClient::call(std::string method, std::string path, std::string body, Seconds timeout) {
-    Seconds until = loop_.now() + timeout;
-    bool all_used = open_ >= max_connections_;
+    Seconds deadline = loop_.now() + timeout;
+    bool all_used = in_use_ >= max_connections_;
     if (all_used && waiting_ >= constants::kConnectionPoolQueueLimit) co_return CallResult{};
     WaitingCall waiting(waiting_);
-    while (open_ >= max_connections_)
-        if (co_await loop_.wait(connection_freed_, until) == WakeReason::kTimeout) co_return CallResult{};
+    while (in_use_ >= max_connections_)
+        if (co_await loop_.wait(connection_freed_, deadline) == WakeReason::kTimeout) co_return CallResult{};
     waiting.end();
-    OpenConnection open(open_, connection_freed_);
+    ConnectionInUse connection(in_use_, connection_freed_);
     std::unique_ptr<Stream> stream = take_idle_connection();
     if (!stream) {
-        Seconds connect_until = std::min(until, loop_.now() + constants::kConnectTimeout_s);
-        stream = co_await connect_to(loop_, server_, connect_until);
+        Seconds connect_deadline = std::min(deadline, loop_.now() + constants::kConnectTimeout_s);
+        stream = co_await connect_to(loop_, server_, connect_deadline);
         if (!stream) co_return CallResult{};
     }
     std::string request = render_request(method, path, body);
-    Exchange done = co_await exchange(*stream, request, until);
-    if (done.keep_alive && idle_.size() < max_connections_) idle_.push_back(std::move(stream));
-    co_return std::move(done.result);
+    Exchange completed = co_await exchange(*stream, request, deadline);
+    if (completed.keep_alive && idle_.size() < max_connections_) idle_.push_back(std::move(stream));
+    co_return std::move(completed.result);
 }
 
 }  // namespace hareshore
--- a/src/http/json_size.cc
+++ b/src/http/json_size.cc
@@ -62,7 +62,7 @@
     size_t size = kQuotes;
     for (char byte : text) {
         auto code = static_cast<unsigned char>(byte);
-        // One branch for each class of bytes, in order: hence two that add the same.
+        // One branch per class of bytes in ascending order; two of them add the same size.
         if (code == '"' || code == '\\') {
             size += 2;
         } else if (code < 0x20 || code == 0x7f) {  // NOLINT(bugprone-branch-clone): see above
@@ -70,7 +70,7 @@
         } else if (code < 0x80) {
             size += 1;
         } else if (code >= 0xf0) {
-            size += kSurrogatePair;  // the first byte of a code point counts for all of them
+            size += kSurrogatePair;  // the lead byte of a UTF-8 sequence accounts for the whole sequence
         } else if (code >= 0xc0) {
             size += kEscape;
         }
@@ -79,7 +79,7 @@
 }
 
 size_t json_number_size(double number) {
-    // The longer of the usual ways to write it: fixed notation is not used for larger numbers.
+    // The longer of scientific and fixed notation. Fixed notation is not used for larger numbers.
     constexpr double kLargestFixed = 1e17;
     char text[400];
     auto scientific = std::to_chars(text, text + sizeof text, number, std::chars_format::scientific);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// The messages that an HTTP server handles.
+// Requests and responses of the HTTP server.
 #pragma once
 #include <string>
 
@@ -7,21 +7,21 @@
 
 namespace hareshore {
 
-// A request as its handler gets it.
+// A request as it is passed to its handler.
 struct Request {
     std::string method;
     std::string path;   // without the query
-    std::string query;  // what follows the question mark, undecoded; empty if there is none
+    std::string query;  // the part after the question mark, not decoded; empty if there is none
     std::string body;
-    bool oversized = false;  // the body exceeded constants::kRequestBodyLimit and was dropped
-    bool abandoned = false;  // the sender has closed the connection: nobody waits for the response
+    bool oversized = false;  // the body exceeded constants::kRequestBodyLimit and was discarded
+    bool abandoned = false;  // the client has closed the connection and does not wait for a response
 };
 
-// What a handler answers.
+// A handler's response.
 struct Response {
     int status = 200;
     std::string body;
-    int retry_after = 0;  // seconds for the Retry-After header; 0: no such header
+    int retry_after = 0;  // seconds in the Retry-After header; 0: no such header
     std::string type = "application/msgpack";
 };
 
--- a/src/http/msgpack.cc
+++ b/src/http/msgpack.cc
@@ -53,8 +53,8 @@
 }
 
 std::optional<MsgpackDocument> MsgpackDocument::parse(std::string_view bytes) {
-    // No list, map, text or extension can have more entries than the message has bytes: a short message
-    // cannot ask for much memory.
+    // No list, map, string or extension can have more entries than the message has bytes, so a short message
+    // cannot cause a large allocation.
     size_t size = bytes.size();
     msgpack::unpack_limit limit(size, size, size, size, size, constants::kMessagePackNestingLimit);
     try {
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Collects one request after the other; http_parser calls back into it.
+// Parses successive requests with http_parser, whose callbacks collect them.
 class RequestParser {
   public:
     RequestParser() {
@@ -22,23 +22,23 @@
         parser_.data = this;
         http_parser_settings_init(&callbacks_);
         callbacks_.on_url = [](http_parser* parser, const char* data, size_t size) {
-            return of(parser).append_url(data, size);
+            return self(parser).append_url(data, size);
         };
         callbacks_.on_header_field = [](http_parser* parser, const char*, size_t size) {
-            return of(parser).count_head(size);
+            return self(parser).count_head(size);
         };
         callbacks_.on_header_value = callbacks_.on_header_field;
         callbacks_.on_headers_complete = [](http_parser* parser) {
             bool has_length = parser->content_length != ULLONG_MAX;
             if (has_length && parser->content_length > constants::kRequestBodyLimit)
-                of(parser).request_.oversized = true;
+                self(parser).request_.oversized = true;
             return 0;
         };
         callbacks_.on_body = [](http_parser* parser, const char* data, size_t size) {
-            return of(parser).append_body(data, size);
+            return self(parser).append_body(data, size);
         };
         callbacks_.on_message_complete = [](http_parser* parser) {
-            of(parser).complete_ = true;
+            self(parser).complete_ = true;
             http_parser_pause(parser, 1);
             return 0;
         };
@@ -46,27 +46,28 @@
     RequestParser(const RequestParser&) = delete;  // the parser points to it
     RequestParser& operator=(const RequestParser&) = delete;
 
-    // Takes received bytes up to the end of the request; returns how many it took.
+    // Parses received bytes up to the end of the request; returns how many were consumed.
     size_t parse(std::string_view bytes) {
-        size_t taken = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
-        return std::min(taken, bytes.size());
+        size_t consumed = http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
+        return std::min(consumed, bytes.size());
     }
-    // Whether the bytes are no request within the limits; nothing more can be read then.
+    // Whether the bytes are not a valid request within the limits. The connection cannot be used further
+    // then.
     [[nodiscard]] bool malformed() const {
         auto error = HTTP_PARSER_ERRNO(&parser_);
         return parser_.upgrade || (error != HPE_OK && error != HPE_PAUSED);
     }
-    // Whether the body exceeds the limit: the request can be refused before it has been received whole.
+    // Whether the body exceeds the limit: the request can be rejected before all of it has been received.
     [[nodiscard]] bool oversized() const { return request_.oversized; }
     [[nodiscard]] bool complete() const { return complete_; }
     [[nodiscard]] bool keep_alive() const { return http_should_keep_alive(&parser_) != 0; }
 
-    // The complete request; reset() must follow before the next is parsed.
+    // Returns the complete request. reset() must be called before the next one is parsed.
     Request take_request() {
         request_.method = http_method_str(static_cast<http_method>(parser_.method));
-        size_t mark = url_.find('?');
-        request_.path = url_.substr(0, mark);
-        if (mark != std::string::npos) request_.query = url_.substr(mark + 1);
+        size_t query_mark = url_.find('?');
+        request_.path = url_.substr(0, query_mark);
+        if (query_mark != std::string::npos) request_.query = url_.substr(query_mark + 1);
         return std::move(request_);
     }
     void reset() {
@@ -79,9 +80,9 @@
     }
 
   private:
-    static RequestParser& of(http_parser* parser) { return *static_cast<RequestParser*>(parser->data); }
+    static RequestParser& self(http_parser* parser) { return *static_cast<RequestParser*>(parser->data); }
 
-    // The callbacks' results: 0 to go on, else the request is malformed.
+    // Results of the callbacks: 0 to continue; otherwise the request is malformed.
     int count_head(size_t size) {
         head_size_ += size;
         return head_size_ > constants::kRequestHeadLimit ? 1 : 0;
@@ -107,8 +108,8 @@
     http_parser_settings callbacks_{};
     Request request_;
     std::string url_;
-    size_t head_size_ = 0;  // bytes of URL and headers
-    size_t body_size_ = 0;  // bytes, kept or not
+    size_t head_size_ = 0;  // bytes of the URL and headers
+    size_t body_size_ = 0;  // bytes, including discarded ones
     bool complete_ = false;
 };
 
@@ -154,25 +155,26 @@
     return keep_alive ? AfterResponse::kKeepAlive : AfterResponse::kClose;
 }
 
-// Until when a connection is read: a request must begin within the idle time, and then be complete in time.
+// The deadline for reading from a connection: a request must begin within the idle timeout and then be
+// complete within the read timeout.
 class ReadDeadline {
   public:
     explicit ReadDeadline(Seconds now) { await_request(now); }
 
     void await_request(Seconds now) {
-        request_began_ = false;
-        until_ = now + constants::kIdleConnectionTimeout_s;
+        request_started_ = false;
+        time_ = now + constants::kIdleConnectionTimeout_s;
     }
     void bytes_received(Seconds now) {
-        if (request_began_) return;
-        request_began_ = true;
-        until_ = now + constants::kRequestReadTimeout_s;
+        if (request_started_) return;
+        request_started_ = true;
+        time_ = now + constants::kRequestReadTimeout_s;
     }
-    [[nodiscard]] Seconds until() const { return until_; }
+    [[nodiscard]] Seconds time() const { return time_; }
 
   private:
-    bool request_began_ = false;
-    Seconds until_ = 0;
+    bool request_started_ = false;
+    Seconds time_ = 0;
 };
 
 std::string render_bad_request(AfterResponse after) {
@@ -209,33 +211,33 @@
 Task<void> HttpServer::serve(int fd) {
     Stream stream(loop_, fd);
     RequestParser parser;
-    std::string pipelined;  // bytes received behind a complete request
+    std::string pipelined;  // bytes received after a complete request
     ReadDeadline deadline(loop_.now());
-    bool refused = false;  // the current request was answered before it was complete
+    bool rejected = false;  // the response to the current request was sent before it was complete
     while (true) {
         std::string_view input = pipelined;
         if (input.empty()) {
-            Stream::Read got = co_await stream.read(deadline.until());
-            if (!got.ok()) co_return;
-            input = got.bytes;
+            Stream::Read received = co_await stream.read(deadline.time());
+            if (!received.ok()) co_return;
+            input = received.bytes;
             deadline.bytes_received(loop_.now());
         }
-        size_t taken = parser.parse(input);
-        pipelined = std::string(input.substr(taken));
+        size_t consumed = parser.parse(input);
+        pipelined = std::string(input.substr(consumed));
         if (parser.malformed()) {
             std::string out = render_bad_request(AfterResponse::kClose);
             co_await stream.write(out, loop_.now() + constants::kSendTimeout_s);
             co_return;
         }
-        // Refused at once; what remains of the body is read and dropped.
-        if (parser.oversized() && !refused) {
-            refused = true;
+        // Rejected at once; the rest of the body is read and discarded.
+        if (parser.oversized() && !rejected) {
+            rejected = true;
             std::string out = render_bad_request(AfterResponse::kKeepAlive);
             if (!co_await stream.write(out, loop_.now() + constants::kSendTimeout_s)) co_return;
         }
         if (!parser.complete()) continue;
         bool keep_alive = parser.keep_alive();
-        if (!refused) {
+        if (!rejected) {
             Request request = parser.take_request();
             request.abandoned = stream.hung_up();
             Response response = co_await handler_(std::move(request));
@@ -244,7 +246,7 @@
         }
         if (!keep_alive) co_return;
         parser.reset();
-        refused = false;
+        rejected = false;
         deadline.await_request(loop_.now());
     }
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 server: one coroutine a connection, bounded in number, size and time.
+// HTTP/1.1 server with one coroutine per connection and limits on connections, request sizes and times.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -9,18 +9,18 @@
 
 class HttpServer {
   public:
-    // Answers one request. Requests of different connections are handled concurrently, those of one
-    // connection one after the other.
+    // Returns the response to one request. Requests of different connections are handled concurrently, those
+    // of one connection in order.
     using Handler = std::function<Task<Response>(Request)>;
 
-    // Listens at `address` at once and accepts up to `max_connections`; further ones are closed, which sends
-    // their peers to another controller. Throws std::system_error if it cannot listen. `loop` must outlive
-    // the server.
+    // Starts to listen on `address` and accepts up to `max_connections` connections. Further ones are closed,
+    // so that their clients connect to another controller. Throws std::system_error if listening fails.
+    // `loop` must outlive the server.
     HttpServer(Loop& loop, Address address, size_t max_connections, Handler handler);
 
-    // Cancels all connections; their coroutines unwind in the loop's next turns.
+    // Cancels all connections; their coroutines unwind in the next turns of the loop.
     void stop() { tasks_.cancel(); }
-    // Open connections. Not to be called after stop().
+    // Number of open connections. Must not be called after stop().
     [[nodiscard]] size_t connections() const { return tasks_.size() - 1; }
 
   private:
@@ -31,7 +31,7 @@
     size_t max_connections_;
     Handler handler_;
     FileDescriptor listener_;
-    TaskGroup tasks_;  // accept_all() and one serve() for each connection
+    TaskGroup tasks_;  // accept_all() and one serve() per connection
 };
 
 }  // namespace hareshore
--- a/src/loop/loop.cc
+++ b/src/loop/loop.cc
@@ -13,18 +13,18 @@
 
 void SpawnedTask::cancel() {
     cancelled = true;
-    if (pending) pending->wake(WakeReason::kCancelled);
+    if (current_wait) current_wait->wake(WakeReason::kCancelled);
 }
 
-void Waiter::wake(WakeReason why) {
-    outcome = why;
-    if (slot) *slot = nullptr;
-    slot = nullptr;
-    if (condition) condition->waiters_.erase(place);
+void Waiter::wake(WakeReason reason) {
+    outcome = reason;
+    if (descriptor_waiter) *descriptor_waiter = nullptr;
+    descriptor_waiter = nullptr;
+    if (condition) condition->waiters_.erase(condition_position);
     condition = nullptr;
     if (timed) loop.timers_.erase(timer);
     timed = false;
-    if (spawned_task) spawned_task->pending = nullptr;
+    if (spawned_task) spawned_task->current_wait = nullptr;
     loop.post(handle, spawned_task);
 }
 
@@ -69,18 +69,18 @@
         return;
     }
     if (file) {
-        slot = direction == Direction::kWrite ? &file->writer_ : &file->reader_;
-        *slot = this;
+        descriptor_waiter = direction == Direction::kWrite ? &file->writer_ : &file->reader_;
+        *descriptor_waiter = this;
     }
-    if (on) {
-        condition = on;
-        place = on->waiters_.insert(on->waiters_.end(), this);
+    if (awaited_condition) {
+        condition = awaited_condition;
+        condition_position = awaited_condition->waiters_.insert(awaited_condition->waiters_.end(), this);
     }
-    if (until >= 0) {
-        timer = loop.timers_.emplace(until, this);
+    if (deadline >= 0) {
+        timer = loop.timers_.emplace(deadline, this);
         timed = true;
     }
-    if (spawned_task) spawned_task->pending = this;
+    if (spawned_task) spawned_task->current_wait = this;
 }
 
 WakeReason Loop::Await::await_resume() {
@@ -88,15 +88,15 @@
     return outcome;
 }
 
-bool Loop::turn(Seconds most) {
-    Seconds timeout = most;
+bool Loop::turn(Seconds max_wait) {
+    Seconds timeout = max_wait;
     if (any_ready()) {
         timeout = 0;
     } else if (!timers_.empty()) {
         Seconds due = std::max(0.0, timers_.begin()->first - now());
-        timeout = most < 0 ? due : std::min(most, due);
+        timeout = max_wait < 0 ? due : std::min(max_wait, due);
     }
-    // As many as there are: what is urgent among them must not wait until the others have been worked off.
+    // All pending events are fetched at once, so that urgent ones do not wait until others have been handled.
     epoll_event events[constants::kEventsPerTurn];
     int count = clock_.wait(epoll_, events, constants::kEventsPerTurn, timeout);
     for (int i = 0; i < count; ++i) dispatch(events[i]);
@@ -107,7 +107,7 @@
     return count > 0 || resumed > 0;
 }
 
-// An edge that nobody waits for is remembered: epoll does not report it again.
+// Edges without a waiter are recorded, as epoll does not report them again.
 void Loop::dispatch(const epoll_event& event) {
     auto found = files_.find(event.data.fd);
     if (found == files_.end()) return;
@@ -130,8 +130,8 @@
     }
 }
 
-// Coroutines that become ready by what runs are run, too, before epoll is asked again; but only so many, so
-// that what has become urgent meanwhile does not wait for a crowd.
+// Also resumes coroutines that become ready meanwhile, but at most kResumesPerTurn, so that urgent events do
+// not wait behind a long queue.
 size_t Loop::resume_ready() {
     size_t resumed = 0;
     for (; any_ready() && resumed < constants::kResumesPerTurn; ++resumed) {
--- a/src/loop/stream.cc
+++ b/src/loop/stream.cc
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-Task<Stream::Read> Stream::read(Seconds until) {
+Task<Stream::Read> Stream::read(Seconds deadline) {
     std::span<char> buffer = loop_.read_buffer();
     while (true) {
-        // After a short read nothing is left, and a new event announces more (epoll(7), edge-triggered).
-        // Reading again without one was one system call in four.
+        // After a short read the socket is empty, and a new event announces further bytes (epoll(7),
+        // edge-triggered). Reads without such an event were one system call in four.
         if (!maybe_more_ && !file_->hung_up() &&
-            co_await loop_.readable(*file_, until) == WakeReason::kTimeout)
+            co_await loop_.readable(*file_, deadline) == WakeReason::kTimeout)
             co_return Read{Read::Outcome::kTimeout, {}};
         ssize_t count = recv(file_->fd(), buffer.data(), buffer.size(), 0);
         maybe_more_ = count == static_cast<ssize_t>(buffer.size());
@@ -46,13 +46,13 @@
             continue;
         }
         if (!would_block()) co_return Read{Read::Outcome::kError, {}};
-        // Hung up with nothing to read: only the writing side has ended, or the event was early.
-        if (file_->hung_up() && co_await loop_.readable(*file_, until) == WakeReason::kTimeout)
+        // Hung up without bytes to read: only the writing side was closed, or the event was early.
+        if (file_->hung_up() && co_await loop_.readable(*file_, deadline) == WakeReason::kTimeout)
             co_return Read{Read::Outcome::kTimeout, {}};
     }
 }
 
-Task<bool> Stream::write(std::string_view bytes, Seconds until) {
+Task<bool> Stream::write(std::string_view bytes, Seconds deadline) {
     while (!bytes.empty()) {
         ssize_t count = send(file_->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
         if (count >= 0) {
@@ -61,7 +61,7 @@
         }
         if (errno == EINTR) continue;
         if (!would_block()) co_return false;
-        if (co_await loop_.writable(*file_, until) == WakeReason::kTimeout) co_return false;
+        if (co_await loop_.writable(*file_, deadline) == WakeReason::kTimeout) co_return false;
     }
     co_return true;
 }
@@ -73,25 +73,25 @@
     return count >= 0 || (!would_block());
 }
 
-Task<std::unique_ptr<Stream>> connect_to(Loop& loop, Address to, Seconds until) {
+Task<std::unique_ptr<Stream>> connect_to(Loop& loop, Address address, Seconds deadline) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) co_return nullptr;
     int enabled = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
-    sockaddr_in native = to_sockaddr(to);
+    sockaddr_in native = to_sockaddr(address);
     int connected = connect(fd, reinterpret_cast<sockaddr*>(&native), sizeof native);
     int connect_error = connected == 0 ? 0 : errno;
-    // Registered only now: epoll reports a socket that does not connect yet as hung up.
+    // Registered only now: epoll reports a socket as hung up before connect() is called.
     auto file = std::make_unique<FileDescriptor>(loop, fd);
     if (connected != 0) {
         if (connect_error != EINPROGRESS) co_return nullptr;
         while (true) {
-            if (co_await loop.writable(*file, until) == WakeReason::kTimeout) co_return nullptr;
+            if (co_await loop.writable(*file, deadline) == WakeReason::kTimeout) co_return nullptr;
             int error = 0;
             socklen_t size = sizeof error;
             getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
             if (error != 0) co_return nullptr;
-            // An early edge (EPOLLOUT|EPOLLHUP before connecting) must not pass for a connection.
+            // An early edge (EPOLLOUT|EPOLLHUP before connecting) must not be taken for a connection.
             sockaddr_in peer{};
             socklen_t len = sizeof peer;
             if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &len) == 0) break;
@@ -100,14 +100,14 @@
     co_return std::make_unique<Stream>(loop, std::move(file));
 }
 
-int listen_on(const Address& at) {
+int listen_on(const Address& address) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
     int enabled = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-    // Accepted connections inherit this option.
+    // Inherited by accepted connections.
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
-    sockaddr_in native = to_sockaddr(at);
+    sockaddr_in native = to_sockaddr(address);
     bool bound = bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0;
     if (!bound || listen(fd, constants::kListenBacklog) != 0) {
         int error = errno;
--- a/src/loop/task.h
+++ b/src/loop/task.h
@@ -1,8 +1,9 @@
-// Coroutines of the event loop. A Task is a coroutine that runs when it is awaited; a SpawnedTask is a chain
-// of Tasks that await each other, which the loop runs by itself (TaskGroup::spawn).
+// Coroutines of the event loop. A Task is a lazily started coroutine, which runs when it is awaited. A
+// SpawnedTask is a chain of Tasks that await each other; the loop runs it independently of its creator
+// (TaskGroup::spawn).
 //
-// Cancellation: the wait that a cancelled SpawnedTask is in throws Cancelled, and so does every later one, so
-// that its stack unwinds in order. Coroutines must not catch Cancelled.
+// Cancellation: the current wait of a cancelled SpawnedTask and every later one throw Cancelled, so that its
+// stack unwinds in order. Coroutines must not catch Cancelled.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -14,26 +15,26 @@
 
 struct Waiter;
 
-// Thrown from every wait of a cancelled task.
+// Thrown by every wait of a cancelled task.
 struct Cancelled {};
 
-// Urgent tasks run before all others that are ready.
+// Urgent tasks run before all other ready ones.
 enum class Priority : unsigned char { kNormal, kUrgent };
 
-// The state that the coroutines of a spawned chain share. Owned by the chain's outermost coroutine.
+// State shared by the coroutines of a spawned chain. Owned by the outermost coroutine of the chain.
 struct SpawnedTask {
     Priority priority = Priority::kNormal;
-    Waiter* pending = nullptr;  // the wait that the task is in; null while it runs or is ready to
+    Waiter* current_wait = nullptr;  // null while the task runs or is ready to run
     bool cancelled = false;
-    std::list<SpawnedTask*>::iterator place;  // among the tasks of its group
+    std::list<SpawnedTask*>::iterator group_position;  // in the task list of its group
     void cancel();
 };
 
-// What all promises of Tasks have.
+// Members common to the promises of all Tasks.
 struct PromiseBase {
-    std::coroutine_handle<> next;         // the coroutine that awaits this one
-    SpawnedTask* spawned_task = nullptr;  // the chain that this coroutine belongs to
-    std::exception_ptr error;             // left the coroutine; rethrown where it is awaited
+    std::coroutine_handle<> continuation;  // the coroutine that awaits this one
+    SpawnedTask* spawned_task = nullptr;   // the chain that this coroutine belongs to
+    std::exception_ptr error;              // thrown by the coroutine; rethrown where it is awaited
 
     std::suspend_always initial_suspend() noexcept { return {}; }
     // Resumes the awaiting coroutine.
@@ -41,8 +42,8 @@
         bool await_ready() noexcept { return false; }
         template <class P>
         std::coroutine_handle<> await_suspend(std::coroutine_handle<P> finished) noexcept {
-            auto continuation = finished.promise().next;
-            return continuation ? continuation : std::noop_coroutine();
+            auto awaiting = finished.promise().continuation;
+            return awaiting ? awaiting : std::noop_coroutine();
         }
         void await_resume() noexcept {}
     };
@@ -53,8 +54,8 @@
 template <class T>
 struct Promise;
 
-// A coroutine with a result. It begins when it is awaited, which must happen at most once, and is destroyed
-// with this object: the arguments that it takes by reference must outlive it.
+// A coroutine with a result. It starts when it is awaited, at most once, and is destroyed with this object.
+// Arguments that it takes by reference must outlive it.
 template <class T = void>
 class [[nodiscard]] Task {
   public:
@@ -73,7 +74,7 @@
     [[nodiscard]] bool await_ready() const noexcept { return false; }
     template <class P>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<P> caller) noexcept {
-        handle_.promise().next = caller;
+        handle_.promise().continuation = caller;
         handle_.promise().spawned_task = caller.promise().spawned_task;
         return handle_;
     }
--- a/src/loop/task_group.cc
+++ b/src/loop/task_group.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The outermost coroutine of a spawned task; it frees itself.
+// The outermost coroutine of a spawned task; its frame destroys itself when it ends.
 struct Root {
     struct promise_type {
         SpawnedTask* spawned_task = nullptr;
@@ -22,7 +22,8 @@
     std::coroutine_handle<promise_type> handle;
 };
 
-// Its arguments live in its frame: it owns the task and the task's state, and shares that of the group.
+// The arguments live in the coroutine's frame, which owns the task and its state and shares the group's
+// state.
 template <class GroupState>
 Root run_root(Task<void> task, std::string name, std::shared_ptr<GroupState> group,
               std::unique_ptr<SpawnedTask> spawned) {
@@ -32,7 +33,7 @@
     } catch (const std::exception& e) {
         log::error("routine_failed", {{"routine", name}, {"error", e.what()}});
     }
-    group->tasks.erase(spawned->place);
+    group->tasks.erase(spawned->group_position);
 }
 
 }  // namespace
@@ -42,7 +43,7 @@
     auto owned = std::make_unique<SpawnedTask>();
     SpawnedTask* spawned = owned.get();
     spawned->priority = priority;
-    spawned->place = state_->tasks.insert(state_->tasks.end(), spawned);
+    spawned->group_position = state_->tasks.insert(state_->tasks.end(), spawned);
     Root root = run_root(std::move(task), std::move(name), state_, std::move(owned));
     root.handle.promise().spawned_task = spawned;
     loop_.post(root.handle, spawned);
--- a/src/loop/task_group.h
+++ b/src/loop/task_group.h
@@ -1,5 +1,4 @@
-// Structured concurrency: tasks that run on the loop by themselves belong to a group, which cancels them
-// together.
+// Structured concurrency: independently running tasks belong to a group, which cancels them together.
 #pragma once
 #include <cstddef>
 #include <list>
@@ -20,13 +19,13 @@
     TaskGroup& operator=(const TaskGroup&) = delete;
     ~TaskGroup() { cancel(); }
 
-    // Runs `task` from the loop's next turn on; the loop owns it until it ends. An exception that leaves it
-    // is logged with `name`. After cancel() nothing is started.
+    // Starts `task` in the next turn of the loop, which owns it until it ends. An exception that it throws is
+    // logged with `name`. Does nothing after cancel().
     void spawn(Task<void> task, std::string name, Priority priority = Priority::kNormal);
-    // Cancels all tasks, which unwind in the loop's next turns: what they refer to must live until size() is
-    // 0.
+    // Cancels all tasks. They unwind in the next turns of the loop: objects that they refer to must live
+    // until size() is 0.
     void cancel();
-    // Tasks that have not ended.
+    // Number of tasks that have not ended.
     [[nodiscard]] size_t size() const { return state_->tasks.size(); }
     [[nodiscard]] bool cancelled() const { return state_->cancelled; }
 
--- a/tests/http/http_test.cc
+++ b/tests/http/http_test.cc
@@ -1,4 +1,4 @@
-// HTTP server and client against well-formed and arbitrary bytes.
+// HTTP server and client with valid, invalid and mutated messages.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,19 +15,20 @@
 
 namespace {
 
-// Sends raw bytes and collects what comes back until the time is over or the peer closes.
-Task<void> raw(Loop& loop, Address to, std::string bytes, Seconds wait, std::string& out, bool& closed) {
-    auto s = co_await connect_to(loop, to, loop.now() + 1);
-    if (!s) co_return;
-    co_await s->write(bytes, loop.now() + wait);
-    Seconds until = loop.now() + wait;
+// Sends raw bytes and collects the response until the timeout or until the peer closes the connection.
+Task<void> send_raw(Loop& loop, Address server, std::string bytes, Seconds timeout, std::string& response,
+                    bool& closed) {
+    auto stream = co_await connect_to(loop, server, loop.now() + 1);
+    if (!stream) co_return;
+    co_await stream->write(bytes, loop.now() + timeout);
+    Seconds deadline = loop.now() + timeout;
     while (true) {
-        Stream::Read got = co_await s->read(until);
-        if (!got.ok()) {
-            closed = got.outcome != Stream::Read::Outcome::kTimeout;
+        Stream::Read received = co_await stream->read(deadline);
+        if (!received.ok()) {
+            closed = received.outcome != Stream::Read::Outcome::kTimeout;
             co_return;
         }
-        out.append(got.bytes);
+        response.append(received.bytes);
     }
 }
 
@@ -40,36 +41,37 @@
         unwind(loop);
     }
     HttpServer server{loop, address(5, 8080), 4,
-                      [this](Request request) { return answer(std::move(request)); }};
-    Task<Response> answer(Request request) {
+                      [this](Request request) { return respond(std::move(request)); }};
+    Task<Response> respond(Request request) {
         ++served;
         co_return Response{200, request.method + request.path + std::to_string(request.body.size()), 0,
                            "text/plain"};
     }
-    std::pair<std::string, bool> send(std::string bytes, Seconds wait = 5) {
-        std::string out;
+    // Returns the response and whether the server closed the connection.
+    std::pair<std::string, bool> send(std::string bytes, Seconds timeout = 5) {
+        std::string response;
         bool closed = false;
-        TaskGroup scope(loop);
-        scope.spawn(raw(loop, address(5, 8080), std::move(bytes), wait, out, closed), "raw");
-        loop.run_until([&] { return scope.size() == 0; }, wait + 2);
-        return {out, closed};
+        TaskGroup tasks(loop);
+        tasks.spawn(send_raw(loop, address(5, 8080), std::move(bytes), timeout, response, closed), "raw");
+        loop.run_until([&] { return tasks.size() == 0; }, timeout + 2);
+        return {response, closed};
     }
 };
 
-size_t count(const std::string& in, const std::string& what) {
-    size_t n = 0;
-    for (size_t at = 0; (at = in.find(what, at)) != std::string::npos; ++at) ++n;
-    return n;
+size_t count(const std::string& text, const std::string& pattern) {
+    size_t matches = 0;
+    for (size_t at = 0; (at = text.find(pattern, at)) != std::string::npos; ++at) ++matches;
+    return matches;
 }
 
-// Answers every connection with the same bytes, then closes.
+// Sends the same bytes on every connection after its first read, then closes it.
 struct RawPeer {
     Loop& loop;
     std::string bytes;
     FileDescriptor listener;
-    TaskGroup scope;
-    RawPeer(Loop& l, Address at) : loop(l), listener(l, listen_on(at)), scope(l) {
-        scope.spawn(accept_all(), "raw peer");
+    TaskGroup tasks;
+    RawPeer(Loop& owner, Address address) : loop(owner), listener(owner, listen_on(address)), tasks(owner) {
+        tasks.spawn(accept_all(), "raw peer");
     }
     Task<void> accept_all() {
         while (true) {
@@ -78,65 +80,66 @@
                 co_await loop.readable(listener, -1);
                 continue;
             }
-            Stream s(loop, fd);
-            co_await s.read(loop.now() + 1);
-            co_await s.write(bytes, loop.now() + 1);
+            Stream stream(loop, fd);
+            co_await stream.read(loop.now() + 1);
+            co_await stream.write(bytes, loop.now() + 1);
         }
     }
 };
 
 }  // namespace
 
-TEST_F(Http, KeepsTheConnectionForTheNextRequest) {
-    auto [out, closed] = send("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz");
-    EXPECT_EQ(count(out, "200 OK"), 2U);
-    EXPECT_NE(out.find("POST/b3"), std::string::npos);
+TEST_F(Http, KeepsConnectionAliveForPipelinedRequests) {
+    auto [response, closed] = send("GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz");
+    EXPECT_EQ(count(response, "200 OK"), 2U);
+    EXPECT_NE(response.find("POST/b3"), std::string::npos);
     EXPECT_FALSE(closed);
 }
 
-// A body over the limit is refused before it has come, and the connection goes on.
-TEST_F(Http, RefusesAnOversizedBodyAtOnceAndUnharmed) {
-    auto [out, closed] = send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(10, 'x'));
-    EXPECT_EQ(count(out, "400 Bad Request"), 1U);
+// An oversized body is rejected before it has been received, and the connection remains usable.
+TEST_F(Http, RejectsOversizedBodyAtOnceAndKeepsConnection) {
+    auto [response, closed] =
+        send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(10, 'x'));
+    EXPECT_EQ(count(response, "400 Bad Request"), 1U);
     EXPECT_EQ(served, 0);
-    auto [all, open] = send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(70000, 'x') +
-                            "GET /a HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(count(all, "400 Bad Request"), 1U);
-    EXPECT_EQ(count(all, "200 OK"), 1U);
+    auto [responses, responses_closed] = send("POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" +
+                                              std::string(70000, 'x') + "GET /a HTTP/1.1\r\n\r\n");
+    EXPECT_EQ(count(responses, "400 Bad Request"), 1U);
+    EXPECT_EQ(count(responses, "200 OK"), 1U);
 }
 
-TEST_F(Http, ClosesOnWhatIsNotHttp) {
+TEST_F(Http, ClosesConnectionOnInvalidHttp) {
     EXPECT_TRUE(send("\x01\x02garbage\r\n\r\n").second);
     EXPECT_TRUE(send("GET /" + std::string(20000, 'a') + " HTTP/1.1\r\n\r\n").second);
     EXPECT_EQ(served, 0);
 }
 
-// A peer that sends a request byte by byte, or never ends it, holds its connection for a bounded time.
-TEST_F(Http, DropsARequestThatDoesNotEnd) {
-    auto [out, closed] = send("POST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\nab", 30);
+// A client that never completes its request must not occupy a connection forever.
+TEST_F(Http, ClosesConnectionOfIncompleteRequestAfterTimeout) {
+    auto [response, closed] = send("POST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\nab", 30);
     EXPECT_TRUE(closed);
     EXPECT_EQ(served, 0);
 }
 
-TEST_F(Http, ClientReportsWhetherARequestMayHaveBeenCarriedOut) {
-    CallResult none, lost;
-    TaskGroup scope(loop);
-    auto go = [](Loop& l, Address at, Seconds timeout, CallResult& out) -> Task<void> {
-        HttpClient c(l, at, 1);
-        out = co_await c.call("POST", "/x", "b", timeout);
+TEST_F(Http, ClientReportsWhetherRequestMayHaveBeenExecuted) {
+    CallResult refused, timed_out;
+    TaskGroup tasks(loop);
+    auto call = [](Loop& on, Address server_address, Seconds timeout, CallResult& result) -> Task<void> {
+        HttpClient client(on, server_address, 1);
+        result = co_await client.call("POST", "/x", "b", timeout);
     };
-    FileDescriptor silent(loop, listen_on(address(6, 80)));  // accepts, never answers
-    scope.spawn(go(loop, address(7, 80), 2, none), "refused");
-    scope.spawn(go(loop, address(6, 80), 2, lost), "silent");
-    ASSERT_TRUE(loop.run_until([&] { return scope.size() == 0; }, 10));
-    EXPECT_EQ(none.status, 0);
-    EXPECT_FALSE(none.maybe_executed);
-    EXPECT_EQ(lost.status, 0);
-    EXPECT_TRUE(lost.maybe_executed);
+    FileDescriptor silent(loop, listen_on(address(6, 80)));  // accepts connections but never responds
+    tasks.spawn(call(loop, address(7, 80), 2, refused), "refused");
+    tasks.spawn(call(loop, address(6, 80), 2, timed_out), "silent");
+    ASSERT_TRUE(loop.run_until([&] { return tasks.size() == 0; }, 10));
+    EXPECT_EQ(refused.status, 0);
+    EXPECT_FALSE(refused.maybe_executed);
+    EXPECT_EQ(timed_out.status, 0);
+    EXPECT_TRUE(timed_out.maybe_executed);
 }
 
-// Whatever a peer sends for HTTP: the server answers or closes, the client reports a failure, and both serve
-// the next.
+// On arbitrary input the server responds or closes the connection and the client reports a failure; both
+// remain usable.
 TEST_F(Http, SurvivesArbitraryBytes) {
     std::mt19937 rng(12);
     const std::vector<std::string> requests{
@@ -148,34 +151,34 @@
         mutate(bytes, rng);
         send(bytes, 0.2);
     }
-    EXPECT_GT(served, 30) << "the mutations are mild enough to reach the insides";
+    EXPECT_GT(served, 30) << "too few mutated requests pass the parser to test the code behind it";
     EXPECT_EQ(count(send(requests[0]).first, "200 OK"), 1U);
 
     RawPeer peer(loop, address(6, 8080));
-    const std::vector<std::string> answers{
+    const std::vector<std::string> responses{
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
         "HTTP/1.1 503 No\r\nRetry-After: 1\r\n\r\n"};
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i <= 300; ++i) {
-        peer.bytes = answers[i < 300 ? rng() % answers.size() : 0];
+        peer.bytes = responses[i < 300 ? rng() % responses.size() : 0];
         if (i < 300) mutate(peer.bytes, rng);
-        CallResult answer;
-        bool over = false;
-        TaskGroup scope(loop);
-        auto ask = [](Loop& l, CallResult& out, bool& done) -> Task<void> {
-            HttpClient http(l, address(6, 8080), 1);
-            out = co_await http.call("GET", "/x", "", 0.3);
-            done = true;
+        CallResult result;
+        bool finished = false;
+        TaskGroup tasks(loop);
+        auto call = [](Loop& on, CallResult& call_result, bool& call_finished) -> Task<void> {
+            HttpClient http(on, address(6, 8080), 1);
+            call_result = co_await http.call("GET", "/x", "", 0.3);
+            call_finished = true;
         };
-        scope.spawn(ask(loop, answer, over), "ask");
-        ASSERT_TRUE(loop.run_until([&] { return over; }, 5));
-        taken += answer.ok();
+        tasks.spawn(call(loop, result, finished), "call");
+        ASSERT_TRUE(loop.run_until([&] { return finished; }, 5));
+        accepted += result.ok();
         if (i == 300) {
-            EXPECT_EQ(answer.body, "hello");
+            EXPECT_EQ(result.body, "hello");
         }
     }
-    EXPECT_GT(taken, 30);
-    peer.scope.cancel();
+    EXPECT_GT(accepted, 30);
+    peer.tasks.cancel();
     unwind(loop);
 }
--- a/tests/http/stream_test.cc
+++ b/tests/http/stream_test.cc
@@ -1,4 +1,4 @@
-// Connected streams: the end of the other side.
+// Streams: detection that the peer closed the connection.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A connected pair of streams on loopback.
+// A pair of connected streams.
 struct StreamPair {
     explicit StreamPair(Loop& loop) {
         int ends[2] = {-1, -1};
@@ -23,15 +23,15 @@
     std::unique_ptr<Stream> left, right;
 };
 
-// Reads until the stream ends; `waited` says how long that took.
+// Reads until the end of the stream and stores the elapsed time in `waited`.
 Task<void> read_to_end(Loop& loop, Stream& stream, std::string& out, Seconds& waited) {
-    Seconds began = loop.now();
+    Seconds started_at = loop.now();
     while (true) {
-        Stream::Read got = co_await stream.read(loop.now() + 20);
-        if (!got.ok()) break;
-        out.append(got.bytes);
+        Stream::Read received = co_await stream.read(loop.now() + 20);
+        if (!received.ok()) break;
+        out.append(received.bytes);
     }
-    waited = loop.now() - began;
+    waited = loop.now() - started_at;
 }
 
 Task<void> write_and_close(Loop& loop, StreamPair& pair, std::string bytes) {
@@ -41,26 +41,27 @@
 
 }  // namespace
 
-// After a short read a stream waits for an event. One event may tell of the last bytes and of the end: the
-// end must then be found without another, or a closed connection would be kept until its time is over.
-TEST(Stream, FindsTheEndThatCameWithTheLastBytes) {
+// After a short read a stream waits for an event. One event may report both the last bytes and the end of the
+// stream. The end must then be detected without another event; otherwise a closed connection is kept until
+// its timeout.
+TEST(Stream, DetectsEndReportedWithTheLastBytes) {
     FakeClock clock;
     Loop loop(clock);
     for (size_t size : {size_t{1}, constants::kReadBufferSize, constants::kReadBufferSize + 1}) {
         StreamPair pair(loop);
-        TaskGroup scope(loop);
+        TaskGroup tasks(loop);
         std::string out;
         Seconds waited = -1;
-        scope.spawn(write_and_close(loop, pair, std::string(size, 'x')), "writer");
+        tasks.spawn(write_and_close(loop, pair, std::string(size, 'x')), "writer");
         loop.turn(0);
-        scope.spawn(read_to_end(loop, *pair.right, out, waited), "reader");
+        tasks.spawn(read_to_end(loop, *pair.right, out, waited), "reader");
         ASSERT_TRUE(loop.run_until([&] { return waited >= 0; }, 30));
         EXPECT_EQ(out.size(), size);
         EXPECT_LT(waited, 1);
     }
 }
 
-TEST(Stream, IsStaleOnceItsPeerHasClosed) {
+TEST(Stream, IsStaleAfterPeerClosed) {
     FakeClock clock;
     Loop loop(clock);
     StreamPair pair(loop);
--- a/tests/loop/loop_test.cc
+++ b/tests/loop/loop_test.cc
@@ -1,4 +1,4 @@
-// The event loop's order of work, and the end of its routines.
+// The event loop: scheduling order and cancellation of coroutines.
 #include "loop/loop.h"
 
 #include <gtest/gtest.h>
@@ -10,84 +10,85 @@
 
 namespace {
 
-constexpr size_t kCrowd = 4000;
+constexpr size_t kTaskCount = 4000;
 
-Task<void> work_off(size_t& done) {
-    ++done;
+Task<void> count_completion(size_t& completed) {
+    ++completed;
     co_return;
 }
 
-Task<void> note_when(Loop& loop, Condition& signal, const size_t& others, size_t& seen) {
-    co_await loop.wait(signal, -1);
-    seen = others;
+// Waits for `condition` and stores how many other tasks were completed by then.
+Task<void> record_completed(Loop& loop, Condition& condition, const size_t& completed, size_t& recorded) {
+    co_await loop.wait(condition, -1);
+    recorded = completed;
 }
 
 }  // namespace
 
-// A fleet that reports all at once makes thousands of routines ready. The renewal of the leadership waited
-// until all of them had had their turn: on a small share of a core the lease ended meanwhile, another
-// controller led, and the whole fleet reported anew.
-TEST(Loop, UrgentRoutinesGoBeforeACrowd) {
+// Simultaneous heartbeats of all workers make thousands of tasks ready. If the renewal of the leader's lease
+// waits behind them on a small share of a core, the lease expires, another controller becomes leader, and all
+// workers send heartbeats again.
+TEST(Loop, UrgentTasksRunBeforeOtherReadyTasks) {
     for (Priority priority : {Priority::kUrgent, Priority::kNormal}) {
         FakeClock clock;
         Loop loop(clock);
-        Condition signal(loop);
-        TaskGroup scope(loop);
-        size_t done = 0;
-        size_t seen = SIZE_MAX;
-        scope.spawn(note_when(loop, signal, done, seen), "renewal", priority);
+        Condition condition(loop);
+        TaskGroup tasks(loop);
+        size_t completed = 0;
+        size_t recorded = SIZE_MAX;
+        tasks.spawn(record_completed(loop, condition, completed, recorded), "renewal", priority);
         loop.turn(0);
-        for (size_t i = 0; i < kCrowd; ++i) scope.spawn(work_off(done), "report");
+        for (size_t i = 0; i < kTaskCount; ++i) tasks.spawn(count_completion(completed), "heartbeat");
         loop.turn(0);
-        signal.notify();
-        ASSERT_TRUE(loop.run_until([&] { return done == kCrowd && seen != SIZE_MAX; }, 1));
+        condition.notify();
+        ASSERT_TRUE(loop.run_until([&] { return completed == kTaskCount && recorded != SIZE_MAX; }, 1));
         if (priority == Priority::kUrgent) {
-            EXPECT_LE(seen, constants::kResumesPerTurn);
+            EXPECT_LE(recorded, constants::kResumesPerTurn);
         } else {
-            EXPECT_EQ(seen, kCrowd);
+            EXPECT_EQ(recorded, kTaskCount);
         }
     }
 }
 
-// Nor is epoll asked only after the whole crowd: what comes meanwhile may be urgent.
-TEST(Loop, LooksForEventsWhileACrowdIsWorkedOff) {
+// epoll must also be polled between ready tasks, as new events may be urgent.
+TEST(Loop, PollsForEventsBetweenReadyTasks) {
     FakeClock clock;
     Loop loop(clock);
-    TaskGroup scope(loop);
-    size_t done = 0;
-    for (size_t i = 0; i < kCrowd; ++i) scope.spawn(work_off(done), "report");
+    TaskGroup tasks(loop);
+    size_t completed = 0;
+    for (size_t i = 0; i < kTaskCount; ++i) tasks.spawn(count_completion(completed), "heartbeat");
     loop.turn(0);
-    EXPECT_LE(done, constants::kResumesPerTurn);
-    EXPECT_GT(done, 0U);
-    ASSERT_TRUE(loop.run_until([&] { return done == kCrowd; }, 1));
+    EXPECT_LE(completed, constants::kResumesPerTurn);
+    EXPECT_GT(completed, 0U);
+    ASSERT_TRUE(loop.run_until([&] { return completed == kTaskCount; }, 1));
 }
 
-// Cancelling unwinds a routine wherever it waits, and its objects are destroyed in order.
-TEST(Loop, CancelUnwindsNestedRoutines) {
+// Cancellation unwinds a task at its current wait and destroys its objects in order.
+TEST(Loop, CancelUnwindsNestedTasks) {
     FakeClock clock;
     Loop loop(clock);
     int unwound = 0;
-    struct Mark {
-        int& n;
-        ~Mark() { ++n; }
+    struct CountOnDestruction {
+        int& count;
+        ~CountOnDestruction() { ++count; }
     };
-    struct Run {
-        static Task<int> inner(Loop& l, int& n) {
-            Mark m{n};
-            co_await l.sleep(1000);
+    struct Coroutines {
+        static Task<int> inner(Loop& on, int& count) {
+            CountOnDestruction guard{count};
+            co_await on.sleep(1000);
             co_return 1;
         }
-        static Task<void> outer(Loop& l, int& n) {
-            Mark m{n};
-            co_await inner(l, n);
-            ADD_FAILURE() << "went on after cancel";
+        static Task<void> outer(Loop& on, int& count) {
+            CountOnDestruction guard{count};
+            co_await inner(on, count);
+            ADD_FAILURE() << "continued after cancellation";
         }
     };
-    TaskGroup scope(loop);
-    scope.spawn(Run::outer(loop, unwound), "outer");
+    TaskGroup tasks(loop);
+    tasks.spawn(Coroutines::outer(loop, unwound), "outer");
     loop.run_until([] { return false; }, 1);
     EXPECT_EQ(unwound, 0);
-    scope.cancel();
-    loop.run_until([&] { return scope.size() == 0; }, 1);
+    tasks.cancel();
+    loop.run_until([&] { return tasks.size() == 0; }, 1);
     EXPECT_EQ(unwound, 2);
 }
