--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -111,8 +111,8 @@
 inline constexpr double kRecordWatchTimeout_s = 3.0;
 // Seconds of one watch of the leadership key. Its response also shows that the store serves this controller.
 inline constexpr double kLeaderWatchTimeout_s = 2.0;
-// Seconds without a successful response from the store, while it serves a peer, after which a controller is
-// not ready.
+// Seconds without contact with the store, while the store serves a peer, after which a controller reports
+// that it is not ready.
 inline constexpr double kUnreadyAfterStoreRefusal_s = 5.0;
 // Seconds without contact with the store and with peers after which a controller is not ready.
 inline constexpr double kUnreadyAfterIsolation_s = 10.0;
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -31,7 +31,7 @@
     ResponseParser& operator=(const ResponseParser&) = delete;
 
     // Parses received bytes. Empty bytes mean the end of the stream, which completes a response without a
-    // length. Returns false if the bytes are no valid response within the limit.
+    // length. Returns false if the bytes are not a valid response within the limit.
     bool parse(std::string_view bytes) {
         http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
         auto error = HTTP_PARSER_ERRNO(&parser_);
