--- a/src/controller/zone_partition.cc
+++ b/src/controller/zone_partition.cc
@@ -22,12 +22,12 @@
     // of a large zone each time would be quadratic in their number.
     size_t recent = 0;
     for (auto it = failed_redirects.begin();
-         it != failed_redirects.end() && recent < constants::kPartitionWitnesses;) {
+         it != failed_redirects.end() && recent < constants::kPartitionMinWorkers;) {
         const bool outdated = now - it->second > constants::kRelayAfterRedirection_s;
         if (!outdated) ++recent;
         it = outdated ? failed_redirects.erase(it) : std::next(it);
     }
-    return recent >= constants::kPartitionWitnesses;
+    return recent >= constants::kPartitionMinWorkers;
 }
 
 }  // namespace hareshore
--- a/src/controller/zone_partition.h
+++ b/src/controller/zone_partition.h
@@ -8,7 +8,7 @@
 namespace hareshore {
 
 // A worker that contacts this controller again after a redirect could not reach the leader. A single such
-// worker may be faulty itself; kPartitionWitnesses workers of one zone within kRelayAfterRedirection_s show
+// worker may be faulty itself; kPartitionMinWorkers workers of one zone within kRelayAfterRedirection_s show
 // that the zone's other workers cannot reach the leader either.
 class ZonePartitionDetector {
   public:
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -65,7 +65,7 @@
 void scale_in_idle(PlanningContext& context, const FleetCapacity& capacity) {
     const ScalingInput& input = context.input;
     Seconds idle_limit =
-        context.no_recent_arrivals() ? constants::kCalmIdleReturn_s : input.settings.idle_return_s;
+        context.no_recent_arrivals() ? constants::kNoArrivalsIdleReturn_s : input.settings.idle_return_s;
     for (const auto& zone : input.config.zones) {
         auto idle = idle_in_zone(capacity, zone);
         int surplus = std::min(static_cast<int>(idle.size()) - input.settings.min_idle_machines,
--- a/src/users/user_service.cc
+++ b/src/users/user_service.cc
@@ -14,7 +14,7 @@
 // user's read; further requests would only wait until they time out.
 size_t max_requests(const Config& config) {
     auto controllers = static_cast<double>(config.peers.size() + 1);
-    double reads_per_timeout = config.state_rps * constants::kUserReadTimeout_s / controllers;
+    double reads_per_timeout = config.store_rps * constants::kUserReadTimeout_s / controllers;
     return std::max(constants::kMinConcurrentUserRequests, static_cast<size_t>(reads_per_timeout));
 }
 
--- a/tests/controller/store_outage_test.cc
+++ b/tests/controller/store_outage_test.cc
@@ -114,7 +114,7 @@
     ASSERT_TRUE(deployment.run_until([&] { return deployment.leader() >= 0; }, 10));
     deployment.run(3);
     deployment.kill(1);
-    deployment.configs[1].state = address(1, 2);  // nothing listens there
+    deployment.configs[1].store = address(1, 2);  // nothing listens there
     deployment.start(1);
     deployment.run(4);
     EXPECT_EQ(deployment.call(0, "GET", "/ready").status, 200);
--- a/tests/users/monotonic_reads_test.cc
+++ b/tests/users/monotonic_reads_test.cc
@@ -68,9 +68,9 @@
     TaskGroup users{deployment.loop};
 
     MonotonicReads() {
-        deployment.configs[0].state = address(20, 2379);
+        deployment.configs[0].store = address(20, 2379);
         delayed_store =
-            std::make_unique<DelayedStore>(deployment.loop, deployment.store, deployment.configs[0].state);
+            std::make_unique<DelayedStore>(deployment.loop, deployment.store, deployment.configs[0].store);
         deployment.start(0);
         EXPECT_TRUE(deployment.run_until([&] { return deployment.leader() == 0; }));
         deployment.run(3);
--- a/tests/users/poll_rate_test.cc
+++ b/tests/users/poll_rate_test.cc
@@ -40,8 +40,8 @@
     std::unique_ptr<RateLimitedStore> rate_limited_store;
 
     PollRate() {
-        deployment.configs[0].state = address(20, 2379);
-        deployment.configs[0].state_rps = kStoreRps;
+        deployment.configs[0].store = address(20, 2379);
+        deployment.configs[0].store_rps = kStoreRps;
         rate_limited_store =
             std::make_unique<RateLimitedStore>(deployment.loop, deployment.store, address(20, 2379));
         deployment.start(0);
