--- a/src/cluster/cluster.cc
+++ b/src/cluster/cluster.cc
@@ -24,7 +24,7 @@
     return it == machines.end() ? nullptr : it->second.get();
 }
 
-Machine& Cluster::ensure(const std::string& name, Seconds now) {
+Machine& Cluster::find_or_add(const std::string& name, Seconds now) {
     auto& machine = machines[name];
     if (!machine) {
         machine = std::make_unique<Machine>();
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -27,7 +27,7 @@
     // nullptr if the machine is not known.
     Machine* machine(const std::string& name);
     // Returns the machine; adds it, as one that was just created, if it is not known.
-    Machine& ensure(const std::string& name, Seconds now);
+    Machine& find_or_add(const std::string& name, Seconds now);
     // Whether the team's limit allows so many more tasks on top of its usage and of `reserved`.
     bool within_limit(const Config& config, const JobSpec& spec, uint32_t tasks) const;
     bool within_limit(const Config& config, const JobSpec& spec, uint32_t tasks, TeamUsage reserved) const;
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -98,9 +98,9 @@
     std::optional<Seconds> idle_since;
 
     // --- State of the current scheduling pass.
-    Resources reserved;          // part of `free`, reserved for waiting gangs
-    Seconds reserved_until = 0;  // tasks that end earlier may be backfilled into the reservation
-    uint64_t room_changes = 0;   // incremented whenever its available resources change
+    Resources reserved;             // part of `free`, reserved for waiting gangs
+    Seconds reserved_until = 0;     // tasks that end earlier may be backfilled into the reservation
+    uint64_t capacity_version = 0;  // incremented whenever its available resources change
 
     [[nodiscard]] bool idle() const { return placed_tasks == 0; }
 };
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -86,7 +86,7 @@
     return decide_readiness({.now = loop_.now(),
                              .started_at = started_at_,
                              .last_store_contact = store_.last_contact(),
-                             .records_readable = !record_format_.newer(),
+                             .records_readable = !record_format_.unsupported(),
                              .machine_types_known = !machine_types_.empty(),
                              .peers = peers_.statuses()});
 }
@@ -150,7 +150,7 @@
         co_await refresh_record_format(store_, record_format_);
         if (record_format_.below_newest()) co_await loop_.sleep(constants::kRecordFormatPollInterval_s);
     }
-    if (record_format_.newer()) election_.stop_campaigning();
+    if (record_format_.unsupported()) election_.stop_campaigning();
 }
 
 Task<Response> Controller::handle(Request request) {
--- a/src/fleet/consolidation.cc
+++ b/src/fleet/consolidation.cc
@@ -36,7 +36,7 @@
 // Whether all tasks on the machine can be moved.
 bool all_movable(const PlanningContext& context, const Machine& machine) {
     if (machine.placed_tasks == 0 || !machine.schedulable) return false;
-    const auto& tasks = context.jobs.on_machine(machine.name);
+    const auto& tasks = context.jobs.placements_on(machine.name);
     return tasks.size() == machine.placed_tasks &&
            std::all_of(tasks.begin(), tasks.end(), [&](const PlacedTask& placed) {
                return movable(*placed.job, *placed.placement, context.input.now);
@@ -91,7 +91,7 @@
     if (!may_drain(context)) return;
     for (const PlannedMachine* candidate : drain_candidates(context, capacity)) {
         auto targets = move_targets(capacity, *candidate);
-        const auto& tasks = context.jobs.on_machine(candidate->machine->name);
+        const auto& tasks = context.jobs.placements_on(candidate->machine->name);
         bool all_have_room = std::all_of(tasks.begin(), tasks.end(), [&](const PlacedTask& placed) {
             return place_on_any(targets, placed.job->spec);
         });
--- a/src/fleet/fleet_capacity.cc
+++ b/src/fleet/fleet_capacity.cc
@@ -13,7 +13,7 @@
 Resources expected_to_become_free(const PlanningContext& context, const Machine& machine, Seconds boot_s) {
     Seconds now = context.input.now;
     Resources expected;
-    for (const auto& [job, task, placement] : context.jobs.on_machine(machine.name)) {
+    for (const auto& [job, task, placement] : context.jobs.placements_on(machine.name)) {
         const JobSpec& spec = job->spec;
         if (spec.service() || !placement->running_since) continue;
         Seconds running_since = *placement->running_since;
--- a/src/fleet/work_placement.cc
+++ b/src/fleet/work_placement.cc
@@ -42,7 +42,7 @@
     // Machines too full for even the smallest waiting request are skipped for all further jobs.
     std::erase_if(machines_with_room_, [&](size_t index) {
         const PlannedMachine& planned = capacity_.machines()[index];
-        return !planned.free.holds(smallest_request_) && !planned.expected_free.holds(smallest_request_);
+        return !planned.free.can_fit(smallest_request_) && !planned.expected_free.can_fit(smallest_request_);
     });
     if (context_.input.steps) *context_.input.steps += machines_with_room_.size();
     uint32_t tasks = startable_tasks(job);
--- a/src/jobs/failure_accounting.cc
+++ b/src/jobs/failure_accounting.cc
@@ -48,13 +48,13 @@
 void account_replica_exit(Cluster& cluster, Machine& machine, Job& job, uint32_t task, ExitCause cause,
                           Seconds now) {
     if (cause == ExitCause::kStopped || job.cancelled) return;
-    Seconds ran = job.live.at(task).ran(now);
+    Seconds run_time = job.live.at(task).run_time(now);
     log::info("replica_ended", {{"job", job.spec.id},
                                 {"task", task},
                                 {"machine", machine.name},
-                                {"ran_s", ran},
+                                {"ran_s", run_time},
                                 {"cause", exit_cause_name(cause)}});
-    if (ran >= constants::kReplicaStableRun_s) return;
+    if (run_time >= constants::kReplicaStableRun_s) return;
     JobFailures& failures = job.failures;
     failures.last_quick_exit_at = now;
     record_failed_machine(cluster, machine, job);
@@ -72,7 +72,7 @@
     // A replica bound after the last quick exit that runs long enough shows that the service has recovered.
     bool since_last_exit =
         !job.failures.last_quick_exit_at || replica.bound_at >= *job.failures.last_quick_exit_at;
-    if (since_last_exit && replica.ran(now) >= constants::kReplicaStableRun_s)
+    if (since_last_exit && replica.run_time(now) >= constants::kReplicaStableRun_s)
         job.failures.clear_quick_exits();
 }
 
--- a/src/jobs/heartbeat_processor.cc
+++ b/src/jobs/heartbeat_processor.cc
@@ -162,7 +162,7 @@
 void HeartbeatProcessor::record_run_time(Job& job, uint32_t task) {
     const Placement& placement = job.live.at(task);
     if (!job.spec.gang() && placement.running_since && job.run_times.counts(task))
-        job.run_times.add(placement.ran(now_));
+        job.run_times.add(placement.run_time(now_));
 }
 
 void HeartbeatProcessor::break_gang_on_exit(Job& job, ExitCause cause) const {
@@ -174,7 +174,7 @@
 }
 
 void HeartbeatProcessor::handle_absent_tasks() {
-    auto tasks = table_.on_machine(machine_.name);  // a copy, because releases change the original
+    auto tasks = table_.placements_on(machine_.name);  // a copy, because releases change the original
     for (const auto& [job, task, placement] : tasks) {
         if (std::find(present_.begin(), present_.end(), placement) != present_.end()) continue;
         auto it = job->live.find(task);
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -57,8 +57,8 @@
 
     // Whether the record can take one more task on each of these machines and still fits however its tasks
     // end. It must fit today's limit in `record_format`, and in format 2 also the limit that follows.
-    bool room_in_record(const Config& config, uint64_t record_format,
-                        std::span<const Machine* const> machines) const;
+    bool record_has_room(const Config& config, uint64_t record_format,
+                         std::span<const Machine* const> machines) const;
     // An upper bound of the record's JSON size in that format.
     size_t record_bytes(uint64_t record_format) const;
     // Raises the known sizes to upper bounds for the next version, before a task is bound to the machine.
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -203,8 +203,8 @@
         begin_stop(it->second, grace_s);
 }
 
-void JobTable::machine_deleted(const std::string& machine, Seconds now) {
-    auto tasks = on_machine(machine);
+void JobTable::on_machine_deleted(const std::string& machine, Seconds now) {
+    auto tasks = placements_on(machine);
     for (const auto& placed : tasks) {
         Job& job = *placed.job;
         if (job.spec.gang() && job.gang_attempt.started) job.gang_attempt.broken = true;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -59,13 +59,13 @@
     bool unreadable(const std::string& id) const { return unreadable_.contains(id); }
 
     // --- Task transitions; see jobs/task_lifecycle.h.
-    // Places a pending task. The caller has checked that the record has room for it (Job::room_in_record).
+    // Places a pending task. The caller has checked that the record has room for it (Job::record_has_room).
     Placement& bind(Job& job, uint32_t task, const Machine& machine, uint64_t attempt, Seconds now);
     void cancel(Job& job, Seconds now);
     // Begins to stop a placed task, or its whole gang.
     void stop(Job& job, uint32_t task, StopMode mode);
     // Frees the placements on a machine whose deletion the cloud has confirmed.
-    void machine_deleted(const std::string& machine, Seconds now);
+    void on_machine_deleted(const std::string& machine, Seconds now);
     // Cordons machines on which tasks run several times longer than finished tasks of the same job elsewhere.
     void cordon_stragglers(Cluster& cluster, Seconds now);
     // Stops the replicas on cordoned and draining machines, one at a time for each service: the next one only
@@ -107,8 +107,8 @@
     // Whether the machine needs no commands: exactly the tasks placed on it run there, and none is stopping.
     bool all_running_on(const Machine& machine) const;
     // The placements on the machine. Copy them before tasks are bound or released.
-    const std::vector<PlacedTask>& on_machine(const std::string& machine) const {
-        return placements_.on_machine(machine);
+    const std::vector<PlacedTask>& placements_on(const std::string& machine) const {
+        return placements_.placements_on(machine);
     }
 
   private:
--- a/src/jobs/job_wait.cc
+++ b/src/jobs/job_wait.cc
@@ -20,7 +20,7 @@
             return "start delayed briefly, waiting for a machine that runs fewer of its replicas";
         case WaitReason::kBackoff:
             return "tasks failed on several machines; retrying after a back-off";
-        case WaitReason::kOldAttempt:
+        case WaitReason::kPreviousAttemptNotEnded:
             return "tasks of the previous attempt are still on their machines";
         case WaitReason::kRecordFull:
             return "the job's record is full; more tasks start as others finish";
--- a/src/jobs/job_wait.h
+++ b/src/jobs/job_wait.h
@@ -18,7 +18,7 @@
     kDelayedForImage,
     kDelayedForSpread,
     kBackoff,
-    kOldAttempt,
+    kPreviousAttemptNotEnded,
     kRecordFull,
 };
 // The reason's text in logs and on operator pages.
--- a/src/jobs/machine_commands.cc
+++ b/src/jobs/machine_commands.cc
@@ -58,7 +58,7 @@
         }
     }
     if (launches == LaunchCommands::kOmit) return commands;
-    for (const auto& [job, task, placed] : on_machine(machine.name)) {
+    for (const auto& [job, task, placed] : placements_on(machine.name)) {
         if (!may_launch(*job, *placed)) continue;
         TaskName name{job->spec.id, task};
         if (find_attempt(machine.tasks, 0, name, placed->attempt) != machine.tasks.end()) continue;
@@ -69,7 +69,7 @@
 }
 
 bool JobTable::awaits_commit(const Machine& machine) const {
-    const auto& placements = on_machine(machine.name);
+    const auto& placements = placements_on(machine.name);
     return std::any_of(placements.begin(), placements.end(), [](const PlacedTask& placed) {
         const Placement& placement = *placed.placement;
         return !placement.from_earlier_leader && !placed.job->cancelled &&
@@ -82,7 +82,7 @@
     auto should_run = [](const PlacedTask& placed) {
         return placed.placement->acknowledged && !placed.placement->stopping;
     };
-    const auto& placements = on_machine(machine.name);
+    const auto& placements = placements_on(machine.name);
     return placements.size() == machine.tasks.size() &&
            std::all_of(machine.tasks.begin(), machine.tasks.end(), is_running) &&
            std::all_of(placements.begin(), placements.end(), should_run);
--- a/src/jobs/placement.h
+++ b/src/jobs/placement.h
@@ -34,7 +34,7 @@
     std::optional<Seconds> running_since;
 
     // How long it has run; 0 unless it has been reported as running.
-    [[nodiscard]] Seconds ran(Seconds now) const { return running_since ? now - *running_since : 0; }
+    [[nodiscard]] Seconds run_time(Seconds now) const { return running_since ? now - *running_since : 0; }
 };
 
 }  // namespace hareshore
--- a/src/jobs/placement_index.cc
+++ b/src/jobs/placement_index.cc
@@ -21,7 +21,7 @@
     changed_machines_.clear();
 }
 
-const std::vector<PlacedTask>& PlacementIndex::on_machine(const std::string& machine) const {
+const std::vector<PlacedTask>& PlacementIndex::placements_on(const std::string& machine) const {
     static const std::vector<PlacedTask> none;
     auto it = by_machine_.find(machine);
     return it == by_machine_.end() ? none : it->second;
--- a/src/jobs/placement_index.h
+++ b/src/jobs/placement_index.h
@@ -23,7 +23,7 @@
     void remove(const std::string& machine, const Job& job, uint32_t task);
     void clear();
     // Valid until the next add or remove.
-    const std::vector<PlacedTask>& on_machine(const std::string& machine) const;
+    const std::vector<PlacedTask>& placements_on(const std::string& machine) const;
     // Machines whose placements have changed since the last call.
     std::set<std::string> take_changed_machines() { return std::exchange(changed_machines_, {}); }
 
--- a/src/jobs/record_format.cc
+++ b/src/jobs/record_format.cc
@@ -32,7 +32,7 @@
     record_format.stored = format;
     if (!format) {
         log::error("record_format_unknown", {{"reason", "unreadable"}});
-    } else if (record_format.newer()) {
+    } else if (record_format.unsupported()) {
         log::error("record_format_unknown", {{"format", *format}});
     } else {
         log::info("record_format", {{"format", *format}});
--- a/src/jobs/record_format.h
+++ b/src/jobs/record_format.h
@@ -16,11 +16,11 @@
     std::optional<uint64_t> stored = 1;
 
     // Whether the stored format is unreadable or too new, so that this version cannot decode the records.
-    [[nodiscard]] bool newer() const { return !stored || *stored > kNewestRecordFormat; }
+    [[nodiscard]] bool unsupported() const { return !stored || *stored > kNewestRecordFormat; }
     // Whether a leader may raise the stored format.
     [[nodiscard]] bool below_newest() const { return stored && *stored < kNewestRecordFormat; }
     // The format in which records are written.
-    [[nodiscard]] uint64_t in_force() const { return newer() ? kNewestRecordFormat : *stored; }
+    [[nodiscard]] uint64_t write_format() const { return unsupported() ? kNewestRecordFormat : *stored; }
 };
 
 std::string pack_record_format(uint64_t record_format);
--- a/src/jobs/record_room.cc
+++ b/src/jobs/record_room.cc
@@ -98,8 +98,8 @@
     return job.record_sizes.fixed_bytes + compact_ranges(job.done).size() + format2_placements_bytes(tasks);
 }
 
-bool room_in_format(const Job& job, uint64_t record_format, size_t limit,
-                    std::span<const Machine* const> machines) {
+bool format_has_room(const Job& job, uint64_t record_format, size_t limit,
+                     std::span<const Machine* const> machines) {
     // When live tasks end, the done ranges may grow by more than their placements take.
     size_t growth_each = job.spec.tasks > constants::kSmallJobTasks
                              ? constants::kDoneRangesGrowthBytes - constants::kMinPlacementBytes
@@ -125,11 +125,11 @@
     return record_size(*this, record_format, Precision::kExact).bytes;
 }
 
-bool Job::room_in_record(const Config& config, uint64_t record_format,
-                         std::span<const Machine* const> machines) const {
+bool Job::record_has_room(const Config& config, uint64_t record_format,
+                          std::span<const Machine* const> machines) const {
     // Both the format written today and the newer ones have to fit their own limit.
     for (uint64_t format = record_format; format <= kNewestRecordFormat; ++format)
-        if (!room_in_format(*this, format, config.value_limit(format), machines)) return false;
+        if (!format_has_room(*this, format, config.value_limit(format), machines)) return false;
     return true;
 }
 
--- a/src/jobs/replica_moves.cc
+++ b/src/jobs/replica_moves.cc
@@ -16,7 +16,7 @@
 void JobTable::move_replicas(Cluster& cluster) {
     for (auto& [name, machine] : cluster.machines) {
         if (!machine->cordoned && !machine->draining) continue;
-        for (const auto& [job, task, replica] : on_machine(name)) {
+        for (const auto& [job, task, replica] : placements_on(name)) {
             if (!job->spec.service() || job->cancelled || replica->stopping) continue;
             if (other_replicas_running(*job, *replica)) stop(*job, task, StopMode::kSaveFirst);
         }
--- a/src/jobs/resource_accounting.cc
+++ b/src/jobs/resource_accounting.cc
@@ -6,7 +6,7 @@
 
 MachineUsage count_usage(const Machine& machine, const JobTable& jobs) {
     MachineUsage usage;
-    for (const auto& placed : jobs.on_machine(machine.name)) {
+    for (const auto& placed : jobs.placements_on(machine.name)) {
         usage.taken += Resources::of(placed.job->spec);
         ++usage.placed_tasks;
     }
--- a/src/leader/cancellation_guard.cc
+++ b/src/leader/cancellation_guard.cc
@@ -18,7 +18,7 @@
     parts_.pass_requests.request();
 }
 
-void CancellationGuard::changes_read(Seconds requested_at) {
+void CancellationGuard::on_changes_read(Seconds requested_at) {
     Seconds known_until = std::max(records_known_until_.value_or(requested_at), requested_at);
     records_known_until_ = known_until;
     std::erase_if(observed_at_, [&](const auto& observed) { return observed.second < known_until; });
--- a/src/leader/cancellation_guard.h
+++ b/src/leader/cancellation_guard.h
@@ -34,9 +34,9 @@
     [[nodiscard]] bool observed(const std::string& job_id) const { return observed_at_.contains(job_id); }
 
     // All records were read; the first request was sent at `requested_at`.
-    void records_read(Seconds requested_at) { records_known_until_ = requested_at; }
+    void on_records_read(Seconds requested_at) { records_known_until_ = requested_at; }
     // All record changes committed before `requested_at` were read.
-    void changes_read(Seconds requested_at);
+    void on_changes_read(Seconds requested_at);
 
     // Whether a response to a heartbeat may be sent now; it renews the leases of the worker's tasks.
     [[nodiscard]] bool may_renew_leases();
--- a/src/leader/cloud_inventory.cc
+++ b/src/leader/cloud_inventory.cc
@@ -48,7 +48,7 @@
 
 void CloudInventory::add_listed(const ListedMachine& listed, Seconds requested_at) {
     if (parts_.deleted_machines.contains(listed.name)) return;
-    Machine& machine = parts_.cluster.ensure(listed.name, parts_.loop.now());
+    Machine& machine = parts_.cluster.find_or_add(listed.name, parts_.loop.now());
     if (!machine.listed) {
         machine.listed = true;
         machine.created_at = requested_at - listed.age_s;
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -49,7 +49,7 @@
         co_return service_unavailable();
 
     const std::string name = heartbeat.machine;
-    Machine* machine = &parts_.cluster.ensure(name, loop.now());
+    Machine* machine = &parts_.cluster.find_or_add(name, loop.now());
     if (machine->heartbeat_received && !heartbeat.newer_than(machine->incarnation, machine->sequence))
         co_return service_unavailable();  // a duplicate that arrived late
     const uint64_t heartbeat_number = ++parts_.connections.of(name).heartbeats;
--- a/src/leader/machine_deletion.cc
+++ b/src/leader/machine_deletion.cc
@@ -82,7 +82,7 @@
 
 void MachineDeletion::apply_deletion(const std::vector<std::string>& names) {
     for (const auto& name : names) {
-        parts_.jobs.machine_deleted(name, parts_.loop.now());
+        parts_.jobs.on_machine_deleted(name, parts_.loop.now());
         parts_.cluster.machines.erase(name);
         parts_.connections.erase(name);
         parts_.deleted_machines.add(name);
@@ -91,7 +91,7 @@
 }
 
 bool MachineDeletion::holds_cancelled_task(const std::string& name) const {
-    const auto& tasks = parts_.jobs.on_machine(name);
+    const auto& tasks = parts_.jobs.placements_on(name);
     return std::any_of(tasks.begin(), tasks.end(),
                        [](const PlacedTask& placed) { return placed.job->cancelled; });
 }
--- a/src/leader/machine_drain.cc
+++ b/src/leader/machine_drain.cc
@@ -5,7 +5,7 @@
 void drain_machine(JobTable& jobs, const Machine& machine) {
     const bool reclaimed = machine.spot_reclaim_at.has_value();
     const std::vector<PlacedTask> tasks =
-        jobs.on_machine(machine.name);  // a copy, since stop() may change the list
+        jobs.placements_on(machine.name);  // a copy, since stop() may change the list
     for (const auto& placed : tasks) {
         const JobSpec& spec = placed.job->spec;
         if (spec.service() ? reclaimed : spec.checkpoint_s > 0)
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -45,7 +45,7 @@
     const MachineKind& kind = batch.kind;
     for (const auto& name : names) {
         if (parts_.deleted_machines.contains(name)) continue;
-        Machine& machine = parts_.cluster.ensure(name, parts_.loop.now());
+        Machine& machine = parts_.cluster.find_or_add(name, parts_.loop.now());
         if (machine.heartbeat_received) continue;
         machine.machine_type = kind.machine_type;
         machine.zone = kind.zone;
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -24,7 +24,7 @@
         if (!page.more) break;
     }
     revision_ = revision;
-    parts_.cancellations.records_read(requested_at);
+    parts_.cancellations.on_records_read(requested_at);
     co_return true;
 }
 
@@ -38,7 +38,7 @@
             pause = 0;
             for (const auto& change : result.changes) apply(change);
             revision_ = std::max(revision_, result.revision);
-            parts_.cancellations.changes_read(requested_at);
+            parts_.cancellations.on_changes_read(requested_at);
             if (!result.changes.empty()) parts_.pass_requests.request();
             continue;
         }
@@ -66,7 +66,7 @@
     // The record was read before the job was cancelled; the cancellation has since been confirmed.
     if (!job.cancelled && parts_.cancellations.observed(job.spec.id)) parts_.jobs.cancel(job, now);
     for (const auto& [task, placement] : job.live) {
-        Machine& machine = parts_.cluster.ensure(placement.machine, now);
+        Machine& machine = parts_.cluster.find_or_add(placement.machine, now);
         if (machine.zone.empty()) machine.zone = placement.zone;
     }
 }
--- a/src/leader/record_writer.cc
+++ b/src/leader/record_writer.cc
@@ -29,13 +29,13 @@
 
 RecordWriter::RecordWriter(const Parts& parts)
     : parts_(parts),
-      record_format_(parts.record_format.in_force()),
+      record_format_(parts.record_format.write_format()),
       write_tokens_(write_rate(parts.config),
                     std::max<double>(kWritesPerCompletion, write_rate(parts.config))),
       changed_(parts.loop) {}
 
 Task<void> RecordWriter::run() {
-    record_format_ = parts_.record_format.in_force();
+    record_format_ = parts_.record_format.write_format();
     while (true) {
         apply_record_format_change();
         if (!parts_.jobs.has_unwritten()) {
@@ -77,8 +77,8 @@
 
 // A record that could not be written in the previous format may fit in the new one.
 void RecordWriter::apply_record_format_change() {
-    if (record_format_ == parts_.record_format.in_force()) return;
-    record_format_ = parts_.record_format.in_force();
+    if (record_format_ == parts_.record_format.write_format()) return;
+    record_format_ = parts_.record_format.write_format();
     parts_.jobs.queue_all_unwritten();
 }
 
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -50,7 +50,7 @@
     if (!parts_.lifecycle.loaded() || parts_.lifecycle.stopped()) return;
     recount_cluster();
     SchedulerInput input{
-        parts_.config, parts_.settings, parts_.loop.now(), {}, parts_.record_format.in_force()};
+        parts_.config, parts_.settings, parts_.loop.now(), {}, parts_.record_format.write_format()};
     for (auto& [name, machine] : parts_.cluster.machines)
         if (machine->heartbeat_awaits_response) input.requesting_machines.push_back(machine.get());
     for (const auto& binding : schedule(parts_.cluster, parts_.jobs, input))
@@ -77,7 +77,7 @@
 
 bool SchedulingLoop::could_take_work(Machine& machine) {
     recount_machine(parts_.cluster, machine, parts_.jobs, parts_.loop.now(), max_heartbeat_age());
-    return machine.schedulable && smallest_waiting_ && machine.free.holds(*smallest_waiting_);
+    return machine.schedulable && smallest_waiting_ && machine.free.can_fit(*smallest_waiting_);
 }
 
 void SchedulingLoop::recount_cluster() {
--- a/src/leader/scheduling_loop.h
+++ b/src/leader/scheduling_loop.h
@@ -39,7 +39,7 @@
     bool could_take_work(Machine& machine);
     // Whether a replica of some service would fit into the machine's free resources as last counted.
     [[nodiscard]] bool could_take_replica(const Machine& machine) const {
-        return smallest_replica_ && machine.free.holds(*smallest_replica_);
+        return smallest_replica_ && machine.free.can_fit(*smallest_replica_);
     }
     // Recounts the free resources of all machines, ignoring reservations.
     void recount_cluster();
--- a/src/model/resources.cc
+++ b/src/model/resources.cc
@@ -19,7 +19,7 @@
 }
 
 uint32_t Resources::count_fitting(const JobSpec& spec, uint32_t at_most) const {
-    if (!holds(spec)) return 0;
+    if (!can_fit(spec)) return 0;
     double count = at_most;
     auto limit_by = [&](double available, double needed) {
         if (needed > 0) count = std::min(count, std::floor((available + kRoundingError) / needed));
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -20,12 +20,12 @@
     Resources& operator+=(const Resources& other);
     Resources& operator-=(const Resources& other);
     // Whether `needed` fits. Inline because the scheduler calls it for every pair of job and machine.
-    [[nodiscard]] bool holds(const Resources& needed) const {
+    [[nodiscard]] bool can_fit(const Resources& needed) const {
         return cpus + kRoundingError >= needed.cpus && gpus + kRoundingError >= needed.gpus &&
                memory_gb + kRoundingError >= needed.memory_gb;
     }
     // Whether one task of the job fits.
-    [[nodiscard]] bool holds(const JobSpec& spec) const { return holds(of(spec)); }
+    [[nodiscard]] bool can_fit(const JobSpec& spec) const { return can_fit(of(spec)); }
     // The number of tasks of the job that fit, at most `at_most`.
     [[nodiscard]] uint32_t count_fitting(const JobSpec& spec, uint32_t at_most) const;
     // The minimum of each amount.
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -39,7 +39,7 @@
     // Tasks of the previous attempt are still on their machines. A gang that has started or is ending gets
     // no replacement tasks.
     if (!new_attempt && (job.gang_attempt.started || job.gang_attempt.broken)) {
-        job.wait.reason = WaitReason::kOldAttempt;
+        job.wait.reason = WaitReason::kPreviousAttemptNotEnded;
         return;
     }
     auto tasks = static_cast<uint32_t>(job.pending.size());
@@ -58,7 +58,7 @@
         return;
     }
     std::vector<const Machine*> machines(slots.machines.begin(), slots.machines.end());
-    if (!job.room_in_record(pass_.input.config, pass_.input.record_format, machines)) {
+    if (!job.record_has_room(pass_.input.config, pass_.input.record_format, machines)) {
         job.wait.reason = WaitReason::kRecordFull;
         return;
     }
--- a/src/scheduler/machine_capacity.cc
+++ b/src/scheduler/machine_capacity.cc
@@ -35,7 +35,7 @@
                             Resources& available) {
     const JobSpec& spec = queued.job->spec;
     MachineTasks found;
-    for (const auto& [job, task, placement] : pass.jobs.on_machine(machine.name)) {
+    for (const auto& [job, task, placement] : pass.jobs.placements_on(machine.name)) {
         if (placement->stopping) {
             available += Resources::of(job->spec);
             continue;
@@ -86,7 +86,7 @@
     const JobSpec& spec = queued.job->spec;
     MachineCapacity capacity;
     capacity.machine = &machine;
-    capacity.changes = machine.room_changes;
+    capacity.version = machine.capacity_version;
     Resources available = machine.free;
     available -= machine.reserved;
     MachineTasks tasks = classify_tasks(pass, queued, machine, available);
@@ -124,7 +124,7 @@
                 capacities.push_back(capacity_of(pass_, queued, *machine));
     }
     for (MachineCapacity& capacity : capacities) {
-        if (capacity.changes == capacity.machine->room_changes) continue;
+        if (capacity.version == capacity.machine->capacity_version) continue;
         pass_.count_steps(1);
         capacity = capacity_of(pass_, queued, *capacity.machine);
     }
--- a/src/scheduler/machine_capacity.h
+++ b/src/scheduler/machine_capacity.h
@@ -19,7 +19,7 @@
 // The slots of one machine for one kind of request.
 struct MachineCapacity {
     Machine* machine = nullptr;
-    uint64_t changes = 0;                     // the machine's room_changes when this was computed
+    uint64_t version = 0;                     // the machine's capacity_version when this was computed
     uint32_t free_slots = 0;                  // free or being freed, excluding reservations
     std::vector<PreemptionStep> preemptions;  // each assumes the ones before it
     std::vector<Seconds> expected_slots;      // when further slots should become free, earliest first
--- a/src/scheduler/pass_context.cc
+++ b/src/scheduler/pass_context.cc
@@ -6,7 +6,7 @@
     jobs.bind(job, task, machine, attempt, input.now);
     machine.free -= Resources::of(job.spec);
     ++machine.placed_tasks;
-    ++machine.room_changes;
+    ++machine.capacity_version;
     machine.idle_since.reset();
     TeamUsage& usage = cluster.teams[job.spec.team];
     usage.cpus += job.spec.cpus;
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -102,7 +102,7 @@
     for (const Victim& victim : victims) {
         log::debug("task_preempted",
                    {{"job", victim.job->spec.id}, {"task", victim.task}, {"for_job", beneficiary.spec.id}});
-        ++victim.machine->room_changes;
+        ++victim.machine->capacity_version;
         pass.jobs.stop(*victim.job, victim.task, StopMode::kSkipSaveIfCheap);
     }
 }
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -42,7 +42,7 @@
     for (Machine* machine : machines) {
         machine->reserved += Resources::of(job.spec);
         machine->reserved_until = std::max(machine->reserved_until, until);
-        ++machine->room_changes;
+        ++machine->capacity_version;
     }
 }
 
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -77,7 +77,7 @@
             if (queued.job->spec.gang()) reserve_limit_for_one_task_gang(queued);
         Resources smallest = smallest_request(jobs);
         for (Machine* machine : pass_.input.requesting_machines)
-            if (machine->schedulable && machine->free.holds(smallest)) tasks_.pull(jobs, *machine);
+            if (machine->schedulable && machine->free.can_fit(smallest)) tasks_.pull(jobs, *machine);
         for (const auto& queued : jobs) make_room(pass_, quota_, capacities_, queued);
     }
 
--- a/src/scheduler/task_fit.h
+++ b/src/scheduler/task_fit.h
@@ -12,7 +12,7 @@
         return false;
     }
     if (job.wait.has_unplaced_task) {
-        job.wait.reason = WaitReason::kOldAttempt;
+        job.wait.reason = WaitReason::kPreviousAttemptNotEnded;
         return false;
     }
     return true;
@@ -39,8 +39,8 @@
 // Whether a task of the job can run on the machine now, ignoring zone constraints. The cheapest checks come
 // first, since most machines of a busy fleet are full.
 [[nodiscard]] inline bool fits(const PassContext& pass, const Job& job, const Machine& machine) {
-    return machine.schedulable && machine.free.holds(job.spec) &&
-           available_resources(pass, job, machine).holds(job.spec) &&
+    return machine.schedulable && machine.free.can_fit(job.spec) &&
+           available_resources(pass, job, machine).can_fit(job.spec) &&
            job.spec.allows(machine.machine_type, machine.zone, machine.spot) && !avoids(job, machine);
 }
 
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -76,7 +76,7 @@
     if (!quota_.within_limit(job.spec, 1)) return WaitReason::kTeamLimit;
     if (!fits(pass_, job, machine) || ZoneRule(job).remaining(machine.zone) == 0) return WaitReason::kNoRoom;
     const Machine* one[] = {&machine};
-    if (!job.room_in_record(pass_.input.config, pass_.input.record_format, one))
+    if (!job.record_has_room(pass_.input.config, pass_.input.record_format, one))
         return WaitReason::kRecordFull;
     if (!machine.cache.has(job.spec.image) &&
         (pass_.input.now < job.image_preemption.until || should_wait_for_image(job, machine)))
--- a/src/users/job_requests.cc
+++ b/src/users/job_requests.cc
@@ -42,7 +42,7 @@
         if (!state) co_return response_for(state.error());
         if (state->final || state->record.cancelled)
             co_return responder_.respond(id, *state, JobDetail::kPhase);
-        if (record_format_.newer()) co_return retry_response(RetryCause::kFailure);
+        if (record_format_.unsupported()) co_return retry_response(RetryCause::kFailure);
         switch (co_await commit_cancellation(id, std::move(*state))) {
             case CancelOutcome::kCommitted: {
                 JobState cancelled;
@@ -64,7 +64,8 @@
 Task<JobRequestHandler::CancelOutcome> JobRequestHandler::commit_cancellation(std::string id,
                                                                               JobState state) {
     state.record.cancelled = true;
-    std::optional<std::string> packed = pack_within_limit(state.record, config_, record_format_.in_force());
+    std::optional<std::string> packed =
+        pack_within_limit(state.record, config_, record_format_.write_format());
     if (!packed) {
         log::error("cancellation_not_written", {{"job", id}, {"reason", "record_too_large"}});
         co_return CancelOutcome::kFailed;
--- a/src/users/submission.cc
+++ b/src/users/submission.cc
@@ -30,7 +30,7 @@
     }
     Seconds deadline = loop_.now() + constants::kUserWriteTimeout_s;
     // This version must not write records of a newer format.
-    if (record_format_.newer()) co_return retry_response(RetryCause::kFailure);
+    if (record_format_.unsupported()) co_return retry_response(RetryCause::kFailure);
     JobRecord record;
     record.spec = std::move(*job);
     record.accepted_wall = loop_.wall();
@@ -56,7 +56,7 @@
     const JobSpec& job = record.spec;
     Transaction transaction;
     transaction.expect_absent(live_key(job.id)).expect_absent(final_key(job.id));
-    transaction.put(live_key(job.id), record.pack(record_format_.in_force()));
+    transaction.put(live_key(job.id), record.pack(record_format_.write_format()));
     TransactionResult result = co_await store_.commit(std::move(transaction), constants::kStoreCallTimeout_s);
     switch (result.status) {
         case StoreStatus::kOk: {
--- a/src/users/submission_check.cc
+++ b/src/users/submission_check.cc
@@ -38,7 +38,7 @@
     // as far as their record has room, one at a time if necessary.
     size_t reserve = constants::kRecordReserveBytes;
     if (record.spec.gang()) reserve += (record.spec.tasks - 1) * constants::kMinPlacementBytes;
-    for (uint64_t format = record_format.in_force(); format <= kNewestRecordFormat; ++format)
+    for (uint64_t format = record_format.write_format(); format <= kNewestRecordFormat; ++format)
         if (json_size(record.pack(format)) + reserve > config.value_limit(format))
             return JobRefusal::kRecordTooLarge;
     return std::nullopt;
--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -140,7 +140,7 @@
     record.cancelled = true;
     record.live[0] = {4, "vm-9", "a"};
     jobs.load(record, 9, now, {0});
-    cluster.ensure("vm-9", now);
+    cluster.find_or_add("vm-9", now);
     Seconds loaded = now;
     now += 5;
     EXPECT_TRUE(due(loaded).empty());
--- a/tests/jobs/machine_health_test.cc
+++ b/tests/jobs/machine_health_test.cc
@@ -57,7 +57,7 @@
     mark_committed(job);
     auto send_heartbeat = [&](Machine& machine, TaskPhase phase, ExitCause cause) {
         std::vector<TaskStatus> tasks;
-        for (auto& placed : jobs.on_machine(machine.name))
+        for (auto& placed : jobs.placements_on(machine.name))
             tasks.push_back(
                 task_status(placed.job->spec.id, placed.task, placed.placement->attempt, phase, cause));
         jobs.apply_heartbeat(cluster, machine, heartbeat(machine, tasks), Absence::kProven, now);
--- a/tests/jobs/record_format_test.cc
+++ b/tests/jobs/record_format_test.cc
@@ -159,11 +159,11 @@
             auto choice = rng() % 10;
             const Machine* machine = &machines[rng() % machines.size()];
             const Machine* target[] = {machine};
-            if (choice < 7 && !job.pending.empty() && job.room_in_record(config, record_format, target)) {
+            if (choice < 7 && !job.pending.empty() && job.record_has_room(config, record_format, target)) {
                 jobs.bind(job, *job.pending.first(), *machine, job.next_attempt++, 0);
             } else if (job.live.empty()) {
                 // While no task is placed, at least one may start, on any machine.
-                ASSERT_TRUE(job.room_in_record(config, record_format, target))
+                ASSERT_TRUE(job.record_has_room(config, record_format, target))
                     << steps << ' ' << job.record_bytes(2);
                 continue;
             } else {
@@ -171,7 +171,7 @@
                 auto it = std::next(job.live.begin(), static_cast<long>(rng() % job.live.size()));
                 std::string name = it->second.machine;
                 if (choice < 9 && (tasks < 2000 || steps % 400 != 0)) {
-                    Machine& task_machine = cluster.ensure(name, 0);
+                    Machine& task_machine = cluster.find_or_add(name, 0);
                     WorkerHeartbeat heartbeat;
                     heartbeat.machine = name;
                     heartbeat.sequence = task_machine.sequence + 1;
@@ -182,7 +182,7 @@
                                         false}};
                     jobs.apply_heartbeat(cluster, task_machine, heartbeat, Absence::kUnproven, 0);
                 } else {
-                    jobs.machine_deleted(name, 0);
+                    jobs.on_machine_deleted(name, 0);
                 }
             }
             max_live = std::max(max_live, job.live.size());
--- a/tests/jobs/record_room_test.cc
+++ b/tests/jobs/record_room_test.cc
@@ -37,7 +37,7 @@
     }
     bool has_room(const Job& job, const Machine& target, uint64_t record_format = kNewestRecordFormat) const {
         const Machine* targets[] = {&target};
-        return job.room_in_record(config, record_format, targets);
+        return job.record_has_room(config, record_format, targets);
     }
     // Binds at most `limit` pending tasks until the record is full. Returns the number of tasks bound.
     uint32_t bind_while_room(Job& job, const Machine& target, uint32_t limit,
@@ -51,7 +51,7 @@
     }
     void exit_task(const Job& job, uint32_t task, ExitCause cause) {
         const Placement placement = job.live.at(task);
-        Machine& machine = cluster.ensure(placement.machine, 0);
+        Machine& machine = cluster.find_or_add(placement.machine, 0);
         WorkerHeartbeat heartbeat;
         heartbeat.machine = machine.name;
         heartbeat.zone = placement.zone;
--- a/tests/jobs/service_lifecycle_test.cc
+++ b/tests/jobs/service_lifecycle_test.cc
@@ -36,7 +36,7 @@
     }
     // Nor does the exit `done` of an attempt that is no longer placed make it done.
     tasks_on[machine.name] = {{{"job-1", 0}, 1, TaskPhase::kExited, ExitCause::kDone, false}};
-    jobs.machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-1", now);
     apply_next_heartbeat(machine);
     EXPECT_TRUE(job.done.empty());
     // Replicas that an earlier version recorded as done are pending.
@@ -56,7 +56,7 @@
     ASSERT_EQ(start_on({&first}), 1U);
     now += 500;
     EXPECT_TRUE(schedule_for({&second}).empty()) << "a machine without heartbeats may still run it";
-    jobs.machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
     ASSERT_EQ(schedule_for({&second}).size(), 1U);
     EXPECT_EQ(job.live.at(0).machine, "vm-2");
--- a/tests/jobs/task_lifecycle_test.cc
+++ b/tests/jobs/task_lifecycle_test.cc
@@ -64,7 +64,7 @@
 // without the task: before that, the previous leader's launch may still arrive.
 TEST_F(TaskLifecycle, KeepsInheritedPlacementUntilAbsenceIsProven) {
     Job& job = add_job(job_spec("job-1", 1), {{0, {3, "vm-1", "a"}}});
-    Machine& machine = cluster.ensure("vm-1", now);
+    Machine& machine = cluster.find_or_add("vm-1", now);
     machine.machine_type = "g2";
     // The machine does not have the new fencing token yet.
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kUnproven, now);
@@ -84,7 +84,7 @@
     Machine& other = add_machine("vm-2");
     now += 100000;
     EXPECT_TRUE(schedule_for({&other}).empty());
-    jobs.machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-1", now);
     EXPECT_EQ(job.live.size(), 0U);
     EXPECT_EQ(schedule_for({&other}).size(), 1U);
     EXPECT_GT(job.live.at(0).attempt, 3U);
@@ -126,7 +126,7 @@
     exit_task(task0, ExitCause::kPeersGone);
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {task0, task1}), Absence::kProven, now += 3);
     EXPECT_TRUE(schedule_for({&first, &second}).empty());
-    EXPECT_EQ(gang.wait.reason, WaitReason::kOldAttempt);
+    EXPECT_EQ(gang.wait.reason, WaitReason::kPreviousAttemptNotEnded);
     auto commands = jobs.commands(machine, LaunchCommands::kInclude);
     EXPECT_TRUE(std::any_of(commands.begin(), commands.end(),
                             [](auto& command) { return command.kind == CommandKind::kStop; }));
--- a/tests/jobs/task_transitions_test.cc
+++ b/tests/jobs/task_transitions_test.cc
@@ -84,7 +84,7 @@
                 machine_.unreachable_since = now_;
                 return send_heartbeat({}, Absence::kProven);
             case kMachineDeleted:
-                return jobs_.machine_deleted(machine_.name, now_);
+                return jobs_.on_machine_deleted(machine_.name, now_);
             case kStop:
                 return stop();
             case kCancel:
@@ -94,7 +94,7 @@
 
   private:
     Machine& add_machine() {
-        Machine& machine = cluster_.ensure("vm-1", now_);
+        Machine& machine = cluster_.find_or_add("vm-1", now_);
         machine.zone = std::string("a");
         machine.machine_type = "g2";
         machine.heartbeat_received = machine.has_current_token = true;
--- a/tests/scheduler/gang_reservation_test.cc
+++ b/tests/scheduler/gang_reservation_test.cc
@@ -79,8 +79,8 @@
     gang.spec.tasks = 3;
     gang.pending = Ranges::whole(3);
     lower_priority.cancelled = true;
-    for (const auto& placed : std::vector(jobs.on_machine("vm-1")))
-        if (placed.job->spec.id == "job-1") jobs.machine_deleted("vm-1", now);
+    for (const auto& placed : std::vector(jobs.placements_on("vm-1")))
+        if (placed.job->spec.id == "job-1") jobs.on_machine_deleted("vm-1", now);
     add_job(job_spec("job-4", 1));
     EXPECT_TRUE(schedule_for({&first, &second}).empty()) << "the free part of the limit is reserved";
     EXPECT_EQ(gang.wait.reason, WaitReason::kTeamLimit);
@@ -119,7 +119,7 @@
     now += settings.begin_bound_s + 1;
     add_job(other_teams_job);
     EXPECT_TRUE(schedule_for({&first}).empty()) << "the machine is reserved, also against other teams";
-    jobs.machine_deleted("vm-2", now);
+    jobs.on_machine_deleted("vm-2", now);
     busy.done = Ranges::whole(1);
     busy.pending = {};
     EXPECT_EQ(schedule_for({&first, &second}).size(), 2U);
--- a/tests/scheduler/queue_order_test.cc
+++ b/tests/scheduler/queue_order_test.cc
@@ -55,16 +55,16 @@
     now += settings.begin_bound_s + 1;
     add_high_priority_job();
     // One machine becomes free and is reserved for the gang, whatever else waits.
-    jobs.machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-1", now);
     EXPECT_TRUE(schedule_for({&first}).empty());
     jobs.erase("job-10");
-    jobs.machine_deleted("vm-2", now);
+    jobs.on_machine_deleted("vm-2", now);
     auto bindings = schedule_for({&first, &second});
     ASSERT_EQ(bindings.size(), 2U);
     EXPECT_EQ(bindings[0].job, &old);
     // The starved array is also served before later jobs, but only until its first task has started.
-    jobs.machine_deleted("vm-1", now);
-    jobs.machine_deleted("vm-2", now);
+    jobs.on_machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-2", now);
     old.done = Ranges::whole(2);
     old.pending = {};
     bindings = schedule_for({&first, &second});
@@ -102,7 +102,7 @@
     ASSERT_EQ(schedule_for({&machine}).size(), 2U);
     mark_committed(old);
     now += 60;
-    jobs.machine_deleted("vm-1", now);
+    jobs.on_machine_deleted("vm-1", now);
     cluster.machines.erase("vm-1");
     spec.id = "job-2";
     add_job(spec);
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -131,7 +131,7 @@
     for (const auto& [task, p] : job.live)
         if (p.zone == "b") lost_machine = p.machine;
     now += 60;
-    jobs.machine_deleted(lost_machine, now);
+    jobs.on_machine_deleted(lost_machine, now);
     cluster.machines.erase(lost_machine);
     tasks_on.erase(lost_machine);
     EXPECT_EQ(start_on(in_a), 0U);
--- a/tests/scheduler/service_rebinding_test.cc
+++ b/tests/scheduler/service_rebinding_test.cc
@@ -151,7 +151,7 @@
         unplaced_task.amount = {1, cpus ? 0 : 0.5, 2};
         Machine& third = add_machine("vm-3");
         third.tasks = {unplaced_task};
-        jobs.machine_deleted("vm-2", now);
+        jobs.on_machine_deleted("vm-2", now);
         EXPECT_EQ(bind_all({&second}), 3U);
         for (const char* id : {"job-1", "job-2", "job-3"}) jobs.erase(id);
         cluster.machines.clear();
--- a/tests/scheduler/starvation_test.cc
+++ b/tests/scheduler/starvation_test.cc
@@ -88,7 +88,7 @@
 
     Machine& receive_heartbeat(const std::string& name, const std::string& zone,
                                std::vector<TaskStatus> tasks) {
-        Machine& machine = cluster.ensure(name, kNow);
+        Machine& machine = cluster.find_or_add(name, kNow);
         WorkerHeartbeat heartbeat;
         heartbeat.machine = name;
         heartbeat.zone = zone;
--- a/tests/standins/scheduling_fixture.cc
+++ b/tests/standins/scheduling_fixture.cc
@@ -53,7 +53,7 @@
     Job& job = jobs.load(record, kModRevision, now, {0});
     job.accepted = now;
     for (const auto& [task, placement] : record.live)
-        cluster.ensure(placement.machine, now).zone = placement.zone;
+        cluster.find_or_add(placement.machine, now).zone = placement.zone;
     return job;
 }
 
@@ -62,7 +62,7 @@
 }
 
 Machine& SchedulingTest::add_machine(const std::string& name, const MachineKind& kind) {
-    Machine& machine = cluster.ensure(name, now);
+    Machine& machine = cluster.find_or_add(name, now);
     machine.zone = kind.zone;
     machine.machine_type = kind.machine_type;
     machine.spot = kind.spot;
@@ -120,7 +120,7 @@
 void SchedulingTest::delete_machine(const std::string& name) {
     // Found before the erasure: `name` may be a reference to the machine's own name.
     auto machine = cluster.machines.find(name);
-    jobs.machine_deleted(name, now);
+    jobs.on_machine_deleted(name, now);
     cluster.machines.erase(machine);
 }
 
