--- a/src/controller/peer_confirmations.cc
+++ b/src/controller/peer_confirmations.cc
@@ -7,13 +7,13 @@
 namespace hareshore {
 
 Seconds cancellations_known_until(std::span<const peer::PeerStatus> peers, Seconds since, Seconds now) {
-    Seconds until = now;
+    Seconds known_until = now;
     for (const auto& peer : peers) {
         const auto heartbeat_sent_at = peer.acknowledged_heartbeat_sent_at();
         if (!heartbeat_sent_at || !peer.all_cancellations_known_since(since)) return since;
-        until = std::min(until, *heartbeat_sent_at);
+        known_until = std::min(known_until, *heartbeat_sent_at);
     }
-    return std::max(since, until);
+    return std::max(since, known_until);
 }
 
 bool no_other_leader(std::span<const peer::PeerStatus> peers, uint64_t fencing_token, Seconds now) {
--- a/src/fleet/cancelled_tasks.cc
+++ b/src/fleet/cancelled_tasks.cc
@@ -8,13 +8,13 @@
 
 std::vector<std::string> machines_with_cancelled_tasks(const Cluster& cluster, const JobTable& jobs,
                                                        const Config& config, Seconds now,
-                                                       Seconds leading_since) {
+                                                       Seconds receiving_since) {
     std::vector<std::string> names;
     Seconds lease_expiry =
         config.lease_s * (1 + constants::kClockDriftRate) + constants::kLeaseExpiryMargin_s;
     Seconds silent_after = constants::kSilentAfterHeartbeatIntervals * config.heartbeat_interval_s;
     // A new leader, or one whose process was stalled, first waits for the heartbeats of its workers.
-    if (now - leading_since <= silent_after) return names;
+    if (now - receiving_since <= silent_after) return names;
     for (const auto& [id, job] : jobs.all()) {
         if (!job->cancelled) continue;
         for (const auto& [task, placement] : job->live) {
--- a/src/fleet/cancelled_tasks.h
+++ b/src/fleet/cancelled_tasks.h
@@ -17,6 +17,6 @@
 [[nodiscard]] std::vector<std::string> machines_with_cancelled_tasks(const Cluster& cluster,
                                                                      const JobTable& jobs,
                                                                      const Config& config, Seconds now,
-                                                                     Seconds leading_since);
+                                                                     Seconds receiving_since);
 
 }  // namespace hareshore
--- a/src/fleet/idle_machines.cc
+++ b/src/fleet/idle_machines.cc
@@ -74,7 +74,7 @@
             if (surplus <= 0) break;
             const Machine& machine = *planned->machine;
             Seconds idle_since =
-                std::max(machine.idle_since.value_or(input.leading_since), input.leading_since);
+                std::max(machine.idle_since.value_or(input.receiving_since), input.receiving_since);
             if (input.now - idle_since < idle_limit) continue;
             context.plan.scale_in.push_back({machine.name, ScaleInReason::kIdle, false});
             --surplus;
--- a/src/fleet/machine_health.cc
+++ b/src/fleet/machine_health.cc
@@ -97,7 +97,7 @@
 // reconnecting and must not be deleted for silence that the partition caused.
 Seconds MachineHealth::time_since_heartbeat(const Machine& machine) const {
     const ScalingInput& input = context_.input;
-    Seconds since = std::max(machine.last_heartbeat, input.leading_since);
+    Seconds since = std::max(machine.last_heartbeat, input.receiving_since);
     auto partition = input.partitioned_at.find(machine.zone);
     if (partition != input.partitioned_at.end() && !partitioned(machine))
         since = std::max(since, partition->second);
--- a/src/fleet/scaling_plan.h
+++ b/src/fleet/scaling_plan.h
@@ -65,7 +65,7 @@
     const Config& config;
     const Settings& settings;
     Seconds now;
-    Seconds leading_since;                             // since when this leader has received heartbeats
+    Seconds receiving_since;                           // since when this leader has received heartbeats
     std::map<MachineKind, Seconds> no_capacity_until;  // kinds that the cloud refused recently
     std::vector<ScaleOutRequest> pending_scale_out;    // requested without a response so far
     bool spot_allowed;                                 // every job may use spot machines
--- a/src/leader/fleet_scaler.cc
+++ b/src/leader/fleet_scaler.cc
@@ -24,8 +24,8 @@
         co_await parts_.loop.sleep(constants::kScalingInterval_s);
         record_stall(parts_.loop.now() - sleep_started_at - constants::kScalingInterval_s);
         parts_.pass_requests.request();  // a delayed task may have become due
-        delete_machines_holding_cancelled();
-        repeat_stops_of_cancelled();
+        delete_machines_with_cancelled_tasks();
+        resend_stops_of_cancelled();
         if (may_scale()) scale();
     }
 }
@@ -42,18 +42,18 @@
     return stalled_until_.value_or(parts_.lifecycle.loaded_at());
 }
 
-void FleetScaler::repeat_stops_of_cancelled() {
+void FleetScaler::resend_stops_of_cancelled() {
     const Seconds now = parts_.loop.now();
     const Seconds interval = parts_.config.heartbeat_interval_s;
-    if (stops_repeated_at_ && now - *stops_repeated_at_ < interval) return;
-    stops_repeated_at_ = now;
+    if (stops_resent_at_ && now - *stops_resent_at_ < interval) return;
+    stops_resent_at_ = now;
     parts_.jobs.resend_stops_of_cancelled(now - interval);
 }
 
 // This must also work without a confirmed lease, while the store is unavailable to all controllers. If no
 // peer has seen a later term, there is no other leader whose work could be undone. Even if there were one,
 // the deletion would be safe, since a deleted machine runs no task.
-void FleetScaler::delete_machines_holding_cancelled() {
+void FleetScaler::delete_machines_with_cancelled_tasks() {
     if (!parts_.leadership.lease_confirmed() && !parts_.leadership.no_other_leader()) return;
     std::vector<ScaleInDecision> decisions;
     for (auto& name : machines_with_cancelled_tasks(parts_.cluster, parts_.jobs, parts_.config,
@@ -80,8 +80,8 @@
                        parts_.settings,
                        now,
                        receiving_since(),
-                       parts_.rental.refused_until(),
-                       parts_.rental.on_order(),
+                       parts_.rental.no_capacity_until(),
+                       parts_.rental.pending(),
                        only_spot_jobs(parts_.jobs),
                        partitioned_at_};
     parts_.scheduling.recount_cluster();
--- a/src/leader/fleet_scaler.h
+++ b/src/leader/fleet_scaler.h
@@ -35,8 +35,8 @@
 
   private:
     void record_stall(Seconds stalled_s);
-    void repeat_stops_of_cancelled();
-    void delete_machines_holding_cancelled();
+    void resend_stops_of_cancelled();
+    void delete_machines_with_cancelled_tasks();
     [[nodiscard]] bool may_scale() const;
     void scale();
     void log_partitions(const ScalingPlan& plan);
@@ -45,7 +45,7 @@
 
     const Parts parts_;
     std::optional<Seconds> stalled_until_;           // the end of this process's last stall
-    std::optional<Seconds> stops_repeated_at_;       // of cancelled jobs
+    std::optional<Seconds> stops_resent_at_;         // of cancelled jobs
     std::map<std::string, Seconds> partitioned_at_;  // by zone: when it was last considered partitioned
 };
 
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -55,7 +55,7 @@
     const uint64_t heartbeat_number = ++parts_.connections.of(name).heartbeats;
     const bool needs_pass = apply(*machine, heartbeat, route);
     parts_.connections.of(name).wake.notify();  // ends the wait of an older heartbeat of this worker
-    if (needs_pass || parts_.pass_requests.pending() || parts_.scheduling.could_take_work(*machine))
+    if (needs_pass || parts_.pass_requests.pending() || parts_.scheduling.could_fit_waiting_task(*machine))
         co_await wait_for_next_pass(name, received_at + max_delay);
 
     // The wait for a commit starts when the commit is first needed, which may be near the end of the delay,
@@ -70,7 +70,7 @@
             commit_deadline = std::min(loop.now() + constants::kHeartbeatCommitWait_s,
                                        received_at + max_delay + constants::kHeartbeatCommitWaitPastHold_s);
         const std::optional<Seconds> deadline =
-            awaits_commit ? commit_deadline : work_wait_deadline(*machine, received_at, max_delay);
+            awaits_commit ? commit_deadline : long_poll_deadline(*machine, received_at, max_delay);
         if (!deadline || loop.now() >= *deadline) break;
         PendingResponseGuard pending_response(parts_.cluster, name);
         machine->heartbeat_awaits_response = !awaits_commit;
@@ -84,7 +84,7 @@
     const bool was_reachable = !machine.unreachable_since;
     const bool had_current_token = machine.has_current_token;
     const bool had_spot_notice = machine.spot_reclaim_at.has_value();
-    const bool never_answered = !machine.last_response_at;
+    const bool never_responded = !machine.last_response_at;
     update_reachability(machine, heartbeat, route);
     // A machine that has this leader's fencing token refuses launches by an earlier leader. Only then does a
     // task's absence from the heartbeat prove that it is not on the machine.
@@ -96,7 +96,7 @@
         needs_pass = true;
     }
     const bool reachable = !machine.unreachable_since;
-    return needs_pass || never_answered || machine.has_current_token != had_current_token ||
+    return needs_pass || never_responded || machine.has_current_token != had_current_token ||
            reachable != was_reachable;
 }
 
@@ -132,14 +132,14 @@
 }
 
 // Until when the response is delayed for new work; nothing if it is sent at once.
-std::optional<Seconds> HeartbeatHandler::work_wait_deadline(const Machine& machine, Seconds received_at,
+std::optional<Seconds> HeartbeatHandler::long_poll_deadline(const Machine& machine, Seconds received_at,
                                                             Seconds max_delay) const {
     if (!machine.schedulable) return std::nullopt;
     if (machine.idle()) return received_at + max_delay;
     // Delaying the response lets a replica be started or stopped without waiting for the next heartbeat. The
     // delay is short, since the worker sends its next heartbeat, with the changes on the machine, only after
     // this response.
-    if (parts_.scheduling.could_take_replica(machine) && parts_.jobs.all_running_on(machine))
+    if (parts_.scheduling.could_fit_replica(machine) && parts_.jobs.all_running_on(machine))
         return received_at + std::min(max_delay, constants::kBusyHeartbeatHold_s);
     return std::nullopt;
 }
--- a/src/leader/heartbeat_handler.h
+++ b/src/leader/heartbeat_handler.h
@@ -37,7 +37,7 @@
     bool apply(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route);
     void update_reachability(Machine& machine, const WorkerHeartbeat& heartbeat, HeartbeatRoute route);
     Task<void> wait_for_next_pass(const std::string& name, Seconds response_deadline);
-    [[nodiscard]] std::optional<Seconds> work_wait_deadline(const Machine& machine, Seconds received_at,
+    [[nodiscard]] std::optional<Seconds> long_poll_deadline(const Machine& machine, Seconds received_at,
                                                             Seconds max_delay) const;
     Response respond(Machine& machine, HeartbeatRoute route);
 
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -133,7 +133,7 @@
 void Leader::start_loops() {
     lifecycle_.spawn(scheduling_loop_.run(), "scheduling passes", Priority::kNormal);
     // Urgent, since workers' leases may be renewed only while the watch is up to date.
-    lifecycle_.spawn(record_watch_.follow(), "watch", Priority::kUrgent);
+    lifecycle_.spawn(record_watch_.watch_changes(), "watch", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.run(), "commit", Priority::kUrgent);
     lifecycle_.spawn(record_writer_.raise_record_format(), "record format", Priority::kNormal);
     lifecycle_.spawn(cloud_inventory_.poll_machine_types(), "prices", Priority::kNormal);
--- a/src/leader/machine_deletion.cc
+++ b/src/leader/machine_deletion.cc
@@ -63,10 +63,10 @@
 }
 
 // Whether a machine that was silent at `decided_at` has since sent a heartbeat and may be kept. One that
-// holds a task of a cancelled job is deleted nevertheless.
+// has a task of a cancelled job is deleted nevertheless.
 bool MachineDeletion::should_keep(const std::string& name, Seconds decided_at) const {
     const Machine* machine = parts_.cluster.machine(name);
-    return machine && machine->last_heartbeat > decided_at && !holds_cancelled_task(name);
+    return machine && machine->last_heartbeat > decided_at && !has_cancelled_task(name);
 }
 
 // Deletions require a confirmed lease, except for machines with a task of a cancelled job: while the store is
@@ -76,7 +76,7 @@
     std::vector<std::string> allowed;
     if (!parts_.leadership.no_other_leader()) return allowed;
     std::copy_if(names.begin(), names.end(), std::back_inserter(allowed),
-                 [&](const std::string& name) { return holds_cancelled_task(name); });
+                 [&](const std::string& name) { return has_cancelled_task(name); });
     return allowed;
 }
 
@@ -90,7 +90,7 @@
     parts_.pass_requests.request();
 }
 
-bool MachineDeletion::holds_cancelled_task(const std::string& name) const {
+bool MachineDeletion::has_cancelled_task(const std::string& name) const {
     const auto& tasks = parts_.jobs.placements_on(name);
     return std::any_of(tasks.begin(), tasks.end(),
                        [](const PlacedTask& placed) { return placed.job->cancelled; });
--- a/src/leader/machine_deletion.h
+++ b/src/leader/machine_deletion.h
@@ -39,7 +39,7 @@
     [[nodiscard]] bool should_keep(const std::string& name, Seconds decided_at) const;
     [[nodiscard]] std::vector<std::string> deletable_now(const std::vector<std::string>& names) const;
     void apply_deletion(const std::vector<std::string>& names);
-    [[nodiscard]] bool holds_cancelled_task(const std::string& name) const;
+    [[nodiscard]] bool has_cancelled_task(const std::string& name) const;
 
     const Parts parts_;
 };
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -11,7 +11,7 @@
     while (request.number > 0) {
         ScaleOutRequest batch{request.kind, std::min(request.number, constants::kMachinesPerScaleOutRequest)};
         request.number -= batch.number;
-        on_order_.push_back(batch);
+        pending_.push_back(batch);
         parts_.lifecycle.spawn(rent(batch), "rent", Priority::kNormal);
     }
 }
@@ -34,7 +34,7 @@
         co_await parts_.loop.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
-    remove_from_order(batch);
+    remove_pending(batch);
 }
 
 Task<void> MachineRental::wait_for_confirmed_lease() {
@@ -57,14 +57,14 @@
                                   {"zone", kind.zone},
                                   {"spot", kind.spot}});
     if (names.size() < static_cast<size_t>(batch.number))
-        refused_until_[kind] = parts_.loop.now() + constants::kNoCapacityRetry_s;
+        no_capacity_until_[kind] = parts_.loop.now() + constants::kNoCapacityRetry_s;
 }
 
-void MachineRental::remove_from_order(const ScaleOutRequest& batch) {
-    auto it = std::find_if(on_order_.begin(), on_order_.end(), [&](const ScaleOutRequest& ordered) {
-        return ordered.kind == batch.kind && ordered.number == batch.number;
+void MachineRental::remove_pending(const ScaleOutRequest& batch) {
+    auto it = std::find_if(pending_.begin(), pending_.end(), [&](const ScaleOutRequest& request) {
+        return request.kind == batch.kind && request.number == batch.number;
     });
-    if (it != on_order_.end()) on_order_.erase(it);
+    if (it != pending_.end()) pending_.erase(it);
 }
 
 }  // namespace hareshore
--- a/src/leader/machine_rental.h
+++ b/src/leader/machine_rental.h
@@ -29,19 +29,21 @@
     // responded.
     void start(ScaleOutRequest request);
     // Batches without a response so far.
-    [[nodiscard]] const std::vector<ScaleOutRequest>& on_order() const { return on_order_; }
+    [[nodiscard]] const std::vector<ScaleOutRequest>& pending() const { return pending_; }
     // By machine kind: the time before which it must not be requested again, since the cloud had no capacity.
-    [[nodiscard]] const std::map<MachineKind, Seconds>& refused_until() const { return refused_until_; }
+    [[nodiscard]] const std::map<MachineKind, Seconds>& no_capacity_until() const {
+        return no_capacity_until_;
+    }
 
   private:
     Task<void> rent(ScaleOutRequest batch);
     Task<void> wait_for_confirmed_lease();
     void add_rented(const ScaleOutRequest& batch, const std::vector<std::string>& names);
-    void remove_from_order(const ScaleOutRequest& batch);
+    void remove_pending(const ScaleOutRequest& batch);
 
     const Parts parts_;
-    std::vector<ScaleOutRequest> on_order_;
-    std::map<MachineKind, Seconds> refused_until_;
+    std::vector<ScaleOutRequest> pending_;
+    std::map<MachineKind, Seconds> no_capacity_until_;
     uint64_t requests_ = 0;  // sent in this term; makes the idempotency keys unique
 };
 
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -28,7 +28,7 @@
     co_return true;
 }
 
-Task<void> RecordWatch::follow() {
+Task<void> RecordWatch::watch_changes() {
     Seconds pause = 0;
     while (true) {
         Seconds requested_at = parts_.loop.now();
--- a/src/leader/record_watch.h
+++ b/src/leader/record_watch.h
@@ -25,7 +25,7 @@
     // Reads all records; false if the store failed to return one of the pages.
     Task<bool> read_all();
     // Applies the changes after read_all(), until it is cancelled.
-    Task<void> follow();
+    Task<void> watch_changes();
     // Rereads one job's record after a conflict: its mod revision is not the expected one, because a user has
     // cancelled the job or the response to a transaction was lost.
     Task<void> reread(std::string job_id);
--- a/src/leader/scheduling_loop.cc
+++ b/src/leader/scheduling_loop.cc
@@ -75,7 +75,7 @@
     }
 }
 
-bool SchedulingLoop::could_take_work(Machine& machine) {
+bool SchedulingLoop::could_fit_waiting_task(Machine& machine) {
     recount_machine(parts_.cluster, machine, parts_.jobs, parts_.loop.now(), max_heartbeat_age());
     return machine.schedulable && smallest_waiting_ && machine.free.can_fit(*smallest_waiting_);
 }
--- a/src/leader/scheduling_loop.h
+++ b/src/leader/scheduling_loop.h
@@ -36,9 +36,9 @@
 
     // Whether a pass could bind a waiting task to the machine. Saves a pass for most heartbeats, which come
     // from machines that are full, or while no task waits. Recounts the machine.
-    bool could_take_work(Machine& machine);
+    bool could_fit_waiting_task(Machine& machine);
     // Whether a replica of some service would fit into the machine's free resources as last counted.
-    [[nodiscard]] bool could_take_replica(const Machine& machine) const {
+    [[nodiscard]] bool could_fit_replica(const Machine& machine) const {
         return smallest_replica_ && machine.free.can_fit(*smallest_replica_);
     }
     // Recounts the free resources of all machines, ignoring reservations.
--- a/src/scheduler/pass_context.h
+++ b/src/scheduler/pass_context.h
@@ -17,7 +17,7 @@
     std::set<const Job*> within_guarantee;  // jobs within their team's guarantee
     std::vector<Machine*> schedulable;      // machines that accept tasks, ordered by name
     std::vector<Binding> bindings;          // made so far, in order
-    size_t room_searches = 0;               // searches counted by start_room_search()
+    size_t preemption_searches = 0;         // searches counted by start_preemption_search()
 
     void count_steps(size_t steps) const {
         if (input.steps) *input.steps += steps;
@@ -26,7 +26,9 @@
     // Counts a search for room beyond the free resources; returns false once the pass has used up its
     // searches. Only the jobs at the head of the queue get one: a search for every job of a long queue
     // would cost the queue's length times the number of machines.
-    [[nodiscard]] bool start_room_search() { return ++room_searches <= constants::kPreemptionSearchJobs; }
+    [[nodiscard]] bool start_preemption_search() {
+        return ++preemption_searches <= constants::kPreemptionSearchJobs;
+    }
 
     // Binds a task to a machine and updates the resource accounting.
     void bind(Job& job, uint32_t task, Machine& machine, uint64_t attempt);
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -110,19 +110,19 @@
 void preempt_for_team_limit(PassContext& pass, const QueuedJob& queued, uint32_t tasks) {
     const JobSpec& spec = queued.job->spec;
     if (!pass.input.config.team(spec.team)) return;
-    if (!queued.starved || !pass.start_room_search()) return;
+    if (!queued.starved || !pass.start_preemption_search()) return;
     TeamPreemption found = find_team_preemption(pass, spec);
-    auto enough = [&] {
+    auto frees_enough = [&] {
         return pass.cluster.within_limit(pass.input.config, spec, tasks,
                                          {-found.freed.cpus, -found.freed.gpus});
     };
     sort_by_loss(pass, found.victims);
     size_t needed = 0;
-    for (; !enough() && needed < found.victims.size(); ++needed) {
+    for (; !frees_enough() && needed < found.victims.size(); ++needed) {
         found.freed.cpus += found.victims[needed].job->spec.cpus;
         found.freed.gpus += found.victims[needed].job->spec.gpus;
     }
-    if (!enough()) return;
+    if (!frees_enough()) return;
     found.victims.resize(needed);
     preempt(pass, *queued.job, found.victims);
 }
--- a/src/scheduler/reservation.cc
+++ b/src/scheduler/reservation.cc
@@ -50,7 +50,7 @@
                                  const QueuedJob& queued) {
     Job& job = *queued.job;
     Seconds now = pass.input.now;
-    if (job.pending.empty() || !may_start(job, now) || !pass.start_room_search()) return std::nullopt;
+    if (job.pending.empty() || !may_start(job, now) || !pass.start_preemption_search()) return std::nullopt;
     if (job.spec.service()) {
         preempt_for_replicas(pass, quota, capacities, queued);
         return std::nullopt;
@@ -63,9 +63,9 @@
     if (worth_preempting && now - job.wait.since >= pass.input.settings.preempt_after_s)
         preempt(pass, job, best.victims);
     if (!job.spec.gang()) return std::nullopt;
-    Seconds room_at = best.complete ? now : best.available_at;
-    reserve(job, best.machines, room_at);
-    return room_at;
+    Seconds expected_start = best.complete ? now : best.available_at;
+    reserve(job, best.machines, expected_start);
+    return expected_start;
 }
 
 }  // namespace hareshore
--- a/src/scheduler/slot_selection.cc
+++ b/src/scheduler/slot_selection.cc
@@ -55,8 +55,8 @@
 }
 
 // Adds up to `missing` slots by preemption; returns how many are still missing.
-uint32_t take_preemptions(const Job& job, std::vector<StepReference>& steps, uint32_t missing,
-                          SlotSelection& selection) {
+uint32_t select_preemptions(const Job& job, std::vector<StepReference>& steps, uint32_t missing,
+                            SlotSelection& selection) {
     // A machine's steps must be taken in order: taking a later step takes the ones before it, so at most as
     // many steps are skipped as are taken, and twice `missing` are enough.
     auto end = steps.begin() + static_cast<long>(std::min<size_t>(steps.size(), size_t{2} * missing));
@@ -79,8 +79,8 @@
 
 // Adds up to `missing` slots that are expected to become free, earliest first, and sets when all are
 // available.
-void take_expected(std::vector<ExpectedSlot>& expected, uint32_t missing, Seconds now,
-                   SlotSelection& selection) {
+void select_expected_slots(std::vector<ExpectedSlot>& expected, uint32_t missing, Seconds now,
+                           SlotSelection& selection) {
     auto end = expected.begin() + static_cast<long>(std::min<size_t>(expected.size(), missing));
     std::partial_sort(expected.begin(), end, expected.end(),
                       [](const ExpectedSlot& a, const ExpectedSlot& b) {
@@ -106,11 +106,11 @@
     selection.machines = std::move(candidates.free);
     size_t free_slots = selection.machines.size();
     auto missing = tasks - static_cast<uint32_t>(free_slots);
-    selection.complete = take_preemptions(job, candidates.steps, missing, selection) == 0;
+    selection.complete = select_preemptions(job, candidates.steps, missing, selection) == 0;
     if (selection.complete) return selection;
     // Preemption does not free enough slots for all tasks, so the expected slots are reserved instead.
     selection.machines.resize(free_slots);
-    take_expected(candidates.expected, missing, pass.input.now, selection);
+    select_expected_slots(candidates.expected, missing, pass.input.now, selection);
     return selection;
 }
 
--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -22,10 +22,10 @@
 // How many replicas would be lost with the machine: the job's replicas on it, plus one if more than half of
 // the replicas would be on spot machines, which are reclaimed in waves.
 size_t replica_concentration(const Job& job, const Machine& machine, size_t spot_replicas) {
-    auto here = std::count_if(job.live.begin(), job.live.end(),
-                              [&](const auto& live) { return live.second.machine == machine.name; });
+    auto on_machine = std::count_if(job.live.begin(), job.live.end(),
+                                    [&](const auto& live) { return live.second.machine == machine.name; });
     bool too_many_spot = machine.spot && 2 * (spot_replicas + 1) > job.spec.tasks;
-    return static_cast<size_t>(here) + (too_many_spot ? 1 : 0);
+    return static_cast<size_t>(on_machine) + (too_many_spot ? 1 : 0);
 }
 
 size_t count_spot_replicas(Cluster& cluster, const Job& job) {
--- a/src/scheduler/team_quota.cc
+++ b/src/scheduler/team_quota.cc
@@ -28,17 +28,17 @@
     return allowed;
 }
 
-void TeamQuota::reserve(const QueuedJob& gang, std::optional<Seconds> room_at) {
+void TeamQuota::reserve(const QueuedJob& gang, std::optional<Seconds> expected_start) {
     const Job& job = *gang.job;
     if (job.pending.empty()) return;
-    bool lacks_machines = job.wait.reason == WaitReason::kGangRoom && (gang.starved || room_at);
+    bool lacks_machines = job.wait.reason == WaitReason::kGangRoom && (gang.starved || expected_start);
     if (job.wait.reason != WaitReason::kTeamLimit && !lacks_machines) return;
     Seconds now = pass_.input.now;
     double tasks = job.pending.size();
     reservations_[job.spec.team].push_back({job.spec.priority,
                                             gang.starved,
                                             {tasks * job.spec.cpus, tasks * job.spec.gpus},
-                                            gang.starved ? now : room_at.value_or(now)});
+                                            gang.starved ? now : expected_start.value_or(now)});
 }
 
 }  // namespace hareshore
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -29,10 +29,10 @@
     // take each freed part of the limit, and the gang would not start while such jobs keep arriving. The
     // reservation applies to the team's lower-priority work, and to all of its work once the gang is
     // starved. It is kept while the gang lacks machines: if other work took the limit meanwhile, the gang
-    // would lack the limit once machines become free. Until `room_at`, when the whole gang is expected to
-    // have room, the reserved part may be used for backfill. Must be called after everything else is done
+    // would lack the limit once machines become free. Until `expected_start`, when the whole gang is expected
+    // to have room, the reserved part may be used for backfill. Must be called after everything else is done
     // for the gang in the pass; otherwise the gang's own tasks would be counted twice.
-    void reserve(const QueuedJob& gang, std::optional<Seconds> room_at);
+    void reserve(const QueuedJob& gang, std::optional<Seconds> expected_start);
 
   private:
     struct Reservation {
--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -109,8 +109,8 @@
 // a hung machine. The machine must be deleted soon enough for cancel_s, even if its zone is silent.
 TEST_F(ScalingPlanRules, MachineWithCancelledTaskIsDueForDeletionAfterLeaseExpiry) {
     config.cancel_s = 49;
-    auto due = [&](Seconds leading_since) {
-        return machines_with_cancelled_tasks(cluster, jobs, config, now, leading_since);
+    auto due = [&](Seconds receiving_since) {
+        return machines_with_cancelled_tasks(cluster, jobs, config, now, receiving_since);
     };
     using Names = std::vector<std::string>;
     for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
