--- a/src/scheduler/task_matching.cc
+++ b/src/scheduler/task_matching.cc
@@ -22,10 +22,10 @@
 // How many replicas would be lost with the machine: the job's replicas on it, plus one if more than half of
 // the replicas would be on spot machines, which are reclaimed in waves.
 size_t replica_concentration(const Job& job, const Machine& machine, size_t spot_replicas) {
-    auto here = std::count_if(job.live.begin(), job.live.end(),
-                              [&](const auto& live) { return live.second.machine == machine.name; });
+    auto on_machine = std::count_if(job.live.begin(), job.live.end(),
+                                    [&](const auto& live) { return live.second.machine == machine.name; });
     bool too_many_spot = machine.spot && 2 * (spot_replicas + 1) > job.spec.tasks;
-    return static_cast<size_t>(here) + (too_many_spot ? 1 : 0);
+    return static_cast<size_t>(on_machine) + (too_many_spot ? 1 : 0);
 }
 
 size_t count_spot_replicas(Cluster& cluster, const Job& job) {
@@ -76,7 +76,7 @@
     if (!quota_.within_limit(job.spec, 1)) return WaitReason::kTeamLimit;
     if (!fits(pass_, job, machine) || ZoneRule(job).remaining(machine.zone) == 0) return WaitReason::kNoRoom;
     const Machine* one[] = {&machine};
-    if (!job.room_in_record(pass_.input.config, pass_.input.record_format, one))
+    if (!job.record_has_room(pass_.input.config, pass_.input.record_format, one))
         return WaitReason::kRecordFull;
     if (!machine.cache.has(job.spec.image) &&
         (pass_.input.now < job.image_preemption.until || should_wait_for_image(job, machine)))
