--- a/src/leader/cancellation_guard.cc
+++ b/src/leader/cancellation_guard.cc
@@ -10,12 +10,12 @@
 // Applying the cancellation before the store confirms it allows lease renewals to continue. Otherwise one
 // cancelled job could let all leases expire, which lost the work of the whole fleet.
 void CancellationGuard::observe(const std::string& job_id) {
-    observed_at_[job_id] = parts_.loop.now();
-    Job* job = parts_.jobs.find(job_id);
+    observed_at_[job_id] = dependencies_.loop.now();
+    Job* job = dependencies_.jobs.find(job_id);
     if (!job || job->cancelled) return;
     log::info("job_cancelled", {{"job", job_id}, {"by", "confirmation_to_user"}});
-    parts_.jobs.cancel(*job, parts_.loop.now());
-    parts_.pass_requests.request();
+    dependencies_.jobs.cancel(*job, dependencies_.loop.now());
+    dependencies_.pass_requests.request();
 }
 
 void CancellationGuard::on_changes_read(Seconds requested_at) {
@@ -26,15 +26,15 @@
 
 bool CancellationGuard::may_renew_leases() {
     if (!records_known_until_) return false;
-    const Config& config = parts_.config;
+    const Config& config = dependencies_.config;
     Seconds allowed_staleness = (config.cancel_s - config.lease_s) * (1 - constants::kClockDriftRate) -
                                 constants::kRenewalRightMargin_s;
-    Seconds now = parts_.loop.now();
+    Seconds now = dependencies_.loop.now();
     // This time never moves back, even if a peer restarts and can no longer confirm it.
     Seconds known_until =
         std::max(cancellations_known_until_.value_or(*records_known_until_), *records_known_until_);
     cancellations_known_until_ =
-        std::max(known_until, parts_.leadership.cancellations_known_until(known_until));
+        std::max(known_until, dependencies_.leadership.cancellations_known_until(known_until));
     return now < *cancellations_known_until_ + allowed_staleness;
 }
 
--- a/src/leader/cancellation_guard.h
+++ b/src/leader/cancellation_guard.h
@@ -18,14 +18,14 @@
 class CancellationGuard {
   public:
     // All must outlive the guard.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         const Leadership& leadership;
         JobTable& jobs;
         PassRequests& pass_requests;
     };
-    explicit CancellationGuard(const Parts& parts) : parts_(parts) {}
+    explicit CancellationGuard(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Records that this controller or a peer is confirming the cancellation to its user, and stops the job's
     // tasks without waiting for the store.
@@ -42,7 +42,7 @@
     [[nodiscard]] bool may_renew_leases();
 
   private:
-    const Parts parts_;
+    const Dependencies dependencies_;
     std::map<std::string, Seconds> observed_at_;  // by job id
     // All cancellations committed before this time are known; empty until the records have been read.
     std::optional<Seconds> records_known_until_;
--- a/src/leader/cloud_inventory.h
+++ b/src/leader/cloud_inventory.h
@@ -11,7 +11,7 @@
 class CloudInventory {
   public:
     // All must outlive the inventory.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         CloudClient& cloud;
@@ -20,7 +20,7 @@
         Cluster& cluster;
         const DeletedMachines& deleted_machines;
     };
-    explicit CloudInventory(const Parts& parts) : parts_(parts) {}
+    explicit CloudInventory(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Both run until cancelled.
     Task<void> poll_machines();
@@ -30,7 +30,7 @@
     void add_listed(const ListedMachine& listed, Seconds requested_at);
     Task<void> store_machine_types();
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     bool machine_types_stored_ = false;  // also set if the store does not accept them
 };
 
--- a/src/leader/command_sender.cc
+++ b/src/leader/command_sender.cc
@@ -6,23 +6,23 @@
 namespace hareshore {
 
 void CommandSender::send_urgent_stops() {
-    for (const auto& name : parts_.jobs.take_machines_with_new_stops()) {
-        WorkerConnection& connection = parts_.connections.of(name);
+    for (const auto& name : dependencies_.jobs.take_machines_with_new_stops()) {
+        WorkerConnection& connection = dependencies_.connections.of(name);
         if (connection.command_in_flight) {
             connection.resend = true;
             continue;
         }
-        Machine* machine = parts_.cluster.machine(name);
+        Machine* machine = dependencies_.cluster.machine(name);
         if (!machine || machine->addr.empty()) continue;
         connection.command_in_flight = true;
-        parts_.lifecycle.spawn(send_stops(name), "stop commands", Priority::kNormal);
+        dependencies_.lifecycle.spawn(send_stops(name), "stop commands", Priority::kNormal);
     }
 }
 
 Task<void> CommandSender::send_stops(std::string machine_name) {
     do {
-        parts_.connections.of(machine_name).resend = false;
-        Machine* machine = parts_.cluster.machine(machine_name);
+        dependencies_.connections.of(machine_name).resend = false;
+        Machine* machine = dependencies_.cluster.machine(machine_name);
         if (!machine) break;
         const std::optional<Address> address = Address::parse(machine->addr);
         if (!address) break;
@@ -31,31 +31,31 @@
         const uint64_t incarnation = machine->incarnation;
         // The worker assigns the command a heartbeat's sequence number, whether or not its response arrives.
         machine->next_sequence_predictable = false;
-        auto heartbeat = co_await send_commands(parts_.loop, *address, parts_.fencing_token, incarnation,
-                                                std::move(stops));
-        machine = parts_.cluster.machine(machine_name);
+        auto heartbeat = co_await send_commands(dependencies_.loop, *address, dependencies_.fencing_token,
+                                                incarnation, std::move(stops));
+        machine = dependencies_.cluster.machine(machine_name);
         if (heartbeat && machine && heartbeat->newer_than(machine->incarnation, machine->sequence)) {
-            parts_.jobs.apply_heartbeat(parts_.cluster, *machine, *heartbeat, Absence::kUnproven,
-                                        parts_.loop.now());
-            parts_.pass_requests.request();
-            if (incarnation == 0) parts_.connections.of(machine_name).resend = true;
+            dependencies_.jobs.apply_heartbeat(dependencies_.cluster, *machine, *heartbeat,
+                                               Absence::kUnproven, dependencies_.loop.now());
+            dependencies_.pass_requests.request();
+            if (incarnation == 0) dependencies_.connections.of(machine_name).resend = true;
         }
-    } while (parts_.connections.of(machine_name).resend);
-    if (parts_.cluster.machine(machine_name)) {
-        parts_.connections.of(machine_name).command_in_flight = false;
+    } while (dependencies_.connections.of(machine_name).resend);
+    if (dependencies_.cluster.machine(machine_name)) {
+        dependencies_.connections.of(machine_name).command_in_flight = false;
     } else {
-        parts_.connections.erase(machine_name);
+        dependencies_.connections.erase(machine_name);
     }
 }
 
 std::vector<Command> CommandSender::stops_for(Machine& machine) {
-    std::vector<Command> stops = parts_.jobs.commands(machine, LaunchCommands::kOmit);
+    std::vector<Command> stops = dependencies_.jobs.commands(machine, LaunchCommands::kOmit);
     std::erase_if(stops, [](const Command& command) { return command.kind != CommandKind::kStop; });
     if (machine.incarnation != 0) return stops;
     // A machine that has not sent this leader a heartbeat may still be controlled by an earlier leader. It
     // refuses the first command, and the refusal contains its incarnation. A command that it accepts also
     // gives it this leader's fencing token, which its heartbeats then pass on to the earlier leader.
-    for (const auto& placed : parts_.jobs.placements_on(machine.name))
+    for (const auto& placed : dependencies_.jobs.placements_on(machine.name))
         if (placed.job->cancelled)
             stops.push_back(
                 {CommandKind::kStop, {placed.job->spec.id, placed.task}, placed.placement->attempt, 0});
--- a/src/leader/command_sender.h
+++ b/src/leader/command_sender.h
@@ -15,7 +15,7 @@
 class CommandSender {
   public:
     // All must outlive the sender.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         uint64_t fencing_token;
         TermLifecycle& lifecycle;
@@ -24,17 +24,17 @@
         WorkerConnections& connections;
         PassRequests& pass_requests;
     };
-    explicit CommandSender(const Parts& parts) : parts_(parts) {}
+    explicit CommandSender(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
-    // Sends the new stops of the job table. Each machine has at most one request in flight; stops added
-    // meanwhile are sent after it.
+    // Sends the new stops of the job table. Each machine has at most one request in flight; stops added while
+    // it is in flight are sent after it.
     void send_urgent_stops();
 
   private:
     Task<void> send_stops(std::string machine_name);
     std::vector<Command> stops_for(Machine& machine);
 
-    const Parts parts_;
+    const Dependencies dependencies_;
 };
 
 }  // namespace hareshore
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -158,7 +158,7 @@
     set_leader(label_);
 }
 
-// Returns nothing, after a pause, if this controller cannot campaign now.
+// Returns std::nullopt, after a pause, if this controller cannot campaign now.
 Task<std::optional<Election::CampaignSnapshot>> Election::read_campaign_snapshot() {
     GetResult term = co_await store_.get(kTermKey, constants::kStoreCallTimeout_s);
     if (!ok_or_not_found(term)) {
--- a/src/leader/fleet_report.cc
+++ b/src/leader/fleet_report.cc
@@ -72,8 +72,8 @@
 }  // namespace
 
 void FleetReport::account_gpu_time(Seconds elapsed) {
-    for (const auto& [name, machine] : parts_.cluster.machines) {
-        const MachineType* type = parts_.cluster.machine_type(machine->machine_type);
+    for (const auto& [name, machine] : dependencies_.cluster.machines) {
+        const MachineType* type = dependencies_.cluster.machine_type(machine->machine_type);
         if (!type || machine->phase == MachinePhase::kFailed) continue;
         if (!machine->heartbeat_received) {
             gpu_time_.booting += type->gpus * elapsed;
@@ -95,8 +95,8 @@
 }
 
 void FleetReport::log_waiting_jobs() const {
-    const Seconds now = parts_.loop.now();
-    for (const auto& [id, job] : parts_.jobs.all()) {
+    const Seconds now = dependencies_.loop.now();
+    for (const auto& [id, job] : dependencies_.jobs.all()) {
         const Seconds waited = now - job->wait.since;
         if (!job->waiting() || waited < constants::kWaitLogInterval_s) continue;
         if (!job->wait.reason_log_due(now)) continue;
@@ -106,12 +106,12 @@
 }
 
 void FleetReport::log_fleet() {
-    const Seconds now = parts_.loop.now();
+    const Seconds now = dependencies_.loop.now();
     if (fleet_logged_at_ && now - *fleet_logged_at_ < constants::kWaitLogInterval_s) return;
     fleet_logged_at_ = now;
-    const FleetCounts fleet = count_fleet(parts_.cluster);
-    const WaitingCounts waiting = count_waiting(parts_.jobs);
-    log::info("fleet", {{"machines", parts_.cluster.machines.size()},
+    const FleetCounts fleet = count_fleet(dependencies_.cluster);
+    const WaitingCounts waiting = count_waiting(dependencies_.jobs);
+    log::info("fleet", {{"machines", dependencies_.cluster.machines.size()},
                         {"spot", fleet.spot},
                         {"booting", fleet.booting},
                         {"idle", fleet.idle},
@@ -119,8 +119,8 @@
                         {"gpus", fleet.gpus},
                         {"tasks_waiting", waiting.tasks},
                         {"jobs_waiting", waiting.jobs},
-                        {"unwritten_records", parts_.jobs.unwritten_count()},
-                        {"longest_pass_s", parts_.scheduling.take_longest_pass()}});
+                        {"unwritten_records", dependencies_.jobs.unwritten_count()},
+                        {"longest_pass_s", dependencies_.scheduling.get_and_reset_longest_pass()}});
     log_gpu_time();
 }
 
--- a/src/leader/fleet_report.h
+++ b/src/leader/fleet_report.h
@@ -9,13 +9,13 @@
 class FleetReport {
   public:
     // All must outlive the report.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const JobTable& jobs;
         const Cluster& cluster;
         SchedulingLoop& scheduling;
     };
-    explicit FleetReport(const Parts& parts) : parts_(parts) {}
+    explicit FleetReport(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Adds `elapsed` seconds of each machine's GPUs to the totals by their current use. The machines must
     // have been recounted.
@@ -40,7 +40,7 @@
     void log_fleet();
     void log_gpu_time() const;
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     GpuTime gpu_time_;
     std::optional<Seconds> fleet_logged_at_;
 };
--- a/src/leader/fleet_scaler.h
+++ b/src/leader/fleet_scaler.h
@@ -13,7 +13,7 @@
 class FleetScaler {
   public:
     // All must outlive the scaler.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         const Settings& settings;
@@ -28,7 +28,7 @@
         MachineDeletion& deletion;
         FleetReport& report;
     };
-    explicit FleetScaler(const Parts& parts) : parts_(parts) {}
+    explicit FleetScaler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Runs until it is cancelled; the records must have been loaded.
     Task<void> run();
@@ -43,7 +43,7 @@
     void drain_machines(const ScalingPlan& plan);
     [[nodiscard]] Seconds receiving_since() const;
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     std::optional<Seconds> stalled_until_;           // the end of this process's last stall
     std::optional<Seconds> stops_resent_at_;         // of cancelled jobs
     std::map<std::string, Seconds> partitioned_at_;  // by zone: when it was last considered partitioned
--- a/src/leader/heartbeat_handler.h
+++ b/src/leader/heartbeat_handler.h
@@ -12,7 +12,7 @@
 class HeartbeatHandler {
   public:
     // All must outlive the handler.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         uint64_t fencing_token;
@@ -26,7 +26,7 @@
         SchedulingLoop& scheduling;
         CancellationGuard& cancellations;
     };
-    explicit HeartbeatHandler(const Parts& parts) : parts_(parts) {}
+    explicit HeartbeatHandler(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Responds with 200 and commands, which renews the leases of the worker's tasks, or with 503. While there
     // are no commands, the response may be delayed by up to `max_delay` seconds (long polling). The caller
@@ -41,7 +41,7 @@
                                                             Seconds max_delay) const;
     Response respond(Machine& machine, HeartbeatRoute route);
 
-    const Parts parts_;
+    const Dependencies dependencies_;
 };
 
 }  // namespace hareshore
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,5 +1,5 @@
 // One term of leadership: the state of jobs and machines, and the components that act on it. The components
-// are connected only here; the Parts struct of each lists what it may use.
+// are connected only here; the Dependencies struct of each lists what it may use.
 #pragma once
 #include <memory>
 #include <string>
@@ -19,8 +19,9 @@
 // Created with std::make_shared for each term that this controller wins, and stopped when the term is over.
 //
 // Ownership: the controller has one reference. Each coroutine that the leader starts has another until it
-// ends (TermLifecycle), and a caller that awaits handle_heartbeat() must keep one meanwhile. A stopped leader
-// is thus destroyed in a later turn of the loop, when the last of these coroutines has unwound.
+// ends (TermLifecycle), and a caller of handle_heartbeat() must keep one until the call has completed. A
+// stopped leader is thus destroyed in a later turn of the loop, when the last of these coroutines has
+// unwound.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     // `machine_types`: as last known, until the leader has read them from the cloud.
--- a/src/leader/machine_deletion.h
+++ b/src/leader/machine_deletion.h
@@ -17,7 +17,7 @@
 class MachineDeletion {
   public:
     // All must outlive this object.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         CloudClient& cloud;
         const Leadership& leadership;
@@ -28,7 +28,7 @@
         DeletedMachines& deleted_machines;
         PassRequests& pass_requests;
     };
-    explicit MachineDeletion(const Parts& parts) : parts_(parts) {}
+    explicit MachineDeletion(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Deletes the machines that the plan scales in, in batches within the cloud's limit. The request for a
     // batch is retried until each of its machines is deleted, or kept because it has sent a heartbeat.
@@ -41,7 +41,7 @@
     void apply_deletion(const std::vector<std::string>& names);
     [[nodiscard]] bool has_cancelled_task(const std::string& name) const;
 
-    const Parts parts_;
+    const Dependencies dependencies_;
 };
 
 }  // namespace hareshore
--- a/src/leader/machine_rental.cc
+++ b/src/leader/machine_rental.cc
@@ -12,13 +12,14 @@
         ScaleOutRequest batch{request.kind, std::min(request.number, constants::kMachinesPerScaleOutRequest)};
         request.number -= batch.number;
         pending_.push_back(batch);
-        parts_.lifecycle.spawn(rent(batch), "rent", Priority::kNormal);
+        dependencies_.lifecycle.spawn(rent(batch), "rent", Priority::kNormal);
     }
 }
 
 Task<void> MachineRental::rent(ScaleOutRequest batch) {
     // The fencing token is never reused, so neither is the idempotency key.
-    const std::string key = "r-" + std::to_string(parts_.fencing_token) + "-" + std::to_string(++requests_);
+    const std::string key =
+        "r-" + std::to_string(dependencies_.fencing_token) + "-" + std::to_string(++requests_);
     const MachineKind& kind = batch.kind;
     Seconds pause = constants::kRetryBackoff_s;
     while (true) {
@@ -26,26 +27,27 @@
         // A named variable, since GCC 12 destroys an aggregate twice if it is created within a co_await
         // expression.
         CreateMachinesRequest request{key, kind.machine_type, kind.zone, kind.spot, batch.number};
-        CreateMachinesResult result = co_await parts_.cloud.create_machines(std::move(request));
+        CreateMachinesResult result = co_await dependencies_.cloud.create_machines(std::move(request));
         if (result.outcome == CreateOutcome::kCreated || result.outcome == CreateOutcome::kNoCapacity) {
             add_rented(batch, result.machines);
             break;
         }
-        co_await parts_.loop.sleep(pause);
+        co_await dependencies_.loop.sleep(pause);
         pause = std::min(pause * 2, constants::kRetryBackoffMax_s);
     }
     remove_pending(batch);
 }
 
 Task<void> MachineRental::wait_for_confirmed_lease() {
-    while (!parts_.leadership.lease_confirmed()) co_await parts_.loop.sleep(constants::kRetryBackoff_s);
+    while (!dependencies_.leadership.lease_confirmed())
+        co_await dependencies_.loop.sleep(constants::kRetryBackoff_s);
 }
 
 void MachineRental::add_rented(const ScaleOutRequest& batch, const std::vector<std::string>& names) {
     const MachineKind& kind = batch.kind;
     for (const auto& name : names) {
-        if (parts_.deleted_machines.contains(name)) continue;
-        Machine& machine = parts_.cluster.find_or_add(name, parts_.loop.now());
+        if (dependencies_.deleted_machines.contains(name)) continue;
+        Machine& machine = dependencies_.cluster.find_or_add(name, dependencies_.loop.now());
         if (machine.heartbeat_received) continue;
         machine.machine_type = kind.machine_type;
         machine.zone = kind.zone;
@@ -57,7 +59,7 @@
                                   {"zone", kind.zone},
                                   {"spot", kind.spot}});
     if (names.size() < static_cast<size_t>(batch.number))
-        no_capacity_until_[kind] = parts_.loop.now() + constants::kNoCapacityRetry_s;
+        no_capacity_until_[kind] = dependencies_.loop.now() + constants::kNoCapacityRetry_s;
 }
 
 void MachineRental::remove_pending(const ScaleOutRequest& batch) {
--- a/src/leader/machine_rental.h
+++ b/src/leader/machine_rental.h
@@ -14,7 +14,7 @@
 class MachineRental {
   public:
     // All must outlive this object.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         CloudClient& cloud;
         uint64_t fencing_token;
@@ -23,7 +23,7 @@
         Cluster& cluster;
         const DeletedMachines& deleted_machines;
     };
-    explicit MachineRental(const Parts& parts) : parts_(parts) {}
+    explicit MachineRental(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Requests the machines, in batches within the cloud's limit. Each batch is retried until the cloud has
     // responded.
@@ -41,7 +41,7 @@
     void add_rented(const ScaleOutRequest& batch, const std::vector<std::string>& names);
     void remove_pending(const ScaleOutRequest& batch);
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     std::vector<ScaleOutRequest> pending_;
     std::map<MachineKind, Seconds> no_capacity_until_;
     uint64_t requests_ = 0;  // sent in this term; makes the idempotency keys unique
--- a/src/leader/record_watch.cc
+++ b/src/leader/record_watch.cc
@@ -10,10 +10,10 @@
 Task<bool> RecordWatch::read_all() {
     std::string from;
     Revision revision = kAbsentRevision;
-    Seconds requested_at = parts_.loop.now();
+    Seconds requested_at = dependencies_.loop.now();
     while (true) {
-        ListResult page = co_await parts_.store.list(kLivePrefix, from, constants::kRecordPageSize,
-                                                     constants::kStoreCallTimeout_s * 2);
+        ListResult page = co_await dependencies_.store.list(kLivePrefix, from, constants::kRecordPageSize,
+                                                            constants::kStoreCallTimeout_s * 2);
         if (page.status != StoreStatus::kOk) co_return false;
         if (revision == kAbsentRevision)
             revision = page.revision;  // changes after the first page are read by the watch
@@ -24,32 +24,32 @@
         if (!page.more) break;
     }
     revision_ = revision;
-    parts_.cancellations.on_records_read(requested_at);
+    dependencies_.cancellations.on_records_read(requested_at);
     co_return true;
 }
 
 Task<void> RecordWatch::watch_changes() {
     Seconds pause = 0;
     while (true) {
-        Seconds requested_at = parts_.loop.now();
+        Seconds requested_at = dependencies_.loop.now();
         WatchResult result =
-            co_await parts_.store.watch(kLivePrefix, revision_, constants::kRecordWatchTimeout_s);
+            co_await dependencies_.store.watch(kLivePrefix, revision_, constants::kRecordWatchTimeout_s);
         if (result.status == WatchStatus::kOk) {
             pause = 0;
             for (const auto& change : result.changes) apply(change);
             revision_ = std::max(revision_, result.revision);
-            parts_.cancellations.on_changes_read(requested_at);
-            if (!result.changes.empty()) parts_.pass_requests.request();
+            dependencies_.cancellations.on_changes_read(requested_at);
+            if (!result.changes.empty()) dependencies_.pass_requests.request();
             continue;
         }
         if (result.status == WatchStatus::kCompacted && co_await read_all()) {
             // The pause prevents overloading a store that keeps reporting compacted revisions.
-            parts_.pass_requests.request();
-            co_await parts_.loop.sleep(constants::kRetryBackoff_s);
+            dependencies_.pass_requests.request();
+            co_await dependencies_.loop.sleep(constants::kRetryBackoff_s);
             continue;
         }
         pause = std::clamp(pause * 2, constants::kRetryBackoff_s, constants::kRetryBackoffMax_s);
-        co_await parts_.loop.sleep(pause);
+        co_await dependencies_.loop.sleep(pause);
     }
 }
 
@@ -61,37 +61,38 @@
         return;
     }
     if (finished_.ended_after(record->spec.id, change.mod_revision)) return;
-    Seconds now = parts_.loop.now();
-    Job& job = parts_.jobs.load(*record, change.mod_revision, now, parts_.loop.wall());
+    Seconds now = dependencies_.loop.now();
+    Job& job = dependencies_.jobs.load(*record, change.mod_revision, now, dependencies_.loop.wall());
     // The record was read before the job was cancelled; the cancellation has since been confirmed.
-    if (!job.cancelled && parts_.cancellations.observed(job.spec.id)) parts_.jobs.cancel(job, now);
+    if (!job.cancelled && dependencies_.cancellations.observed(job.spec.id))
+        dependencies_.jobs.cancel(job, now);
     for (const auto& [task, placement] : job.live) {
-        Machine& machine = parts_.cluster.find_or_add(placement.machine, now);
+        Machine& machine = dependencies_.cluster.find_or_add(placement.machine, now);
         if (machine.zone.empty()) machine.zone = placement.zone;
     }
 }
 
 void RecordWatch::quarantine(const KeyChange& change) {
     std::string job_id = change.key.substr(kLivePrefix.size());
-    if (!parts_.jobs.unreadable(job_id))
+    if (!dependencies_.jobs.unreadable(job_id))
         log::error("job_quarantined",
                    {{"key", change.key},
                     {"reason", newer_record_format(change.data) ? "newer_format" : "malformed"}});
-    parts_.jobs.set_unreadable(job_id);
+    dependencies_.jobs.set_unreadable(job_id);
 }
 
-Task<void> RecordWatch::reread(std::string job_id) {
-    GetResult live = co_await parts_.store.get(live_key(job_id), constants::kStoreCallTimeout_s);
+Task<void> RecordWatch::reload_record(std::string job_id) {
+    GetResult live = co_await dependencies_.store.get(live_key(job_id), constants::kStoreCallTimeout_s);
     if (live.status == StoreStatus::kOk)
         apply({live_key(job_id), false, live.entry.mod_revision, std::move(live.entry.data)});
     if (live.status != StoreStatus::kNotFound) co_return;
-    GetResult final = co_await parts_.store.get(final_key(job_id), constants::kStoreCallTimeout_s);
+    GetResult final = co_await dependencies_.store.get(final_key(job_id), constants::kStoreCallTimeout_s);
     if (final.status == StoreStatus::kOk) remove_finished_job(job_id, final.entry.mod_revision);
     if (final.status == StoreStatus::kNotFound) log::error("record_missing", {{"job", job_id}});
 }
 
 void RecordWatch::remove_finished_job(const std::string& job_id, uint64_t revision) {
-    parts_.jobs.erase(job_id);
+    dependencies_.jobs.erase(job_id);
     finished_.add(job_id, revision);
 }
 
--- a/src/leader/record_watch.h
+++ b/src/leader/record_watch.h
@@ -12,7 +12,7 @@
 class RecordWatch {
   public:
     // All must outlive the watch.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         StoreClient& store;
         JobTable& jobs;
@@ -20,15 +20,15 @@
         CancellationGuard& cancellations;
         PassRequests& pass_requests;
     };
-    explicit RecordWatch(const Parts& parts) : parts_(parts) {}
+    explicit RecordWatch(const Dependencies& dependencies) : dependencies_(dependencies) {}
 
     // Reads all records; false if the store failed to return one of the pages.
     Task<bool> read_all();
     // Applies the changes after read_all(), until it is cancelled.
     Task<void> watch_changes();
-    // Rereads one job's record after a conflict: its mod revision is not the expected one, because a user has
-    // cancelled the job or the response to a transaction was lost.
-    Task<void> reread(std::string job_id);
+    // Reads one job's record again after a conflict: its mod revision is not the expected one, because a user
+    // has cancelled the job or the response to a transaction was lost.
+    Task<void> reload_record(std::string job_id);
     // Removes a job from the table, after its final record was written at `revision`.
     void remove_finished_job(const std::string& job_id, uint64_t revision);
 
@@ -36,7 +36,7 @@
     void apply(const KeyChange& change);
     void quarantine(const KeyChange& change);
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     Revision revision_ = kAbsentRevision;  // all changes up to it have been applied
     FinishedJobs finished_;
 };
--- a/src/leader/record_writer.h
+++ b/src/leader/record_writer.h
@@ -17,7 +17,7 @@
 class RecordWriter {
   public:
     // All must outlive the writer.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         StoreClient& store;
@@ -29,7 +29,7 @@
         WorkerConnections& connections;
         PassRequests& pass_requests;
     };
-    explicit RecordWriter(const Parts& parts);
+    explicit RecordWriter(const Dependencies& dependencies);
 
     // Writes changed records until it is cancelled or the term is over.
     Task<void> run();
@@ -38,7 +38,7 @@
     Task<void> raise_record_format();
     // Wakes run() if there are unwritten changes.
     void notify_changed() {
-        if (parts_.jobs.has_unwritten()) changed_.notify();
+        if (dependencies_.jobs.has_unwritten()) changed_.notify();
     }
 
   private:
@@ -56,11 +56,11 @@
     void accept_commit(const Batch& batch, uint64_t revision);
     void defer_refused(const std::string& job_id);
     void queue_write(const Batch& batch);
-    Task<void> reread_conflicts(const Batch& batch, const TransactionResult& result);
+    Task<void> reload_conflicting_records(const Batch& batch, const TransactionResult& result);
     Task<void> back_off(StoreStatus status);
     void defer(Job& job, uint64_t version, DeferReason reason) const;
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     uint64_t record_format_;    // that records are written in
     TokenBucket write_tokens_;  // this leader's share of the store's write rate
     Seconds retry_pause_ = 0;
--- a/src/leader/scheduling_loop.h
+++ b/src/leader/scheduling_loop.h
@@ -14,7 +14,7 @@
 class SchedulingLoop {
   public:
     // All must outlive the loop.
-    struct Parts {
+    struct Dependencies {
         Loop& loop;
         const Config& config;
         const Settings& settings;
@@ -26,7 +26,8 @@
         CommandSender& command_sender;
         RecordWriter& record_writer;
     };
-    explicit SchedulingLoop(const Parts& parts) : parts_(parts), pass_done_(parts.loop) {}
+    explicit SchedulingLoop(const Dependencies& dependencies)
+        : dependencies_(dependencies), pass_done_(dependencies.loop) {}
 
     // Runs a pass after each request, until it is cancelled.
     Task<void> run();
@@ -43,15 +44,15 @@
     }
     // Recounts the free resources of all machines, ignoring reservations.
     void recount_cluster();
-    // The duration of the longest pass since the last call.
-    Seconds take_longest_pass();
+    // Returns the duration of the longest pass since the last call, and resets it to zero.
+    Seconds get_and_reset_longest_pass();
 
   private:
     void run_pass();
     void update_demand();
     [[nodiscard]] Seconds max_heartbeat_age() const;
 
-    const Parts parts_;
+    const Dependencies dependencies_;
     // The least of each resource that any replica, or any waiting task, requests; empty if there is none.
     std::optional<Resources> smallest_replica_;
     std::optional<Resources> smallest_waiting_;
