--- a/src/users/submission_check.cc
+++ b/src/users/submission_check.cc
@@ -53,15 +53,16 @@
         case JobRefusal::kUnknownTeam:
             return "unknown team " + job.team;
         case JobRefusal::kNoMachineTypeFits:
-            return "a task fits no allowed machine type";
+            return "no allowed machine type has enough CPUs, GPUs and memory for one task";
         case JobRefusal::kCpusAboveTeamLimit:
-            return "more CPUs than the team's limit";
+            return "the job needs more CPUs at once than the team's limit";
         case JobRefusal::kGpusAboveTeamLimit:
-            return "more GPUs than the team's limit";
+            return "the job needs more GPUs at once than the team's limit";
         case JobRefusal::kRecordTooLarge:
             break;
     }
-    return "the job's description is too long to be kept, or its gang too large";
+    return "the job's description exceeds the size limit of a stored record: shorten its names or its list "
+           "of machine types, or reduce the number of tasks if it is a gang";
 }
 
 }  // namespace hareshore
