--- a/src/peer/frames.h
+++ b/src/peer/frames.h
@@ -106,7 +106,7 @@
 // connection must be closed.
 class FrameReader {
   public:
-    void feed(std::string_view bytes) { buffer_.append(bytes); }
+    void append(std::string_view bytes) { buffer_.append(bytes); }
     // The next complete frame, if there is one.
     [[nodiscard]] std::optional<Frame> next();
     [[nodiscard]] bool malformed() const { return malformed_; }
--- a/src/peer/peers.cc
+++ b/src/peer/peers.cc
@@ -97,7 +97,7 @@
     while (link->is_open()) {
         const Stream::Read chunk = co_await link->read();
         if (!chunk.ok()) break;
-        reader.feed(chunk.bytes);
+        reader.append(chunk.bytes);
         while (auto frame = reader.next()) {
             if (handle_frame(link, std::move(*frame)) == FrameOutcome::kMalformed) {
                 link->close();
--- a/tests/controller/compatibility_test.cc
+++ b/tests/controller/compatibility_test.cc
@@ -292,7 +292,7 @@
 // Decodes bytes that hold exactly one frame.
 peer::Frame only_frame(const std::string& bytes) {
     peer::FrameReader reader;
-    reader.feed(bytes);
+    reader.append(bytes);
     auto frame = reader.next();
     EXPECT_TRUE(frame);
     EXPECT_FALSE(reader.next());
--- a/tests/controller/decoders_test.cc
+++ b/tests/controller/decoders_test.cc
@@ -49,7 +49,7 @@
         accepted += FinalRecord::unpack(input).has_value();
         accepted += decode_machine_types(input).has_value();
         peer::FrameReader reader;
-        reader.feed(input);
+        reader.append(input);
         while (auto frame = reader.next()) {
             accepted += peer::decode_controller_heartbeat(frame->payload).has_value();
             accepted += peer::decode_cancellation_notice(frame->payload).has_value();
--- a/tests/peer/cancellation_notice_test.cc
+++ b/tests/peer/cancellation_notice_test.cc
@@ -68,7 +68,7 @@
         while (true) {
             Stream::Read chunk = co_await stream.read(-1);
             if (!chunk.ok()) co_return;
-            reader.feed(chunk.bytes);
+            reader.append(chunk.bytes);
             while (auto frame = reader.next()) {
                 if (frame->kind != peer::FrameKind::kHeartbeat || !responds) continue;
                 std::string frames;
@@ -90,7 +90,7 @@
         while (true) {
             Stream::Read chunk = co_await stream->read(-1);
             if (!chunk.ok()) co_return;
-            reader.feed(chunk.bytes);
+            reader.append(chunk.bytes);
             while (auto frame = reader.next())
                 notices_received += frame->kind == peer::FrameKind::kCancellationNotice;
         }
--- a/tests/peer/frames_test.cc
+++ b/tests/peer/frames_test.cc
@@ -17,7 +17,7 @@
     const std::string bytes = frame() + frame();
     size_t frames = 0;
     for (char byte : bytes) {
-        reader.feed({&byte, 1});
+        reader.append({&byte, 1});
         while (const auto decoded = reader.next()) {
             EXPECT_EQ(decoded->kind, peer::FrameKind::kRelay);
             EXPECT_EQ(decoded->id, 3u);
@@ -39,8 +39,8 @@
         std::string bytes = frame();
         bytes[at] = '\x7f';
         peer::FrameReader reader;
-        reader.feed(bytes);
-        reader.feed(frame());
+        reader.append(bytes);
+        reader.append(frame());
         EXPECT_FALSE(reader.next()) << at;
         EXPECT_TRUE(reader.malformed()) << at;
         EXPECT_FALSE(reader.next()) << at;
--- a/tests/scenario/peer_proxy.cc
+++ b/tests/scenario/peer_proxy.cc
@@ -58,7 +58,7 @@
 
 std::string PeerProxy::as_old_version(peer::FrameReader& reader, std::string_view bytes) {
     std::string out;
-    reader.feed(bytes);
+    reader.append(bytes);
     while (auto frame = reader.next()) {
         if (frame->kind == peer::FrameKind::kCancellationNotice) continue;
         if (frame->kind == peer::FrameKind::kHeartbeat ||
