--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -26,8 +26,8 @@
 
 int SystemClock::wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) {
     // Rounded up, so that the loop does not spin until a timer that is due in less than a millisecond.
-    int ms = timeout < 0 ? -1 : static_cast<int>(std::min(kMaxWait_ms, std::ceil(timeout * 1000.0)));
-    return epoll_wait(epoll_fd, events, max_events, ms);
+    int timeout_ms = timeout < 0 ? -1 : static_cast<int>(std::min(kMaxWait_ms, std::ceil(timeout * 1000.0)));
+    return epoll_wait(epoll_fd, events, max_events, timeout_ms);
 }
 
 int FakeClock::wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -39,13 +39,14 @@
     int wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) override;
 };
 
-// Simulated time for tests: it stands still while events arrive, and otherwise jumps to the next deadline.
+// Simulated time for tests: it does not advance while events arrive, and otherwise jumps to the next
+// deadline.
 class FakeClock : public Clock {
   public:
     [[nodiscard]] Seconds now() const override { return now_; }
     [[nodiscard]] WallTime wall() const override { return {kWallAtZero + now_}; }
     int wait(int epoll_fd, epoll_event* events, int max_events, Seconds timeout) override;
-    void advance(Seconds by) { now_ += by; }
+    void advance(Seconds duration) { now_ += duration; }
 
   private:
     static constexpr Seconds kWallAtZero = 1.0e9;
--- a/src/cloud/cloud_wire.cc
+++ b/src/cloud/cloud_wire.cc
@@ -94,8 +94,8 @@
     MsgpackValue rows = message->root()["flavors"];
     if (rows.size() == 0) return std::nullopt;
     std::vector<MachineType> machine_types;
-    for (size_t i = 0; i < rows.size(); ++i) {
-        MachineType type = decode_machine_type(rows.at(i));
+    for (size_t row = 0; row < rows.size(); ++row) {
+        MachineType type = decode_machine_type(rows.at(row));
         if (type.name.empty()) return std::nullopt;
         machine_types.push_back(std::move(type));
     }
@@ -115,8 +115,8 @@
     MsgpackValue rows = message->root()["hosts"];
     if (!rows.is_list()) return std::nullopt;
     MachinePage page;
-    for (size_t i = 0; i < rows.size(); ++i) {
-        ListedMachine machine = decode_machine(rows.at(i));
+    for (size_t row = 0; row < rows.size(); ++row) {
+        ListedMachine machine = decode_machine(rows.at(row));
         if (!valid_name(machine.name)) return std::nullopt;
         page.machines.push_back(std::move(machine));
     }
--- a/src/config/config_wire.cc
+++ b/src/config/config_wire.cc
@@ -103,9 +103,9 @@
     void read_peers() {
         const toml::array* peers = at("siblings").as_array();
         if (!peers) return;
-        for (size_t i = 0; i < peers->size(); ++i) {
-            View entry(peers->get(i));
-            std::string prefix = entry_prefix("siblings", i);
+        for (size_t index = 0; index < peers->size(); ++index) {
+            View entry(peers->get(index));
+            std::string prefix = entry_prefix("siblings", index);
             PeerAddress peer;
             peer.label = read_text(entry["label"], prefix + "label");
             peer.zone = read_text(entry["site"], prefix + "site");
@@ -124,9 +124,9 @@
     void read_teams() {
         const toml::array* teams = at("facts.teams").as_array();
         if (!teams) fail("facts.teams", "expected a list of teams");
-        for (size_t i = 0; i < teams->size(); ++i) {
-            View entry(teams->get(i));
-            std::string prefix = entry_prefix("facts.teams", i);
+        for (size_t index = 0; index < teams->size(); ++index) {
+            View entry(teams->get(index));
+            std::string prefix = entry_prefix("facts.teams", index);
             auto amount = [&](const char* name) {
                 return entry[name] ? read_number(entry[name], prefix + name, 0, kMaxNumber) : 0.0;
             };
@@ -143,12 +143,12 @@
     void read_objectives() {
         const toml::array* objectives = at("facts.objectives").as_array();
         if (!objectives) return;
-        for (size_t i = 0; i < objectives->size(); ++i) {
-            View entry(objectives->get(i));
+        for (size_t index = 0; index < objectives->size(); ++index) {
+            View entry(objectives->get(index));
             std::string kind = entry["kind"].value_or(std::string());
             bool to_finish = kind == "finished";
             if (!to_finish && kind != "wait") continue;
-            std::string prefix = entry_prefix("facts.objectives", i);
+            std::string prefix = entry_prefix("facts.objectives", index);
             std::string job_class = read_text(entry["class"], prefix + "class");
             Seconds within = read_positive(entry["within_s"], prefix + "within_s");
             if (to_finish) {
--- a/src/controller/heartbeat_router.h
+++ b/src/controller/heartbeat_router.h
@@ -11,7 +11,7 @@
 namespace hareshore {
 
 enum class HeartbeatRouting : uint8_t {
-    kRedirect,  // the worker is told to contact the leader
+    kRedirect,  // the response directs the worker to the leader
     kRelay,     // the worker cannot reach the leader: this controller forwards the heartbeat
 };
 
--- a/src/controller/zone_partition.cc
+++ b/src/controller/zone_partition.cc
@@ -21,11 +21,11 @@
     // Stops as soon as enough recent ones are found: this runs for each heartbeat, and scanning all workers
     // of a large zone each time would be quadratic in their number.
     size_t recent = 0;
-    for (auto it = failed_redirects.begin();
-         it != failed_redirects.end() && recent < constants::kPartitionMinWorkers;) {
-        const bool outdated = now - it->second > constants::kRelayAfterRedirection_s;
+    for (auto entry = failed_redirects.begin();
+         entry != failed_redirects.end() && recent < constants::kPartitionMinWorkers;) {
+        const bool outdated = now - entry->second > constants::kRelayAfterRedirection_s;
         if (!outdated) ++recent;
-        it = outdated ? failed_redirects.erase(it) : std::next(it);
+        entry = outdated ? failed_redirects.erase(entry) : std::next(entry);
     }
     return recent >= constants::kPartitionMinWorkers;
 }
--- a/src/fleet/cancelled_tasks.cc
+++ b/src/fleet/cancelled_tasks.cc
@@ -18,9 +18,9 @@
     for (const auto& [id, job] : jobs.all()) {
         if (!job->cancelled) continue;
         for (const auto& [task, placement] : job->live) {
-            auto it = cluster.machines.find(placement.machine);
-            if (it == cluster.machines.end() || it->second->deleting) continue;
-            const Machine& machine = *it->second;
+            auto entry = cluster.machines.find(placement.machine);
+            if (entry == cluster.machines.end() || entry->second->deleting) continue;
+            const Machine& machine = *entry->second;
             // If this leader inherited the cancellation or learned of it late, the user may have been told
             // long before; then the time since the machine's last heartbeat counts.
             bool never_reported = job->cancelled_before_term && !machine.heartbeat_received;
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -32,8 +32,8 @@
           connection_freed_(loop) {}
 
     // Sends one request and receives its response within `timeout` seconds, including the wait for a
-    // connection. The client must not be destroyed meanwhile. Never retries; instead, an idle connection that
-    // the server has closed, according to the events received so far, is not reused.
+    // connection. The client must outlive the returned task. Never retries; instead, an idle
+    // connection that the server has closed, according to the events received so far, is not reused.
     Task<CallResult> call(std::string method, std::string path, std::string body, Seconds timeout);
 
   private:
--- a/src/http/msgpack.cc
+++ b/src/http/msgpack.cc
@@ -7,11 +7,11 @@
 MsgpackValue MsgpackValue::operator[](std::string_view key) const {
     if (!is_map()) return {};
     const msgpack::object_map& map = object_->via.map;
-    for (uint32_t i = 0; i < map.size; ++i) {
-        const msgpack::object& candidate = map.ptr[i].key;
+    for (uint32_t index = 0; index < map.size; ++index) {
+        const msgpack::object& candidate = map.ptr[index].key;
         if (candidate.type == msgpack::type::STR &&
             std::string_view(candidate.via.str.ptr, candidate.via.str.size) == key)
-            return MsgpackValue(map.ptr[i].val);
+            return MsgpackValue(map.ptr[index].val);
     }
     return {};
 }
--- a/src/jobs/compact_wire.cc
+++ b/src/jobs/compact_wire.cc
@@ -215,15 +215,15 @@
     compact.zones = sorted_zones(live);
     const std::vector<Row> rows = sorted_rows(live);
     TaskPosition previous;
-    for (size_t i = 0; i < rows.size();) {
-        size_t end = i;
-        while (end < rows.size() && rows[end].name.entry == rows[i].name.entry) ++end;
-        compact.names.push_back(rows[i].name.entry);
-        append_varint(compact.text, end - i);
+    for (size_t row = 0; row < rows.size();) {
+        size_t end = row;
+        while (end < rows.size() && rows[end].name.entry == rows[row].name.entry) ++end;
+        compact.names.push_back(rows[row].name.entry);
+        append_varint(compact.text, end - row);
         uint64_t previous_number = 0;
-        for (; i < end; ++i) {
-            const LiveTask& placement = *rows[i].placement;
-            uint64_t number = rows[i].name.number;
+        for (; row < end; ++row) {
+            const LiveTask& placement = *rows[row].placement;
+            uint64_t number = rows[row].name.number;
             auto zone = std::find(compact.zones.begin(), compact.zones.end(), placement.zone);
             auto zone_index = static_cast<uint64_t>(zone - compact.zones.begin());
             auto task = static_cast<int64_t>(placement.task);
--- a/src/jobs/heartbeat_processor.cc
+++ b/src/jobs/heartbeat_processor.cc
@@ -93,14 +93,14 @@
     task.team = job.spec.team;
     if (has_image(status) && !known_exit) machine_.cache.use(job.spec.image, job.spec.image_gb);
 
-    auto it = job.live.find(status.name.task);
-    bool is_placed =
-        it != job.live.end() && it->second.machine == machine_.name && it->second.attempt == status.attempt;
+    auto entry = job.live.find(status.name.task);
+    bool is_placed = entry != job.live.end() && entry->second.machine == machine_.name &&
+                     entry->second.attempt == status.attempt;
     // A replacement task of a gang may be bound to a machine that still lists an exit of the same attempt.
-    if (is_placed && known_exit && !it->second.acknowledged) is_placed = false;
+    if (is_placed && known_exit && !entry->second.acknowledged) is_placed = false;
 
     if (is_placed) {
-        handle_present_task(job, it->second, status);
+        handle_present_task(job, entry->second, status);
         if (!is_exit(status)) return;
         handle_exited_task(job, status);
     } else if (is_abandoned_result(job, status)) {
@@ -177,8 +177,8 @@
     auto tasks = table_.placements_on(machine_.name);  // a copy, because releases change the original
     for (const auto& [job, task, placement] : tasks) {
         if (std::find(present_.begin(), present_.end(), placement) != present_.end()) continue;
-        auto it = job->live.find(task);
-        if (it != job->live.end()) handle_absent_task(*job, task, it->second);
+        auto entry = job->live.find(task);
+        if (entry != job->live.end()) handle_absent_task(*job, task, entry->second);
     }
 }
 
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -127,10 +127,10 @@
 }
 
 void JobTable::release(Job& job, uint32_t task, Seconds now) {
-    auto it = job.live.find(task);
-    if (it == job.live.end()) return;
-    placements_.remove(it->second.machine, job, task);
-    job.live.erase(it);
+    auto entry = job.live.find(task);
+    if (entry == job.live.end()) return;
+    placements_.remove(entry->second.machine, job, task);
+    job.live.erase(entry);
     if (!job.done.has(task)) {
         job.run_times.interrupted.add(task);
         if (job.pending.empty()) job.wait.since = now;
@@ -160,8 +160,8 @@
     job.cancelled = true;
     for (auto& [task, placement] : job.live) begin_stop(placement, 0);
     // Release placements that cannot be on a machine: this leader bound them and never sent their launch.
-    for (auto it = job.live.begin(); it != job.live.end();) {
-        const auto& [task, placement] = *it++;
+    for (auto entry = job.live.begin(); entry != job.live.end();) {
+        const auto& [task, placement] = *entry++;
         TaskState state = placed_state(job, placement);
         if (transition(state, TaskEvent::kCancel).moves_to(TaskState::kPending)) release(job, task, now);
     }
@@ -197,10 +197,10 @@
         job.gang_attempt.broken = true;
         return;
     }
-    auto it = job.live.find(task);
-    if (it == job.live.end()) return;
-    if (transition(placed_state(job, it->second), TaskEvent::kStop).accepted())
-        begin_stop(it->second, grace_s);
+    auto entry = job.live.find(task);
+    if (entry == job.live.end()) return;
+    if (transition(placed_state(job, entry->second), TaskEvent::kStop).accepted())
+        begin_stop(entry->second, grace_s);
 }
 
 void JobTable::on_machine_deleted(const std::string& machine, Seconds now) {
--- a/src/jobs/machine_commands.cc
+++ b/src/jobs/machine_commands.cc
@@ -13,9 +13,9 @@
 // The placement of a reported task; nullptr if its job has ended or its attempt is no longer placed.
 const Placement* placement_of(const Job* job, const Machine& machine, const MachineTask& task) {
     if (!job) return nullptr;
-    auto it = job->live.find(task.name.task);
-    if (it == job->live.end()) return nullptr;
-    const Placement& placement = it->second;
+    auto entry = job->live.find(task.name.task);
+    if (entry == job->live.end()) return nullptr;
+    const Placement& placement = entry->second;
     return placement.machine == machine.name && placement.attempt == task.attempt ? &placement : nullptr;
 }
 
--- a/src/jobs/placement_index.cc
+++ b/src/jobs/placement_index.cc
@@ -8,12 +8,12 @@
 }
 
 void PlacementIndex::remove(const std::string& machine, const Job& job, uint32_t task) {
-    auto it = by_machine_.find(machine);
-    if (it == by_machine_.end()) return;
+    auto entry = by_machine_.find(machine);
+    if (entry == by_machine_.end()) return;
     changed_machines_.insert(machine);
-    std::erase_if(it->second,
+    std::erase_if(entry->second,
                   [&](const PlacedTask& placed) { return placed.job == &job && placed.task == task; });
-    if (it->second.empty()) by_machine_.erase(it);
+    if (entry->second.empty()) by_machine_.erase(entry);
 }
 
 void PlacementIndex::clear() {
--- a/src/jobs/record_wire.cc
+++ b/src/jobs/record_wire.cc
@@ -131,8 +131,8 @@
                                                                           uint32_t tasks) {
     std::map<uint32_t, PlacementRecord> live;
     MsgpackValue lines = fields["live"];
-    for (size_t i = 0; i < lines.size(); ++i) {
-        auto parsed = parse_text_placement(lines.at(i).text_or(""));
+    for (size_t line = 0; line < lines.size(); ++line) {
+        auto parsed = parse_text_placement(lines.at(line).text_or(""));
         if (!parsed || parsed->task >= tasks) return std::nullopt;
         live.emplace(parsed->task, std::move(parsed->placement));
     }
--- a/src/loop/loop.cc
+++ b/src/loop/loop.cc
@@ -130,8 +130,8 @@
     }
 }
 
-// Also resumes coroutines that become ready meanwhile, but at most kResumesPerTurn, so that urgent events do
-// not wait behind a long queue.
+// Also resumes coroutines that become ready during the call, but at most kResumesPerTurn, so that urgent
+// events do not wait behind a long queue.
 size_t Loop::resume_ready() {
     size_t resumed = 0;
     for (; any_ready() && resumed < constants::kResumesPerTurn; ++resumed) {
--- a/src/loop/stream.cc
+++ b/src/loop/stream.cc
@@ -93,8 +93,8 @@
             if (error != 0) co_return nullptr;
             // An early edge (EPOLLOUT|EPOLLHUP before connecting) must not be taken for a connection.
             sockaddr_in peer{};
-            socklen_t len = sizeof peer;
-            if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &len) == 0) break;
+            socklen_t peer_size = sizeof peer;
+            if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &peer_size) == 0) break;
         }
     }
     co_return std::make_unique<Stream>(loop, std::move(file));
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -28,8 +28,8 @@
     // Reads the bytes that have arrived; waits for some until `deadline` on the loop's clock (negative:
     // without limit).
     Task<Read> read(Seconds deadline);
-    // Writes all of `bytes`, which must stay valid meanwhile. Returns false if the connection failed or the
-    // deadline passed; part of the bytes may have been sent then.
+    // Writes all of `bytes`, which must stay valid until the task completes. Returns false if the connection
+    // failed or the deadline passed; part of the bytes may have been sent then.
     Task<bool> write(std::string_view bytes, Seconds deadline);
     // Whether an idle connection cannot be reused: according to the events received so far, the peer closed
     // it or sent unrequested bytes. Costs a system call only if an event arrived since the last read.
--- a/src/scheduler/machine_capacity.cc
+++ b/src/scheduler/machine_capacity.cc
@@ -12,7 +12,7 @@
 
 // The expected end of a task and the resources it frees.
 struct TaskEnd {
-    Seconds at = 0;
+    Seconds time = 0;
     Resources amount;
 };
 
@@ -55,12 +55,12 @@
 // When slots beyond those in `available` are expected to become free without preemption.
 std::vector<Seconds> expected_slots(const JobSpec& spec, Resources available, std::vector<TaskEnd>& ends,
                                     uint32_t slots) {
-    std::sort(ends.begin(), ends.end(), [](const TaskEnd& a, const TaskEnd& b) { return a.at < b.at; });
+    std::sort(ends.begin(), ends.end(), [](const TaskEnd& a, const TaskEnd& b) { return a.time < b.time; });
     std::vector<Seconds> expected;
     for (const TaskEnd& end : ends) {
         available += end.amount;
         for (uint32_t fitting = available.count_fitting(spec, kMaxSlots); slots < fitting; ++slots)
-            expected.push_back(end.at);
+            expected.push_back(end.time);
     }
     return expected;
 }
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -13,8 +13,8 @@
 void reserve(const Job& job, const std::vector<Machine*>& machines, Seconds until);
 
 // Makes room for a waiting job: preempts where that is allowed and, for a gang, reserves the room it waits
-// for. Returns the time at which all tasks of the gang are expected to have room; nothing if no room was
-// reserved.
+// for. Returns the time at which all tasks of the gang are expected to have room; std::nullopt if no
+// room was reserved.
 std::optional<Seconds> make_room(PassContext& pass, const TeamQuota& quota, CapacityCache& capacities,
                                  const QueuedJob& queued);
 
--- a/src/scheduler/slot_selection.cc
+++ b/src/scheduler/slot_selection.cc
@@ -27,7 +27,7 @@
 
 // A slot that is expected to become free when a task ends.
 struct ExpectedSlot {
-    Seconds at;
+    Seconds available_at;
     Machine* machine;
 };
 
@@ -49,7 +49,8 @@
         missing -= taken;
         for (uint32_t i = 0; i < taken; ++i) candidates.free.push_back(machine);
         for (size_t i = 0; i < capacity.preemptions.size(); ++i) candidates.steps.push_back({&capacity, i});
-        for (Seconds at : capacity.expected_slots) candidates.expected.push_back({at, machine});
+        for (Seconds available_at : capacity.expected_slots)
+            candidates.expected.push_back({available_at, machine});
     }
     return candidates;
 }
@@ -66,11 +67,11 @@
     steps.erase(end, steps.end());
     std::map<const MachineCapacity*, size_t> steps_taken;
     for (const StepReference& step : steps) {
-        for (size_t i = steps_taken[step.capacity]; i <= step.index && missing > 0; ++i) {
-            const auto& victims = step.capacity->preemptions[i].victims;
+        for (size_t index = steps_taken[step.capacity]; index <= step.index && missing > 0; ++index) {
+            const auto& victims = step.capacity->preemptions[index].victims;
             selection.victims.insert(selection.victims.end(), victims.begin(), victims.end());
             selection.machines.push_back(step.capacity->machine);
-            steps_taken[step.capacity] = i + 1;
+            steps_taken[step.capacity] = index + 1;
             --missing;
         }
     }
@@ -84,13 +85,14 @@
     auto end = expected.begin() + static_cast<long>(std::min<size_t>(expected.size(), missing));
     std::partial_sort(expected.begin(), end, expected.end(),
                       [](const ExpectedSlot& a, const ExpectedSlot& b) {
-                          return a.at != b.at ? a.at < b.at : a.machine->name < b.machine->name;
+                          return a.available_at != b.available_at ? a.available_at < b.available_at
+                                                                  : a.machine->name < b.machine->name;
                       });
     selection.available_at = now;
     for (const ExpectedSlot& slot : expected) {
         if (missing == 0) break;
         selection.machines.push_back(slot.machine);
-        selection.available_at = slot.at;
+        selection.available_at = slot.available_at;
         --missing;
     }
     if (missing > 0) selection.available_at = now + constants::kNoExpectedEnd_s;
--- a/src/scheduler/task_matching.h
+++ b/src/scheduler/task_matching.h
@@ -24,7 +24,8 @@
     // Returns the job that provides the machine's next task: among the jobs of similar age at the head of
     // the queue, the one with the largest image that the machine has cached. Null if there is none.
     Job* select_job(const std::vector<QueuedJob>& jobs, Machine& machine);
-    // Why the job gets no task on the machine although one could start; nothing if it may get one.
+    // Why the job gets no task on the machine although one could start; std::nullopt if it may
+    // get one.
     std::optional<WaitReason> reason_to_wait(const Job& job, const Machine& machine);
 
     // Whether a task should wait for a machine that has its image cached instead of fetching it on this
--- a/src/scheduler/team_quota.cc
+++ b/src/scheduler/team_quota.cc
@@ -4,9 +4,9 @@
 
 TeamUsage TeamQuota::reserved_before(const JobSpec& spec) const {
     TeamUsage reserved;
-    auto it = reservations_.find(spec.team);
-    if (it == reservations_.end()) return reserved;
-    for (const Reservation& reservation : it->second) {
+    auto team_reservations = reservations_.find(spec.team);
+    if (team_reservations == reservations_.end()) return reserved;
+    for (const Reservation& reservation : team_reservations->second) {
         if (!reservation.starved && reservation.priority <= spec.priority) continue;
         bool backfills = !spec.service() && pass_.input.now + spec.estimate_s < reservation.backfill_until;
         if (backfills) continue;
--- a/src/scheduler/team_quota.h
+++ b/src/scheduler/team_quota.h
@@ -28,7 +28,7 @@
     // Reserves the part of the team's limit that a gang waits for. Otherwise the team's small jobs would
     // take each freed part of the limit, and the gang would not start while such jobs keep arriving. The
     // reservation applies to the team's lower-priority work, and to all of its work once the gang is
-    // starved. It is kept while the gang lacks machines: if other work took the limit meanwhile, the gang
+    // starved. It is kept while the gang lacks machines: if other work took the limit in that time, the gang
     // would lack the limit once machines become free. Until `expected_start`, when the whole gang is expected
     // to have room, the reserved part may be used for backfill. Must be called after everything else is done
     // for the gang in the pass; otherwise the gang's own tasks would be counted twice.
--- a/src/users/user_wire.cc
+++ b/src/users/user_wire.cc
@@ -89,8 +89,8 @@
         MsgpackValue list = map_[field];
         if (list.null()) return names;
         if (!list.is_list() || list.size() == 0 || list.size() > kNameListLimit) mark_invalid(field);
-        for (size_t i = 0; i < list.size(); ++i) {
-            std::optional<std::string> name = list.at(i).text();
+        for (size_t index = 0; index < list.size(); ++index) {
+            std::optional<std::string> name = list.at(index).text();
             if (!name || name->empty() || name->size() > kNameLimit) {
                 mark_invalid(field);
                 break;
--- a/tests/cloud/cloud_client_test.cc
+++ b/tests/cloud/cloud_client_test.cc
@@ -27,16 +27,16 @@
 
     FakeClock clock;
     Loop loop{clock};
-    Address at = test::address(5, 7100);
-    test::FakeCloud cloud{loop, at};
-    CloudClient client{loop, at, kAmpleRate, 3};
+    Address server_address = test::address(5, 7100);
+    test::FakeCloud cloud{loop, server_address};
+    CloudClient client{loop, server_address, kAmpleRate, 3};
 };
 
 // A cloud that sends the same response to every request.
 struct ConstantCloud {
-    ConstantCloud(Loop& loop, Address at, Response constant_response)
+    ConstantCloud(Loop& loop, Address server_address, Response constant_response)
         : response(std::move(constant_response)),
-          server(loop, at, 4, [this](const Request&) { return handle(); }) {}
+          server(loop, server_address, 4, [this](const Request&) { return handle(); }) {}
     Task<Response> handle() {
         ++requests;
         co_return response;
@@ -98,7 +98,7 @@
 
 TEST_F(CloudClientTest, RespectsItsShareOfRateLimit) {
     constexpr double kRate = 1;
-    CloudClient limited_client(loop, at, kRate, 1);
+    CloudClient limited_client(loop, server_address, kRate, 1);
     Seconds start = loop.now();
     for (int i = 0; i < 2; ++i) test::await(loop, limited_client.machine_types());
     EXPECT_EQ(loop.now(), start) << "the burst is two seconds' worth of requests";
--- a/tests/controller/idempotence_test.cc
+++ b/tests/controller/idempotence_test.cc
@@ -65,8 +65,8 @@
                          peer::encode_frame(peer::FrameKind::kHeartbeatResponse, 1, 7, heartbeat) +
                          peer::encode_frame(peer::FrameKind::kRelayResponse, 1, 7, std::string("\xc8\0", 2));
     TaskGroup scope(deployment.loop);
-    auto send_repeatedly = [](Loop& event_loop, Address to, std::string bytes) -> Task<void> {
-        auto stream = co_await connect_to(event_loop, to, event_loop.now() + 1);
+    auto send_repeatedly = [](Loop& event_loop, Address peer_address, std::string bytes) -> Task<void> {
+        auto stream = co_await connect_to(event_loop, peer_address, event_loop.now() + 1);
         for (int i = 0; stream && i < 100; ++i) {
             co_await stream->write(bytes, event_loop.now() + 1);
             co_await event_loop.sleep(0.037);
--- a/tests/controller/job_run_test.cc
+++ b/tests/controller/job_run_test.cc
@@ -31,7 +31,8 @@
     EXPECT_TRUE(worker.tasks.empty()) << "an exit must be forgotten once it is committed";
 }
 
-// The user cancels while the machine reports the last task as done: one of the two wins, for good.
+// The user cancels while the machine's heartbeat lists the last task as done: one of the two final phases is
+// committed and never changes.
 TEST(JobRun, CancellationDuringCompletionHasOneFinalPhase) {
     for (bool cancel_first : {true, false}) {
         Deployment deployment;
--- a/tests/controller/lower_limits_test.cc
+++ b/tests/controller/lower_limits_test.cc
@@ -127,7 +127,7 @@
     EXPECT_EQ(unconfirmed_exits(workers), 0U);
     EXPECT_EQ(phase_of(deployment.call(1, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
     EXPECT_EQ(stored_record(deployment, "job-2").live.size(), 150U)
-        << "tasks stay in the record until their exits are reported";
+        << "tasks stay in the record until a heartbeat lists their exits";
     EXPECT_FALSE(any_task_runs_twice(workers));
     EXPECT_EQ(deployment.store.invalid_transactions, refused) << "a refused transaction was retried";
 }
--- a/tests/controller/service_moves_test.cc
+++ b/tests/controller/service_moves_test.cc
@@ -13,10 +13,10 @@
 
 // The progress of the replicas' move at the time of the cancellation.
 enum class Move {
-    kPredecessorsStopping,  // told to stop, exits not reported yet
-    kPredecessorsHang,      // told to stop, and their machine sends no further heartbeats
-    kSuccessorsPlaced,      // exits reported and successors committed, but the response of the store is lost
-    kSuccessorsLaunched,    // successors run, but no heartbeat has reported them yet
+    kPredecessorsStopping,  // stop sent, no heartbeat lists their exits yet
+    kPredecessorsHang,      // stop sent, and their machine sends no further heartbeats
+    kSuccessorsPlaced,      // exits received and successors committed, but the response of the store is lost
+    kSuccessorsLaunched,    // successors run, but no heartbeat has listed them yet
     kLeaderKilled,          // as kPredecessorsStopping, and the leader is killed after the cancellation
 };
 
--- a/tests/controller/service_users_test.cc
+++ b/tests/controller/service_users_test.cc
@@ -49,7 +49,7 @@
 }
 
 // A spot notice stops a machine's replicas at once, so that their successors can start before the machine is
-// gone. A successor starts only after its predecessor's exit has been reported.
+// gone. A successor starts only after a heartbeat has listed its predecessor's exit.
 TEST(ServiceUsers, KeepServiceAfterASpotNotice) {
     Deployment deployment;
     ASSERT_TRUE(deployment.start_and_elect());
@@ -67,7 +67,7 @@
     ASSERT_TRUE(first.find("job-1/0"));
     EXPECT_EQ(first.find("job-1/0")->phase, TaskPhase::kExited) << "the response to the notice must stop it";
     deployment.send_heartbeat(second, 0);
-    EXPECT_FALSE(second.find("job-1/0")) << "its predecessor's exit is not reported yet";
+    EXPECT_FALSE(second.find("job-1/0")) << "no heartbeat has listed its predecessor's exit yet";
     deployment.send_heartbeat(first, 0);
     deployment.send_heartbeat(second, 0);
     ASSERT_TRUE(second.find("job-1/0"));
@@ -116,7 +116,7 @@
     EXPECT_LT(heartbeat_time(), 0.3);
 }
 
-// A poll counts the replicas on machines and never reports one as done. A repeated submission gets the
+// A poll counts the replicas on machines and never counts one as done. A repeated submission gets the
 // current state.
 TEST(ServiceUsers, GetReplicaCountsAndCurrentStateOnResubmission) {
     Deployment deployment(2);
@@ -160,7 +160,7 @@
     for (int i = 0; i < 2; ++i)
         for (auto& worker : workers) send_heartbeats(worker);
     EXPECT_EQ(poll(), (test::JobState{"running", 0, 3}))
-        << "all replicas must be restarted and none reported as done";
+        << "all replicas must be restarted and none counted as done";
     EXPECT_EQ(resubmit(), "running");
     EXPECT_EQ(state_of(deployment.call(other, "POST", "/v2/runs/job-1/withdraw")).phase, "withdrawn");
     EXPECT_EQ(resubmit(), "withdrawn");
--- a/tests/controller/upgrade_test.cc
+++ b/tests/controller/upgrade_test.cc
@@ -80,7 +80,7 @@
         ASSERT_EQ(phase_of(deployment.call(0, "POST", "/v2/runs/job-2/withdraw")), "withdrawn");
         EXPECT_EQ(stored_format(deployment, "job-2"), 2U);
         EXPECT_EQ(JobRecord::unpack(deployment.store.rows.at("j/job-2").data)->live.size(), 150U)
-            << "tasks stay in the record until their exits are reported";
+            << "tasks stay in the record until a heartbeat lists their exits";
         // Every second task exits first, which makes the done ranges as long as possible.
         for (uint32_t odd : {1U, 0U}) {
             for (auto& worker : workers) {
--- a/tests/fleet/scaling_plan_test.cc
+++ b/tests/fleet/scaling_plan_test.cc
@@ -17,9 +17,9 @@
     for (int i = 0; i < 6; ++i) add_machine("vm-" + std::to_string(i)).last_heartbeat = now;
     Seconds last_heartbeat_at = now;
     now += 15;
-    auto deletions_with_silent = [&](int n) {
+    auto deletions_with_silent = [&](int silent) {
         for (int i = 0; i < 6; ++i)
-            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < n ? last_heartbeat_at : now;
+            cluster.machine("vm-" + std::to_string(i))->last_heartbeat = i < silent ? last_heartbeat_at : now;
         recount_resources();
         ScalingInput input{config, settings, now, last_heartbeat_at, {}, {}, false};
         return plan_scaling(cluster, jobs, input).scale_in.size();
--- a/tests/http/http_test.cc
+++ b/tests/http/http_test.cc
@@ -124,8 +124,9 @@
 TEST_F(Http, ClientReportsWhetherRequestMayHaveBeenExecuted) {
     CallResult refused, timed_out;
     TaskGroup tasks(loop);
-    auto call = [](Loop& on, Address server_address, Seconds timeout, CallResult& result) -> Task<void> {
-        HttpClient client(on, server_address, 1);
+    auto call = [](Loop& event_loop, Address server_address, Seconds timeout,
+                   CallResult& result) -> Task<void> {
+        HttpClient client(event_loop, server_address, 1);
         result = co_await client.call("POST", "/x", "b", timeout);
     };
     FileDescriptor silent(loop, listen_on(address(6, 80)));  // accepts connections but never responds
@@ -166,8 +167,8 @@
         CallResult result;
         bool finished = false;
         TaskGroup tasks(loop);
-        auto call = [](Loop& on, CallResult& call_result, bool& call_finished) -> Task<void> {
-            HttpClient http(on, address(6, 8080), 1);
+        auto call = [](Loop& event_loop, CallResult& call_result, bool& call_finished) -> Task<void> {
+            HttpClient http(event_loop, address(6, 8080), 1);
             call_result = co_await http.call("GET", "/x", "", 0.3);
             call_finished = true;
         };
--- a/tests/jobs/record_format_test.cc
+++ b/tests/jobs/record_format_test.cc
@@ -65,7 +65,7 @@
         record.live.clear();
         record.next_attempt = 1 + random_below(1'000'000);
         uint32_t density = 1 + random_below(9);
-        for (uint32_t n = 0; n < std::min(record.spec.tasks, 200U); ++n) {
+        for (uint32_t draw = 0; draw < std::min(record.spec.tasks, 200U); ++draw) {
             if (random_below(10) < density) record.done.add(random_below(record.spec.tasks));
             uint32_t task = random_below(record.spec.tasks);
             std::string machine = machine_name(random_below(2000));
--- a/tests/jobs/task_lifecycle_test.cc
+++ b/tests/jobs/task_lifecycle_test.cc
@@ -72,7 +72,7 @@
     Machine& other = add_machine("vm-2");
     EXPECT_TRUE(schedule_for({&other}).empty());
     jobs.apply_heartbeat(cluster, machine, heartbeat(machine, {}), Absence::kProven, now);
-    // The task was never reported: the same attempt is launched on the same machine.
+    // No heartbeat listed the task: the same attempt is launched on the same machine.
     auto commands = jobs.commands(machine, LaunchCommands::kInclude);
     ASSERT_EQ(count_launches(commands), 1U);
     EXPECT_EQ(commands[0].attempt, 3U);
@@ -157,8 +157,8 @@
     (void)other;
 }
 
-// A reported task that matches no placement is stopped. Until it has exited, its job starts no tasks
-// elsewhere.
+// A task that a heartbeat lists but that matches no placement is stopped. Until it has exited, its job
+// starts no tasks elsewhere.
 TEST_F(TaskLifecycle, StopsUnplacedTasksBeforeStartingOthers) {
     add_job(job_spec("job-1", 1));
     Machine &first = add_machine("vm-1"), &second = add_machine("vm-2");
--- a/tests/jobs/task_transitions_test.cc
+++ b/tests/jobs/task_transitions_test.cc
@@ -71,13 +71,13 @@
                 jobs_.commands(machine_, LaunchCommands::kInclude);
                 return;
             case kReported:
-                return report_running();
+                return send_running_heartbeat();
             case kResult:
                 return exit_with(ExitCause::kDone);
             case kExit:
                 return exit_with(ExitCause::kStopped);
             case kAbandonedResult:
-                return report(kUnknownAttempt, TaskPhase::kExited, ExitCause::kDone);
+                return send_heartbeat_with(kUnknownAttempt, TaskPhase::kExited, ExitCause::kDone);
             case kAbsent:
                 return send_heartbeat({}, Absence::kProven);
             case kLaunchGivenUp:
@@ -125,7 +125,7 @@
     }
     void run() {
         launch();
-        report_running();
+        send_running_heartbeat();
     }
     void stop() { jobs_.stop(job_, 0, StopMode::kSaveFirst); }
 
@@ -135,15 +135,15 @@
                               absence, now_);
     }
     // Sends a heartbeat that lists this attempt, and does not prove that others are absent.
-    void report(uint64_t attempt, TaskPhase phase, ExitCause cause) {
+    void send_heartbeat_with(uint64_t attempt, TaskPhase phase, ExitCause cause) {
         send_heartbeat({SchedulingTest::task_status("job-1", 0, attempt, phase, cause)}, Absence::kUnproven);
     }
     uint64_t attempt() const {
         auto placed = job_.live.find(0);
         return placed == job_.live.end() ? kUnknownAttempt : placed->second.attempt;
     }
-    void report_running() { report(attempt(), TaskPhase::kRunning, ExitCause::kNone); }
-    void exit_with(ExitCause cause) { report(attempt(), TaskPhase::kExited, cause); }
+    void send_running_heartbeat() { send_heartbeat_with(attempt(), TaskPhase::kRunning, ExitCause::kNone); }
+    void exit_with(ExitCause cause) { send_heartbeat_with(attempt(), TaskPhase::kExited, cause); }
 
     Cluster cluster_;
     JobTable jobs_;
--- a/tests/leader/large_fleet_test.cc
+++ b/tests/leader/large_fleet_test.cc
@@ -64,7 +64,8 @@
     size_t send_all_heartbeats() {
         size_t answered = 0;
         TaskGroup scope(deployment.loop);
-        for (FakeWorker& worker : workers) scope.spawn(send_heartbeat(leader(), worker, answered), "report");
+        for (FakeWorker& worker : workers)
+            scope.spawn(send_heartbeat(leader(), worker, answered), "heartbeat");
         deployment.run_until([&] { return scope.size() == 0; }, 5);
         return answered;
     }
@@ -100,7 +101,7 @@
     for (int round = 0; round < 5 && tasks_on_machines() < kJobs * kTasksPerJob; ++round)
         send_all_heartbeats();
     ASSERT_EQ(tasks_on_machines(), kJobs * kTasksPerJob);
-    send_all_heartbeats();  // reports all tasks as running
+    send_all_heartbeats();  // lists all tasks as running
 
     // Unchanged heartbeats of full machines request no passes; only the periodic passes remain.
     Seconds started_at = deployment.loop.now();
--- a/tests/loop/loop_test.cc
+++ b/tests/loop/loop_test.cc
@@ -73,14 +73,14 @@
         ~CountOnDestruction() { ++count; }
     };
     struct Coroutines {
-        static Task<int> inner(Loop& on, int& count) {
+        static Task<int> inner(Loop& event_loop, int& count) {
             CountOnDestruction guard{count};
-            co_await on.sleep(1000);
+            co_await event_loop.sleep(1000);
             co_return 1;
         }
-        static Task<void> outer(Loop& on, int& count) {
+        static Task<void> outer(Loop& event_loop, int& count) {
             CountOnDestruction guard{count};
-            co_await inner(on, count);
+            co_await inner(event_loop, count);
             ADD_FAILURE() << "continued after cancellation";
         }
     };
--- a/tests/scheduler/service_placement_test.cc
+++ b/tests/scheduler/service_placement_test.cc
@@ -49,7 +49,7 @@
     EXPECT_EQ(plan().scale_out.size(), 1U);
     jobs.erase(waiting.spec.id);
     // A gang that would need the replica's machine has no expected start, so its reservation may be
-    // backfilled meanwhile.
+    // used for backfill.
     jobs.erase(busy.spec.id);
     JobSpec gang_spec = batch_spec("job-4", 2, PriorityClass::kStandard);
     gang_spec.kind = JobKind::kGang;
--- a/tests/scheduler/starvation_test.cc
+++ b/tests/scheduler/starvation_test.cc
@@ -2,7 +2,7 @@
 //
 // Guards against starvation of gangs: a gang needs machines and part of its team's limit at the same time.
 // While machines were missing, the limit was given to the team's lower-priority work; when machines became
-// free, the limit was missing and no room was reserved meanwhile. On a full fleet the two shortages
+// free, the limit was missing, and no room was reserved while it was. On a full fleet the two shortages
 // alternated until the gang starved.
 #include <gtest/gtest.h>
 
--- a/tests/standins/scheduling_fixture.h
+++ b/tests/standins/scheduling_fixture.h
@@ -53,7 +53,8 @@
     Seconds now = 100;
 };
 
-// Fixture for services. Its machines execute every command and report launched replicas as running.
+// Fixture for services. Its machines execute every command and list launched replicas as running in their
+// heartbeats.
 struct ServiceTest : SchedulingTest {
     ServiceTest();
 
--- a/tests/state/store_client_test.cc
+++ b/tests/state/store_client_test.cc
@@ -15,7 +15,7 @@
 constexpr Seconds kTimeout_s = 1.5;
 
 struct StoreClientTest : testing::Test {
-    StoreClientTest() { store.listen_for(0, at); }
+    StoreClientTest() { store.listen_for(0, server_address); }
     ~StoreClientTest() override {
         store.stop();
         test::unwind(loop);
@@ -30,9 +30,9 @@
 
     FakeClock clock;
     Loop loop{clock};
-    Address at = test::address(5, 7000);
+    Address server_address = test::address(5, 7000);
     test::FakeStore store{loop};
-    StoreClient client{loop, at, constants::kResponseLimit};
+    StoreClient client{loop, server_address, constants::kResponseLimit};
 };
 
 TEST_F(StoreClientTest, ReadsCommittedValue) {
@@ -132,7 +132,7 @@
 TEST_F(StoreClientTest, OversizedResponseIsDiscarded) {
     uint64_t revision = store.revision;
     put("a", std::string(4096, 'x'));
-    StoreClient limited(loop, at, 1024);
+    StoreClient limited(loop, server_address, 1024);
     EXPECT_EQ(test::await(loop, limited.list("a", "", 10, kTimeout_s)).status, StoreStatus::kUnknown);
     EXPECT_EQ(test::await(loop, limited.watch("a", revision, 1)).status, WatchStatus::kCompacted)
         << "a repeated watch would get the same oversized response";
--- a/tests/users/write_rate_test.cc
+++ b/tests/users/write_rate_test.cc
@@ -66,7 +66,8 @@
 }  // namespace
 
 // The leader has more to write than the rate limit allows. Submissions still get a share of the rate; a burst
-// above it is told at once when to retry, and in the end every job is accepted and none is lost.
+// above it gets immediate responses that say when to retry, and in the end every job is accepted and none is
+// lost.
 TEST(WriteRate, BurstAboveRateGetsImmediateResponses) {
     constexpr Seconds kMaxLatency_s = 0.3;
     Deployment deployment(2);
--- a/tests/workers/worker_client_test.cc
+++ b/tests/workers/worker_client_test.cc
@@ -24,17 +24,18 @@
         co_return Response{status, malformed ? "none" : worker.next_heartbeat()};
     }
     std::optional<WorkerHeartbeat> send(std::vector<Command> commands) {
-        return test::await(loop, send_commands(loop, at, 41, 1, std::move(commands)));
+        return test::await(loop, send_commands(loop, server_address, 41, 1, std::move(commands)));
     }
 
     FakeClock clock;
     Loop loop{clock};
-    Address at = test::address(5, 7200);
+    Address server_address = test::address(5, 7200);
     test::FakeWorker worker;
     int status = 200;
     bool malformed = false;
     std::vector<std::string> paths;
-    HttpServer server{loop, at, 4, [this](Request request) { return handle(std::move(request)); }};
+    HttpServer server{loop, server_address, 4,
+                      [this](Request request) { return handle(std::move(request)); }};
 };
 
 TEST_F(WorkerClientTest, ResponseReflectsExecutedCommands) {
